--- a/postvalve/core/__init__.py
+++ b/postvalve/core/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of postvalve: typed message and time in, typed effects out, no I/O."""
+"""Decision logic as state machines: typed messages and times in, typed effects out, no I/O."""
--- a/postvalve/core/configuration/__init__.py
+++ b/postvalve/core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Accepted revisions of the fleet configuration."""
+"""Revision history of the fleet configuration, and resolution of its rules."""
--- a/postvalve/core/configuration/history.py
+++ b/postvalve/core/configuration/history.py
@@ -1,7 +1,8 @@
-"""Replay of the configuration stream.
+"""Replays the stream of configuration changes into a history of revisions.
 
-The first change in offset order whose base is the revision in force wins. A revision's
-number is its offset, so numbers grow and a node only moves forward.
+A change is accepted if its base is the revision in force at its offset; of several changes with the
+same base, the first in offset order wins. A revision's number is the offset of its change, so
+revision numbers only increase.
 """
 
 from __future__ import annotations
@@ -13,22 +14,22 @@
 from postvalve.messages.records_codec import Record
 
 NO_REVISION = -1
-"""Number before the first accepted change; its base is this."""
+"""Revision number before the first accepted change, and the base that this change must name."""
 
 
 class ChangeOutcome(enum.StrEnum):
-    """What became of one record of the configuration stream."""
+    """Outcome of one record of the configuration stream."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
     REPEATED = "repeated"
     IGNORED = "ignored"
-    """No change at all."""
+    """The record is not a configuration change."""
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """An accepted change."""
+    """An accepted configuration change."""
 
     number: int
     document: bytes
@@ -37,10 +38,10 @@
 
 
 class ConfigurationHistory:
-    """Decides changes as they are read, and keeps the newest revision known.
+    """Decides configuration changes in stream order and keeps the newest known revision.
 
-    A revision may also come from a peer while the log is out of reach. Decisions hang on
-    the log alone, so that every reader decides alike.
+    A newer revision may also come from a peer while the log is unreachable. Decisions depend only
+    on the log, so that every reader reaches the same ones.
     """
 
     def __init__(self) -> None:
@@ -50,16 +51,16 @@
 
     @property
     def newest(self) -> Revision | None:
-        """The newest revision known from log or peers."""
+        """The newest revision known from the log or from peers; None if there is none."""
         return self._newest
 
     @property
     def newest_number(self) -> int:
-        """Its number, or NO_REVISION."""
+        """Number of the newest known revision, or NO_REVISION."""
         return self._newest.number if self._newest else NO_REVISION
 
     def observe(self, offset: int, record: Record) -> ChangeOutcome:
-        """Decide the record at `offset`; offsets must come in order."""
+        """Decide the record at `offset`; records must be passed in offset order."""
         if record.record_id in self._outcomes:
             return ChangeOutcome.REPEATED
         change = record.body
@@ -76,11 +77,12 @@
         return outcome
 
     def outcome_of(self, record_id: str) -> ChangeOutcome | None:
-        """Outcome of the first record with this id; None when it was not read yet."""
+        """Return the outcome of the first record with this id, or None if it has not been read
+        yet."""
         return self._outcomes.get(record_id)
 
     def adopt(self, revision: Revision) -> bool:
-        """Take a revision from a peer; returns whether it was newer."""
+        """Take over a revision from a peer; return whether it was newer than the known one."""
         return self._move_forward(revision)
 
     def _move_forward(self, revision: Revision) -> bool:
--- a/postvalve/core/configuration/resolution.py
+++ b/postvalve/core/configuration/resolution.py
@@ -1,4 +1,4 @@
-"""Which rule of the configuration covers a tenant, a workload or an engine, and why."""
+"""Resolves which rules of the configuration apply to a tenant, a workload or an engine."""
 
 from __future__ import annotations
 
@@ -21,36 +21,38 @@
 Rule = TypeVar("Rule", LimitSpec, PoolSpec)
 
 compiled_selector: Callable[[str], Selector] = lru_cache(maxsize=4096)(parse_selector)
-"""Parsed selectors by their text."""
+"""Parse a selector; results are cached by the selector's text."""
 
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Rules that cover a thing, the winner first."""
+    """The rules of one kind that match, in order of precedence."""
 
     kind: str
     matching: tuple[str, ...]
 
     @property
     def winner(self) -> str | None:
-        """Name of the rule in force."""
+        """Name of the rule in force; None if no rule matches."""
         return self.matching[0] if self.matching else None
 
 
 def tenant_labels(tenant: TenantSpec) -> dict[str, str]:
-    """Labels of a tenant, with its name as `name`."""
+    """Return the labels of a tenant, with its name added as `name`."""
     return {**tenant.labels, "name": tenant.name}
 
 
 def workload_labels(workload: WorkloadSpec) -> dict[str, str]:
-    """Labels of a workload, with its name and class as `name` and `class`."""
+    """Return the labels of a workload, with its name and traffic class added as `name` and
+    `class`."""
     return {**workload.labels, "name": workload.name, "class": workload.traffic_class.value}
 
 
 def matching_limits(
     configuration: FleetConfiguration, tenant: TenantSpec, workload: WorkloadSpec
 ) -> list[LimitSpec]:
-    """Limit rules that cover the pair, the winner first."""
+    """Return the limit rules that match both the tenant and the workload, in order of
+    precedence."""
     covering = [
         rule
         for rule in configuration.limits
@@ -63,7 +65,7 @@
 def matching_pools(
     configuration: FleetConfiguration, engine_labels: Mapping[str, str]
 ) -> list[PoolSpec]:
-    """Pools whose selector covers the engine, the winner first."""
+    """Return the pools whose selector matches the engine's labels, in order of precedence."""
     covering = [
         pool
         for pool in configuration.pools
@@ -73,7 +75,7 @@
 
 
 def pool_serves(pool: PoolSpec, tenant: TenantSpec, model: str) -> bool:
-    """Whether the pool's engines take this tenant's requests for the model."""
+    """Return whether the pool's engines accept this tenant's requests for the model."""
     covered = compiled_selector(pool.tenants).matches(tenant_labels(tenant))
     return covered and model.partition(":")[0] in pool.models
 
@@ -84,11 +86,15 @@
     name: str | None,
     traffic_class: TrafficClass,
 ) -> WorkloadSpec:
-    """The workload of a request. Its class comes from the operators, never from the caller.
+    """Return the workload of a request.
+
+    The traffic class is set by operators in the configuration, never by the caller.
 
     Raises:
-        InvalidRequestError: no such workload, or none is the default.
-        PermissionDeniedError: the tenant may not use it, or not in this class.
+        InvalidRequestError: there is no workload of this name, or no name was given and none is the
+            default.
+        PermissionDeniedError: the workload is not open to the tenant, or not for this traffic
+            class.
     """
     permitted = [
         workload
@@ -124,7 +130,7 @@
     workload: WorkloadSpec,
     engine_labels: Mapping[str, str],
 ) -> list[Explanation]:
-    """Say for each kind of rule which cover these, the winner first."""
+    """Return the matching rules of each kind, in order of precedence."""
     limits = matching_limits(configuration, tenant, workload)
     pools = matching_pools(configuration, engine_labels)
     return [
@@ -134,5 +140,5 @@
 
 
 def _by_precedence(rules: Iterable[Rule]) -> list[Rule]:
-    # The sort is stable, so the first in the document wins among equals.
+    # The sort is stable, so among rules of equal precedence the first in the document wins.
     return sorted(rules, key=lambda rule: -rule.precedence)
--- a/postvalve/core/placement/__init__.py
+++ b/postvalve/core/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine holds which model."""
+"""Placement of models on engines."""
--- a/postvalve/core/placement/plan.py
+++ b/postvalve/core/placement/plan.py
@@ -1,9 +1,9 @@
-"""Which engine changes what it holds, now.
+"""Plans which engines load and unload models now.
 
-A pure function of the configuration and of what the engines hold, so every owner comes to
-the same plan and each carries out its own engines' part. Engines that do not hold what
-they should change in the order of their ids, at most `max_unavailable` of a rule at once,
-and never the last one that serves a model.
+The plan is a pure function of the configuration and of the models on each engine, so every engine
+owner computes the same plan and carries out the part for its own engines. Engines whose models
+differ from the desired ones are changed in the order of their ids, at most `max_unavailable` per
+rule at once, and never the last engine that serves a model.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class OrderAction(enum.StrEnum):
-    """What an engine is told to do."""
+    """Order given to an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """One live engine, as its owner reports it."""
+    """State of one live engine, as reported by its owner."""
 
     engine_id: str
     labels: Mapping[str, str]
     models: Mapping[str, str]
-    """Model to version."""
+    """Version by model name."""
     serving: bool = True
-    """Whether it takes work; one that is changing does not."""
+    """Whether the engine accepts work; it does not while it loads or unloads models."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """One step of the plan."""
+    """One load or unload order for an engine."""
 
     engine_id: str
     action: OrderAction
@@ -48,7 +48,8 @@
 def placement_of(
     configuration: FleetConfiguration, labels: Mapping[str, str]
 ) -> PlacementSpec | None:
-    """The rule that covers an engine; the highest precedence, then the first, wins."""
+    """Return the placement rule of an engine: the highest precedence wins, then the first in the
+    document."""
     covering = [
         rule for rule in configuration.placements if compiled_selector(rule.engines).matches(labels)
     ]
@@ -56,7 +57,8 @@
 
 
 def desired_models(configuration: FleetConfiguration, rule: PlacementSpec) -> dict[str, str]:
-    """Models and adapters that an engine under the rule holds, with versions."""
+    """Return the models and adapters that an engine under the rule should hold, with their
+    versions."""
     desired: dict[str, str] = {}
     for name in rule.models:
         model = configuration.model_by_name[name]
@@ -69,7 +71,7 @@
 def plan_orders(
     configuration: FleetConfiguration, engines: Sequence[EngineView]
 ) -> list[EngineOrder]:
-    """The orders that may be carried out now."""
+    """Return the orders that may be carried out now."""
     orders: list[EngineOrder] = []
     serving = [engine for engine in engines if engine.serving]
     for rule in configuration.placements:
@@ -90,9 +92,9 @@
     serving: list[EngineView],
     max_unavailable: int,
 ) -> list[EngineView]:
-    """Engines that change now; takes them out of `serving`."""
+    """Return the engines to change now, and remove them from `serving`."""
     chosen: list[EngineView] = []
-    # Those that change already, or serve nothing, come first: they cost no capacity.
+    # Engines that are already changing, or that hold no models, come first: they cost no capacity.
     for engine in sorted(changing, key=lambda one: (one.serving, bool(one.models), one.engine_id)):
         if len(chosen) == max_unavailable:
             break
--- a/postvalve/core/randomness.py
+++ b/postvalve/core/randomness.py
@@ -1,4 +1,4 @@
-"""The random numbers that decisions take from their caller, who seeds them."""
+"""Interface of the random number generator that callers seed and pass to decision logic."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class RandomSource(Protocol):
-    """The part of `random.Random` that decisions use."""
+    """The methods of `random.Random` that decision logic uses."""
 
     def uniform(self, a: float, b: float) -> float:
-        """A number between `a` and `b`."""
+        """Return a random number between `a` and `b`."""
         ...
 
     def sample(self, population: Sequence[Item], k: int) -> list[Item]:
-        """`k` different items of the population."""
+        """Return `k` distinct items of the population."""
         ...
--- a/postvalve/core/routing/__init__.py
+++ b/postvalve/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of an engine owner for a request, and the retry budget."""
+"""Choice of an engine for a request, latency estimates, engine pace, and retries."""
--- a/postvalve/core/routing/attempt_times.py
+++ b/postvalve/core/routing/attempt_times.py
@@ -1,7 +1,8 @@
-"""What the events of one attempt at an engine say of its pace.
+"""Timing of one attempt at an engine, from the events of its answer.
 
-A reader that lags leaves events unread, which then come at once. So a pause counts only between
-events of which each was waited for, where the times at which they were asked for are told.
+A reader that lags behind leaves events in a buffer, from which they are then read without delay. So
+where the reader reports when it requests each event, a pause counts only if the reader waited for
+the events at both of its ends.
 """
 
 from __future__ import annotations
@@ -9,31 +10,32 @@
 from dataclasses import dataclass
 
 MIN_WAIT = 0.001
-"""Seconds from asking for an event to its coming from which it counts as waited for: one that lies
-in a buffer comes sooner."""
+"""Seconds between requesting an event and reading it from which the reader counts as having waited
+for it; an event that is already in a buffer is read sooner."""
 MIN_PAUSES = 4
-"""Pauses of an attempt from which their mean says something."""
+"""Number of measured pauses below which their mean is not used."""
 
 
 @dataclass(slots=True)
 class AttemptTimes:
-    """Times of one attempt, in monotonic seconds."""
+    """Event times of one attempt, in monotonic seconds."""
 
     placed_at: float
     first_at: float = 0.0
-    """0 before the first event."""
+    """Time of the first event; 0 before it."""
     events: int = 0
     pauses: int = 0
-    """Those that were measured."""
+    """Number of measured pauses."""
     pauses_sum: float = 0.0
     longest_pause: float = 0.0
     requested_at: float = 0.0
-    """When the next event was asked for; 0 where nobody tells, since each is read as it comes."""
+    """When the reader requested the next event; 0 if the reader does not report this, because it
+    reads each event as it arrives."""
     _last_at: float = 0.0
-    """When the last event came; 0 where that is not known."""
+    """Time of the last event; 0 if it is unknown, because the event came from a buffer."""
 
     def record_event(self, now: float) -> None:
-        """An event was read at `now`."""
+        """Record that an event was read at `now`."""
         awaited = not self.requested_at or now - self.requested_at >= MIN_WAIT
         if not self.first_at:
             self.first_at = now
@@ -46,10 +48,10 @@
 
     @property
     def mean_pause(self) -> float:
-        """Seconds between events; 0 where too few pauses were measured."""
+        """Mean seconds between events; 0 if too few pauses were measured."""
         return self.pauses_sum / self.pauses if self.pauses >= MIN_PAUSES else 0.0
 
     @property
     def first_event(self) -> float:
-        """Seconds to the first event; 0 before it."""
+        """Seconds from placement to the first event; 0 before it."""
         return self.first_at - self.placed_at if self.first_at else 0.0
--- a/postvalve/core/routing/connect_timeout.py
+++ b/postvalve/core/routing/connect_timeout.py
@@ -1,8 +1,9 @@
-"""How long a connection to an engine may take to open while another engine could have the request.
+"""Time-out of connection set-up to an engine, while another engine could serve the request.
 
-A dark engine answers nothing, and a packet that is lost is sent again after a second. So what has
-not come up within many times what is usual will not come up in time, and nothing was sent: the
-request goes elsewhere at once, which never runs it twice.
+An engine that is down or unreachable does not answer, and a lost SYN is retransmitted only after a
+second. A connection that takes many times longer than recent ones is therefore unlikely to open in
+time. Nothing has been sent on it yet, so failing over to another engine at once cannot run the
+request twice.
 """
 
 from __future__ import annotations
@@ -10,29 +11,30 @@
 from collections import deque
 
 TIMEOUT_MULTIPLE = 8.0
-"""Of the longest time that one of the last connections took to open."""
+"""Time-out as a multiple of the longest recent set-up time."""
 MIN_TIMEOUT = 0.1
-"""Seconds that one may take however fast others came up: a busy machine stands still for some tens
-of milliseconds."""
+"""Lower bound of the time-out, in seconds: a busy machine may be unresponsive for some tens of
+milliseconds."""
 MAX_SAMPLES = 64
-"""Connections that are looked back at: the slow ones of a machine that turned slow are among them
-soon, and gone soon after it."""
+"""Number of recent connections considered, so that the slow set-ups of a machine that becomes slow
+enter the window soon, and leave it soon after it recovers."""
 MIN_SAMPLES = 8
-"""Connections without which nothing is known of what is usual."""
+"""Number of connections below which usual set-up times count as unknown."""
 
 
 class ConnectTimeout:
-    """What connections to engines took to open at this node."""
+    """Adaptive time-out from the set-up times of this node's recent connections to engines."""
 
     def __init__(self) -> None:
         self._seconds: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     def record(self, seconds: float) -> None:
-        """A connection came up after so long."""
+        """Record how many seconds the set-up of a connection took."""
         self._seconds.append(seconds)
 
     def seconds(self, most: float) -> float:
-        """Seconds after which one is given up for another engine; `most` while little is known."""
+        """Return the time-out in seconds, at most `most`; `most` itself while there are too few
+        samples."""
         if len(self._seconds) < MIN_SAMPLES:
             return most
         return min(most, max(MIN_TIMEOUT, TIMEOUT_MULTIPLE * max(self._seconds)))
--- a/postvalve/core/routing/engine_choice.py
+++ b/postvalve/core/routing/engine_choice.py
@@ -1,8 +1,9 @@
-"""Choice of an engine for a routed request: what it must read first, load, zone, kept parts.
+"""Choice of an engine for a routed request, by cost.
 
-An engine reads prompts one after the other, so a short request behind a long prompt waits for
-all of it, however many slots are free. Costs are therefore counted in prompt tokens: those
-that the engine must read before this request's first token, and what else is worth as much.
+An engine reads prompts one after the other, so a short request behind a long prompt waits for all
+of it, however many slots are free. Costs are therefore counted in prompt tokens: the tokens that
+the engine must read before this request's first token, plus penalties for load, zone and queueing
+in the same unit.
 """
 
 from __future__ import annotations
@@ -15,84 +16,86 @@
 from postvalve.core.randomness import RandomSource
 
 AFFINITY_TOKENS = 1_000
-"""Shared prompt tokens from which it pays to go where they were read before."""
+"""Shared prompt tokens from which the request prefers the engine that has probably read them
+before."""
 REMOTE_ZONE_TOKENS = 4_000
-"""Tokens that may wait at an engine of the own zone before another zone's is better."""
+"""Penalty for an engine of another zone: an engine of this node's own zone is preferred until so
+many tokens wait there."""
 COLD_TOKENS = 4_000
-"""Tokens that may wait at a warm engine before one that is slow from its start is better: as many
-as another zone costs. Tried on a copy of a site whose engines take 3 times as long for 6 s."""
+"""Penalty for an engine that is still slow after its start, equal to that of another zone. Tried on
+a copy of a deployment whose engines take 3 times as long for their first 6 s."""
 ALMOST_FULL_TOKENS = 4_000
-"""Tokens that an engine counts for which online work almost fills: requests that are under way
-elsewhere, and that this node has not heard of yet, may take its last slots."""
+"""Penalty for an engine almost full with online work: requests placed by other nodes that this node
+has not heard of yet may take its last slots."""
 PREEMPTION_TOKENS = 2_000
-"""Tokens that could be read while a batch item gives way: less than another zone costs, since the
-node that watches over an engine hears of requests from its own zone at once."""
+"""Penalty for an engine where a batch item must be preempted first. It is less than that of another
+zone, since the node that watches an engine is told of requests from its own zone at once."""
 OWN_ENGINE_TOKENS = 750
-"""Tokens that may wait more at an engine that this node watches over: half the load of a full one.
-It knows at once what others send there, where its counts of other engines are some tenths of a
-second old, and sends nobody a report out of turn. Of the requests in heaps at 20 nodes and 24
-engines 0.067 waited for a slot without this, 0.039 with it, and 0.95 and 0.47 went to engines that
-another node watches over."""
+"""Bonus for an engine that this node watches, half the penalty of a full one. This node learns at
+once what others send there, while its counts of other engines are some tenths of a second old, and
+it need not send a report out of turn. Of the requests in bursts at 20 nodes and 24 engines, the
+fraction that waited for a slot fell from 0.067 to 0.039, and the fraction sent to engines that
+another node watches from 0.95 to 0.47."""
 QUEUED_REQUEST_TOKENS = 4_000
-"""Tokens that could be read while a request waits for a slot, for each that waits before it."""
+"""Penalty for each request that would be served before this one gets a slot."""
 LOAD_TOKENS = 1_500
-"""Tokens by which a full engine is worse than an empty one, since each step takes longer."""
+"""Penalty for a full engine compared with an empty one, since each decoding step takes longer."""
 SAMPLE_SIZE = 2
-"""Engines of the own zone, and of all others, that one choice looks at."""
+"""Engines drawn at random for one choice, from the own zone and from all other zones each."""
 ALMOST_FULL = 0.85
-"""Share of its slots that online work has from which an engine counts as almost full."""
+"""Fraction of an engine's slots held by online work from which it counts as almost full."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineOption:
-    """An engine that may take a request, as this node sees it now."""
+    """A candidate engine for a request, as this node sees it now."""
 
     life: EngineLife
     zone: str
     slots: int
     in_flight: int
-    """Requests of all kinds and nodes."""
+    """Requests of all kinds, from all nodes."""
     batch: int = 0
-    """Batch items among them, which give way."""
+    """Batch items among the requests; they can be preempted."""
     unread: int = 0
     """Prompt tokens of requests in flight that have no first token yet."""
     cold: bool = False
-    """Whether it is still slow from its start."""
+    """Whether the engine is still slow after its start."""
     memory_short: int = 0
-    """Tokens by which the engine's memory is too small for this request beside the others."""
+    """Tokens by which the engine's memory falls short for this request beside the others."""
     queue_penalty: float = 0.0
-    """By how much it is worse than an even engine of the same load; see `core/routing/expectation`.
-    Below 0 where it is better."""
+    """How much worse the engine is than a uniform one of the same load, in queue positions;
+    negative if it is better. See `core/routing/latency_estimate`."""
 
     @property
     def load(self) -> float:
-        """Requests for each slot."""
+        """Requests per slot."""
         return self.in_flight / max(1, self.slots)
 
     @property
     def online(self) -> int:
-        """Online requests of all nodes."""
+        """Online requests from all nodes."""
         return self.in_flight - self.batch
 
 
 @dataclass(frozen=True, slots=True)
 class EngineChoice:
-    """An option, and what it costs."""
+    """A candidate engine and its cost."""
 
     option: EngineOption
     shared_unread: int
-    """Tokens of the request's shared parts that this engine likely has to read."""
+    """Tokens of the request's shared prefix that this engine probably has to read."""
     cost: float
-    """In prompt tokens."""
+    """Cost in prompt tokens."""
 
     @property
     def life(self) -> EngineLife:
-        """The engine."""
+        """The engine, by its life."""
         return self.option.life
 
 
 class EngineChooser:
-    """Chooses among engines."""
+    """Chooses the engine of the least cost from a random sample."""
 
     def __init__(self, zone: str, generator: RandomSource) -> None:
         self._zone = zone
@@ -105,17 +108,18 @@
         shared_tokens: int,
         own: Container[EngineLife] = (),
     ) -> EngineChoice:
-        """The engine for a request.
+        """Choose an engine for a request.
 
-        Nodes know each other's requests a tenth of a second late; if all took the best engine of
-        one view, they would take the same one. Each looks at two that it draws from its zone, at
-        two from the others, and at the one that keeps the shared parts.
+        Nodes learn of each other's requests about a tenth of a second late. If each took the best
+        engine of the same view, they would all choose the same one. So each node considers two
+        engines drawn at random from its zone, two from the other zones, and the one that holds the
+        shared prefix.
 
         Args:
-            options: Engines of the service, one at least.
-            prefix_key: Requests with the same key share the first parts of their prompts.
-            shared_tokens: Tokens of those parts.
-            own: Engines of which this node hears first what others send there.
+            options: Engines of the service, at least one.
+            prefix_key: Requests with the same key share the beginning of their prompts.
+            shared_tokens: Tokens of the shared prefix.
+            own: Engines that this node watches; it is told first what other nodes send there.
         """
         holder = self._holder(options, prefix_key) if shared_tokens >= AFFINITY_TOKENS else None
         choices = []
@@ -150,11 +154,12 @@
         elif option.in_flight >= option.slots:
             cost += PREEMPTION_TOKENS
         if option.memory_short > 0:
-            # It waits for others to end, or makes the engine put another one back.
+            # The request waits until others end, or the engine evicts another one to make room.
             cost += QUEUED_REQUEST_TOKENS + option.memory_short
         return cost + QUEUED_REQUEST_TOKENS * max(0, option.online - option.slots + 1)
 
     def _holder(self, options: Sequence[EngineOption], prefix_key: str) -> str | None:
-        """The engine that likely keeps the shared parts; alike at all nodes of a zone."""
+        """Return the engine that probably holds the shared prefix; the same at all nodes of a
+        zone."""
         near = [one.life for one in options if one.zone == self._zone]
         return preferred_owner(prefix_key, near or [one.life for one in options])
--- a/postvalve/core/routing/engine_load.py
+++ b/postvalve/core/routing/engine_load.py
@@ -1,8 +1,9 @@
-"""What an engine tells of its load, and for how long its pace now tells anything.
+"""Load and pace as reported by engines, and how long a reported pace remains valid.
 
-The pace changes many times a second, so its age decides what it is worth. How fast readings of one
-engine part is learnt from pairs of them, by the time between the two: where the later one says
-nothing of the former one, neither does it say anything of what runs there by then.
+Pace is the time that work takes at an engine, relative to usual (1.0). It changes many times a
+second, so a reading's weight depends on its age. How fast the readings of an engine decorrelate is
+learnt from pairs of them, grouped by the time between the two: if the later reading of such pairs
+is independent of the earlier one, a reading of that age does not predict the engine's present pace.
 """
 
 from __future__ import annotations
@@ -12,49 +13,51 @@
 from dataclasses import dataclass
 
 MIN_AGE = 0.05
-"""Seconds of the first class of ages; each further one is twice as long."""
+"""Seconds of the first age class; each further class is twice as long."""
 AGE_CLASSES = 8
-"""Classes of ages; a reading that is older than all of them (6.4 s) counts nothing."""
+"""Number of age classes; a reading older than all of them (6.4 s) has no weight."""
 DECAY = 0.99
-"""Weight that each pair leaves to all before it."""
+"""Factor by which the weight of older pairs falls with each new pair."""
 MIN_PAIRS = 6.0
-"""Weight of pairs from which a class of ages is relied on."""
+"""Weight of pairs from which an age class is used."""
 MIN_VARIANCE = 0.0025
-"""Of the logarithm; below it (5 in 100) paces of one engine differ by less than is worth a look."""
+"""Variance of the logarithm of pace below which readings are ignored: an engine's pace then varies
+by less than 5%."""
 BASELINE_WEIGHT = 0.1
-"""Weight of a new reading in what an engine usually tells."""
+"""Weight of a new reading in the moving average of an engine's readings."""
 MAX_PACE = 16.0
-"""Readings count as at most so many times the usual time, and at least as the inverse."""
+"""Upper bound of readings; the lower bound is its inverse."""
 CORRECTION_TIME = 0.3
-"""Seconds in which an engine's own count of its requests corrects this node's: by then all nodes
-have reported what they had sent there."""
+"""Seconds for which an engine's own count of its requests corrects this node's count; by then all
+nodes have reported what they sent there."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """Figures of one answer."""
+    """Load figures from one answer of an engine."""
 
     at: float
-    """Monotonic seconds at which the answer's head was read."""
+    """When the head of the answer was read, in monotonic seconds."""
     running: int
     waiting: int
     slots: int
     pace: float | None = None
-    """How long work takes there now, for 1.0 as usual; None where the engine doesn't tell."""
+    """Time that work takes at the engine now, relative to usual (1.0); None if the engine does not
+    report it."""
 
     @property
     def requests(self) -> int:
-        """Those that it runs, and those that wait there."""
+        """Running and queued requests together."""
         return self.running + self.waiting
 
 
 class EngineLoadError(ValueError):
-    """Figures that can't be an engine's load."""
+    """An engine reported load figures that are malformed or out of range."""
 
 
 @dataclass(slots=True)
 class _Pairs:
-    """Pairs of readings with about the same time between the two."""
+    """Decaying mean of squared differences between readings."""
 
     weight: float = 0.0
     squares: float = 0.0
@@ -70,45 +73,48 @@
 
 @dataclass(slots=True)
 class PaceReading:
-    """The newest pace that an engine told, and what it usually tells; both as logarithms."""
+    """The latest pace reported for an engine, and the average of its readings; both as
+    logarithms."""
 
     at: float
-    """Monotonic seconds at which it was read."""
+    """When it was read, in monotonic seconds."""
     value: float
     baseline: float
     peer: str = ""
-    """Who told this node; empty where the engine itself did."""
+    """The peer that passed the reading on; empty if the engine itself reported it to this node."""
 
     @property
     def deviation(self) -> float:
-        """By how much the engine is slower than it usually is."""
+        """Logarithm of how much slower the engine is now than its own average."""
         return self.value - self.baseline
 
 
 class PaceReadings:
-    """Readings of one service's engines, by the hashes of their lives."""
+    """Pace readings of one service's engines, by the hash of the engine's life."""
 
     def __init__(self) -> None:
         self._readings: dict[int, PaceReading] = {}
         self._pairs = [_Pairs() for _ in range(AGE_CLASSES)]
         self._spread = _Pairs()
-        """Deviations from what each engine usually tells."""
+        """Squared deviations of readings from each engine's average."""
 
     @property
     def has_readings(self) -> bool:
-        """Whether any engine tells its pace."""
+        """Whether any engine has reported its pace."""
         return bool(self._readings)
 
     def readings(self) -> dict[int, PaceReading]:
-        """The newest of each engine; callers only read them."""
+        """Return the latest reading of each engine; callers must not modify the mapping."""
         return self._readings
 
     def record(self, life: int, pace: float, at: float, peer: str = "") -> bool:
-        """Take a reading in, by this node or a peer; returns whether it is the newest."""
+        """Record a reading from an engine or a peer; return whether it is the latest of its
+        engine."""
         value = math.log(min(MAX_PACE, max(1 / MAX_PACE, pace)))
         last = self._readings.get(life)
         if last is None:
-            # 1.0 is what engines call usual; what this one tells for good is part of what it shows.
+            # Engines call 1.0 usual, so the average starts there. A lasting deviation is also part
+            # of the samples of the engine's attempts and must not count twice.
             self._readings[life] = PaceReading(at, value, BASELINE_WEIGHT * value, peer)
             return True
         if at <= last.at:
@@ -122,10 +128,10 @@
         return True
 
     def confidence(self, age: float) -> float:
-        """How much of a deviation is left after so many seconds; 0 to 1.
+        """Return the fraction of a deviation that remains after `age` seconds, from 0 to 1.
 
-        The autocorrelation of an engine's readings. A class of ages without pairs takes that of the
-        next older one: a reading is never trusted for longer than was seen.
+        This is the autocorrelation of readings. An age class with too few pairs uses the next older
+        class that has enough, so a reading is never used for longer than the data support.
         """
         variance = self._spread.mean
         if self._spread.weight < MIN_PAIRS or variance < MIN_VARIANCE:
@@ -136,7 +142,7 @@
         return 0.0
 
     def factor(self, life: int, now: float) -> float:
-        """How much longer than usual for it an engine likely takes at `now`."""
+        """Return how much longer than its own average an engine probably takes at `now`."""
         reading = self._readings.get(life)
         if reading is None:
             return 1.0
@@ -144,7 +150,7 @@
         return math.exp(trust * reading.deviation) if trust else 1.0
 
     def retain(self, lives: Container[int]) -> None:
-        """Forget engines that are gone."""
+        """Drop the readings of engines that are not in `lives`."""
         self._readings = {life: one for life, one in self._readings.items() if life in lives}
 
 
@@ -161,25 +167,25 @@
 
 
 class CountCorrection:
-    """Requests at engines that no node reports, such as those whose sender was killed."""
+    """Requests at engines that no node reports, such as those of a node that was killed."""
 
     def __init__(self) -> None:
         self._excess: dict[int, _Excess] = {}
 
     def record(self, life: int, told: int, counted: int, now: float) -> None:
-        """An engine told how many requests it has; this node counts `counted` there."""
+        """Record that an engine reported `told` requests while this node counts `counted` there."""
         if told > counted:
             self._excess[life] = _Excess(now, told - counted)
         else:
             self._excess.pop(life, None)
 
     def requests(self, life: int, now: float) -> int:
-        """Requests beyond those that this node counts there."""
+        """Return the number of requests at the engine beyond those that this node counts there."""
         excess = self._excess.get(life)
         if excess is None or now - excess.at > CORRECTION_TIME:
             return 0
         return excess.requests
 
     def retain(self, lives: Container[int]) -> None:
-        """Forget engines that are gone."""
+        """Drop the corrections of engines that are not in `lives`."""
         self._excess = {life: one for life, one in self._excess.items() if life in lives}
--- a/postvalve/core/routing/engine_pace.py
+++ b/postvalve/core/routing/engine_pace.py
@@ -1,10 +1,12 @@
-"""How much slower or faster than its service each engine is, by its life.
-
-Each node keeps what its own attempts showed of a life: for each aspect the weight of the samples
-and the mean of their logarithms, each sample a time divided by what the service's pace made
-expected. Weights halve with time. Nodes tell each other their own, never what they heard, so what
-all saw is the sum, however often a report comes. A life counts as different once the sum differs by
-more than its error; until then, and after long silence, it is like all others.
+"""Estimates of how much slower or faster than its service each engine is.
+
+An engine is identified by its life, one run of its process. For each engine and metric, a node
+keeps the weight of the samples from its own attempts and the mean of their logarithms; a sample is
+a measured time divided by the time that the service's latency estimates predict. Weights decay with
+a half-life. Nodes send each other only their own samples, never those of others, so the sum over
+nodes counts each sample once, however often it is reported. An engine counts as different once the
+mean exceeds its standard error by a given factor. Until then, and after a long time without
+samples, it is treated like all others.
 """
 
 from __future__ import annotations
@@ -19,58 +21,60 @@
 from postvalve.core.membership.engine_life import EngineLife
 
 HALF_LIFE = 10.0
-"""Seconds after which a sample counts half: an engine that turned well again, and gets little work
-meanwhile, is like the others again within half a minute."""
+"""Half-life of samples in seconds, so that an engine that has recovered, and gets little work
+meanwhile, is treated like the others again within half a minute."""
 PRIOR_WEIGHT = 1.0
-"""Weight at which a life that nothing is known of is like the others."""
+"""Weight of the prior that an engine is like the others."""
 MIN_WEIGHT = 3.0
-"""Weight of samples from which a life may differ."""
+"""Weight of samples from which an engine may count as different."""
 ENTER_ERRORS = 3.0
-"""Errors of its mean by which a life must differ to be treated so."""
+"""Standard errors by which the mean must differ for an engine to become different."""
 EXIT_ERRORS = 1.5
-"""The same to stay so."""
+"""Standard errors by which the mean must differ for an engine to remain different."""
 MIN_DIFFERENCE = 0.1
-"""Of the logarithm: an engine that is slower by less is worse by less than one request more is."""
+"""Smallest difference of the logarithm that counts: an engine that is slower by less costs a
+request less than one more request in its queue."""
 INITIAL_DEVIATION = 0.5
-"""Standard deviation of a sample before any was seen."""
+"""Assumed standard deviation of samples before any were seen."""
 VARIANCE_WEIGHT = 0.05
-"""Weight of a new sample in the deviation."""
+"""Weight of a new sample in the moving variance."""
 MAX_FACTOR = 4.0
-"""Factors, and single samples, are at most this, and at least its inverse: a dark engine is for its
-standing to tell, and must not need hours to be forgiven."""
+"""Upper bound of factors and of single samples; the lower bound is its inverse. Detecting an
+unreachable engine is the task of health tracking; here a single time-out must not take hours to
+decay."""
 MAX_WEIGHT = 60.0
-"""What one node's samples may weigh: as much as a report can tell."""
+"""Upper bound of the weight of one node's samples, the largest that a report can hold."""
 NEGLIGIBLE_WEIGHT = 0.05
-"""Weight below which what a peer showed is forgotten."""
+"""Weight below which a peer's samples are dropped."""
 MAX_EVALUATED = 64
-"""Lives that one look judges; those of which something new was shown go first, then those that were
-judged longest ago. Each takes some 3 us for each node that showed something of it."""
+"""Engines evaluated per update: those with new samples first, then those evaluated longest ago.
+Each takes some 3 us for every node that has samples of it."""
 
 Kept = TypeVar("Kept")
 _LARGEST_LOG = math.log(MAX_FACTOR)
 
 
 class PaceMetric(enum.IntEnum):
-    """What may differ."""
+    """Metric in which engines may differ."""
 
     FIRST = 0
-    """Time to the first event, where a slot was free."""
+    """Time to the first event, for requests that found a free slot."""
     PAUSE = 1
     """Time between events."""
     HELD = 2
-    """Time that a request holds its slot."""
+    """Time for which a request occupies its slot."""
 
 
 @dataclass(slots=True)
 class WeightedMean:
-    """Samples of one aspect."""
+    """Weight and mean of the samples of one metric."""
 
     weight: float = 0.0
     mean: float = 0.0
-    """Of the logarithms."""
+    """Mean of the logarithms of the samples."""
 
     def add(self, weight: float, mean: float) -> None:
-        """Take samples in; `weight` above 0."""
+        """Add samples of a given mean; `weight` must be above 0."""
         total = self.weight + weight
         self.mean += (mean - self.mean) * weight / total
         self.weight = total
@@ -78,18 +82,18 @@
 
 @dataclass(slots=True)
 class EngineSamples:
-    """Samples of one life by one node, or several."""
+    """Samples of one engine from one or several nodes."""
 
     at: float
-    """Monotonic seconds to which the weights are decayed."""
+    """Time to which the weights have been decayed, in monotonic seconds."""
     newest_at: float
-    """Monotonic seconds of the newest sample."""
+    """Time of the newest sample, in monotonic seconds."""
     metrics: tuple[WeightedMean, WeightedMean, WeightedMean] = field(
         default_factory=lambda: (WeightedMean(), WeightedMean(), WeightedMean())
     )
 
     def decay(self, now: float) -> None:
-        """Let the weights fall as time does."""
+        """Decay the weights to the time `now`."""
         if now > self.at:
             left = 0.5 ** ((now - self.at) / HALF_LIFE)
             for one in self.metrics:
@@ -98,22 +102,22 @@
 
     @property
     def weight(self) -> float:
-        """Of the aspect that is known best."""
+        """Weight of the metric with the most samples."""
         return max(one.weight for one in self.metrics)
 
 
 @dataclass(frozen=True, slots=True)
 class PaceFactors:
-    """How many times as long as usual for its service an engine takes."""
+    """Times at an engine as multiples of the usual times of its service."""
 
     first: float = 1.0
     pause: float = 1.0
     held: float = 1.0
 
     def scaled(self, now: float) -> PaceFactors:
-        """With what the engine tells to be now.
+        """Return the factors multiplied by `now`, the pace that the engine reports at present.
 
-        That may be over before a request ends, so its slot is expected to be held as usual there.
+        The slot time is left as it is: the present pace may have changed before a request ends.
         """
         return PaceFactors(self.first * now, self.pause * now, self.held)
 
@@ -123,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceChange:
-    """A life that begins or ceases to differ."""
+    """An engine has become different from the others, or has ceased to be."""
 
     life: EngineLife
     differs: bool
@@ -134,26 +138,28 @@
 
 
 class PaceEstimator:
-    """What the lives of all services showed."""
+    """Estimates the pace of the engines of all services, from samples of this node and its
+    peers."""
 
     def __init__(self) -> None:
         self._lives: dict[int, EngineLife] = {}
         self._services: dict[int, str] = {}
         self._own: dict[int, EngineSamples] = {}
         self._peers: dict[int, dict[str, EngineSamples]] = {}
-        """What each peer told, by life and the peer's name."""
+        """Samples received from peers, by life and the peer's name."""
         self._factors: dict[int, PaceFactors] = {}
-        """Of those that differ."""
+        """Factors of the engines that differ from the others."""
         self._newest: dict[int, float] = {}
-        """Monotonic seconds of the newest sample of each life, by anybody."""
+        """Time of the newest sample of each engine from any node, in monotonic seconds."""
         self._judged: dict[int, float] = {}
-        """When each life was judged last."""
+        """When each engine was last evaluated."""
         self._variance: dict[tuple[str, PaceMetric], float] = {}
         self._differing: set[str] = set()
-        """Services of which an engine differs."""
+        """Services with at least one engine that differs from the others."""
 
     def retain(self, services: Mapping[EngineLife, str]) -> None:
-        """Take the directory's present list in: what was shown of other lives is forgotten."""
+        """Set the engines that the directory lists now; samples of all other engines are
+        dropped."""
         self._lives = {engine_hash(life): life for life in services}
         self._services = {engine_hash(life): name for life, name in services.items()}
         self._own = _only(self._own, self._lives)
@@ -164,32 +170,32 @@
         self._note_services()
 
     def knows(self, life: int) -> bool:
-        """Whether the directory lists a life of this hash."""
+        """Return whether the directory lists an engine whose life has this hash."""
         return life in self._lives
 
     def service_of(self, life: int) -> str:
-        """The service of a life; empty where it is not listed."""
+        """Return the service of an engine; empty if the directory does not list it."""
         return self._services.get(life, "")
 
     def differs(self, service: str) -> bool:
-        """Whether any engine of a service differs from the others."""
+        """Return whether any engine of a service differs from the others."""
         return service in self._differing
 
     def factors(self, life: int) -> PaceFactors:
-        """Of a life; 1 where it doesn't differ."""
+        """Return the factors of an engine; UNIFORM if it does not differ."""
         return self._factors.get(life, UNIFORM)
 
     def observe(
         self, life: EngineLife, aspect: PaceMetric, seconds: float, expected: float, now: float
     ) -> None:
-        """Note what an attempt of this node showed.
+        """Add a sample from an attempt of this node.
 
         Args:
             life: The engine.
             aspect: What was measured.
-            seconds: What it took.
-            expected: What it takes at the service's engines; nothing is learnt where this, or
-                the time itself, is not above 0.
+            seconds: The measured time.
+            expected: The usual time at the service's engines. The sample is ignored unless both
+                times are above 0.
             now: Monotonic seconds.
         """
         key = engine_hash(life)
@@ -207,53 +213,54 @@
         one.weight = min(MAX_WEIGHT, one.weight)
 
     def _note_spread(self, key: int, aspect: PaceMetric, value: float) -> None:
-        """Learn how much samples of one life differ from each other."""
+        """Update the variance of the samples of single engines."""
         known = self._own.get(key)
         if known is None or known.metrics[aspect].weight <= 0:
             return
         one = known.metrics[aspect]
-        # Both the sample and the mean that it is held against err.
+        # Corrects for the error of the mean, which adds to that of the sample.
         square = (value - one.mean) ** 2 * one.weight / (one.weight + 1.0)
         at = (self._services[key], aspect)
         variance = self._variance.get(at, INITIAL_DEVIATION**2)
         self._variance[at] = variance + VARIANCE_WEIGHT * (square - variance)
 
     def error(self, service: str, aspect: PaceMetric, weight: float) -> float:
-        """Standard error of the mean of samples of so much weight."""
+        """Return the standard error of the mean of samples of a given weight."""
         variance = self._variance.get((service, aspect), INITIAL_DEVIATION**2)
         return math.sqrt(variance / weight) if weight > 0 else math.inf
 
-    # What peers tell
+    # Samples from peers
 
     def receive_samples(self, peer: str, life: int, shown: EngineSamples) -> None:
-        """Take in what a peer showed of a life, in place of what it told before."""
+        """Replace a peer's samples of an engine by newer ones."""
         if life in self._lives:
             self._peers.setdefault(life, {})[peer] = shown
             self._newest[life] = max(shown.newest_at, self._newest.get(life, float("-inf")))
 
     def drop_peer(self, peer: str) -> None:
-        """What a peer told comes by another way now; of one that is gone it fades by itself."""
+        """Drop a peer's samples, because they now arrive in a zone digest. Those of a node that is
+        gone need no call, they decay."""
         for shown in self._peers.values():
             shown.pop(peer, None)
 
     def own_sample_times(self) -> Iterator[tuple[int, float]]:
-        """Lives that this node's attempts showed something of, and the time of the newest."""
+        """Return the engines of which this node has samples, with the time of the newest."""
         return ((life, shown.newest_at) for life, shown in self._own.items())
 
     def sample_times(self) -> Iterator[tuple[int, float]]:
-        """Lives that anybody showed something of, and the time of the newest."""
+        """Return the engines of which any node has samples, with the time of the newest."""
         return iter(self._newest.items())
 
     def own_samples(self, life: int, now: float) -> EngineSamples:
-        """What this node's attempts showed of a life."""
+        """Return the samples from this node's attempts at an engine."""
         return self._total(life, now, set())
 
     def samples_of(self, life: int, peers: set[str], now: float) -> EngineSamples:
-        """What this node and some of its peers showed of a life, together."""
+        """Return the samples of an engine from this node and some of its peers."""
         return self._total(life, now, peers)
 
     def all_samples(self, life: int, now: float) -> EngineSamples:
-        """What all showed of a life."""
+        """Return the samples of an engine from all nodes."""
         return self._total(life, now, None)
 
     def _total(self, life: int, now: float, names: set[str] | None) -> EngineSamples:
@@ -269,10 +276,10 @@
                     sums.add(one.weight, one.mean)
         return total
 
-    # What follows
+    # Evaluation
 
     def update(self, now: float) -> list[PaceChange]:
-        """Work out which lives differ; returns those that begin or cease to."""
+        """Update which engines differ from the others; return those whose status changed."""
         changes = []
         for life in self._due():
             self._judged[life] = now
@@ -292,7 +299,7 @@
         return changes
 
     def _due(self) -> list[int]:
-        """Lives to judge now."""
+        """Return the engines to evaluate now."""
         never = float("-inf")
         order = sorted(
             (self._judged.get(life, never) >= newest, self._judged.get(life, never), life)
--- a/postvalve/core/routing/keyed_request.py
+++ b/postvalve/core/routing/keyed_request.py
@@ -1,9 +1,9 @@
-"""Replay of the stream of one online request with an idempotency key.
+"""State of an online request with an idempotency key, from the records of its stream.
 
-The first start in offset order runs the request. It ends in a finish, whose answer every
-resend gets, or in a release, which frees the key again. A repeatable request whose start
-was left behind by a dead node may be started anew after its deadline; one that must run at
-most once may not.
+The first start in offset order runs the request. The request ends with a finish record, whose
+answer every resend gets, or with a release record, which frees the key again. If a node dies and
+leaves a start behind, a repeatable request may be started again after its deadline; a request that
+must run at most once may not.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class KeyState(enum.StrEnum):
-    """What a new arrival with the key finds."""
+    """State in which a new arrival with the key finds the request."""
 
     FREE = "free"
     RUNNING = "running"
@@ -25,7 +25,7 @@
 
 
 class KeyedRequest:
-    """State of one key of one tenant."""
+    """State of one idempotency key of one tenant."""
 
     def __init__(self) -> None:
         self.start: records.RequestStarted | None = None
@@ -34,7 +34,7 @@
         self.next_offset = 0
 
     def observe(self, offset: int, record: Record) -> None:
-        """Take the record at `offset` in; offsets must come in order."""
+        """Apply the record at `offset`; records must be passed in offset order."""
         self.next_offset = offset + 1
         body = record.body
         if isinstance(body, records.RequestStarted):
@@ -50,8 +50,8 @@
             self.start = body
 
     def _may_follow(self, body: records.RequestStarted) -> bool:
-        # Only a start that names the one it replaces follows it, so of two that race for an
-        # abandoned key the first in offset order wins.
+        # A start replaces another one only if it names it, so of two nodes that race for an
+        # abandoned key, the first in offset order wins.
         assert self.start is not None
         if self.finish is not None or self.start.at_most_once:
             return False
@@ -61,7 +61,7 @@
         return self.start is not None and self.start.attempt_id == attempt_id
 
     def state(self, wall_ms: int) -> KeyState:
-        """What an arrival at `wall_ms` finds."""
+        """Return the state that an arrival at wall-clock time `wall_ms` finds."""
         if self.finish is not None:
             return KeyState.FINISHED
         if self.start is None:
--- a/postvalve/core/routing/latency_estimate.py
+++ b/postvalve/core/routing/latency_estimate.py
@@ -1,8 +1,8 @@
-"""What an engine is expected to take for one more request: one answer, in seconds, for all who ask.
+"""Estimates of the time that one more request takes at an engine, in seconds.
 
-Whether there is room, whether a request will be in time, who waits and where it goes follow from
-the same sums: the service's pace, the engine's factors to it, and its load. An engine without
-factors is taken by the service's pace alone.
+Whether there is capacity, whether a request will be in time, which requests wait and where they go
+all follow from the same estimates, computed from the service's latencies, the engine's pace factors
+and its load. An engine without factors is estimated by its service's latencies alone.
 """
 
 from __future__ import annotations
@@ -14,27 +14,28 @@
 from postvalve.core.routing.engine_pace import UNIFORM, PaceFactors
 
 PREEMPTION_TIME = 0.15
-"""Seconds until batch items have left the slots that online work needs."""
+"""Seconds until preempted batch items have left their slots."""
 
 
 @dataclass(slots=True)
 class EngineOccupancy:
-    """An engine's load as this node sees it."""
+    """Slots and load of an engine as this node sees them."""
 
     slots: int
     online: int
     batch: int
     unread: int
-    """Prompt tokens that it must read before those of another request."""
+    """Prompt tokens that the engine must read before those of another request."""
     factors: PaceFactors = UNIFORM
-    """How much longer than usual for its service it takes now."""
+    """How much longer than usual for its service the engine takes now."""
     pause_aim: float | None = None
-    """Seconds between events that callers bear; None where nobody says."""
+    """Longest pause between events that callers accept, in seconds; None if no route sets one."""
     _places: int = -1
-    """Its places, once they were worked out."""
+    """Cached capacity; -1 before it is computed."""
 
     def capacity(self, pace: ServiceLatency) -> int:
-        """Requests that may run there within the pauses that callers bear, one at least."""
+        """Return how many requests may run at once without exceeding the pause that callers accept;
+        at least one."""
         if self.factors is UNIFORM or self.pause_aim is None:
             return self.slots
         if self._places < 0:
@@ -42,15 +43,15 @@
         return self._places
 
     def has_capacity(self, pace: ServiceLatency) -> bool:
-        """Whether there is a place that no online work needs."""
+        """Return whether online work leaves capacity free."""
         return self.online < self.capacity(pace)
 
 
 def capacity_within(slots: int, pace: ServiceLatency, factor: float, pause_aim: float) -> int:
-    """Requests of which none is expected to see a pause above `pause_aim`; one at the least.
+    """Return the number of running requests up to which no pause above `pause_aim` is expected.
 
-    A slow engine takes what it can bear, so that it is never left without work, and is seen to be
-    well again.
+    It is at least one, so that a slow engine is never left without work, and its recovery is
+    noticed.
     """
     if pace.longest_pause(slots) * factor <= pause_aim:
         return slots
@@ -61,12 +62,12 @@
 
 
 def queue_delay_per_place(room: EngineOccupancy, pace: ServiceLatency) -> float:
-    """Seconds for each place in an engine's queue."""
+    """Return the delay in seconds for each position in an engine's queue."""
     return pace.queue_delay_per_place(room.capacity(pace)) * room.factors.held
 
 
 def queue_wait(room: EngineOccupancy, pace: ServiceLatency) -> float:
-    """Seconds until an engine has a slot for one more online request."""
+    """Return the seconds until an engine has a slot for one more online request."""
     total = room.online + room.batch
     places = room.slots if room.pause_aim is None else room.capacity(pace)
     if total < places:
@@ -78,35 +79,36 @@
 
 
 def expected_first_event(room: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
-    """Seconds to the first event of a request with so many prompt tokens."""
+    """Return the seconds to the first event of a request with so many prompt tokens."""
     return queue_wait(room, pace) + pace.first_event(room.unread + tokens) * room.factors.first
 
 
 def expected_in_time(
     rooms: Iterable[EngineOccupancy], tokens: int, pace: ServiceLatency, left: float
 ) -> Iterator[bool]:
-    """Whether a request's first event is expected within `left` seconds, for each engine."""
+    """Yield for each engine whether a request's first event is expected within `left` seconds."""
     known, margin = pace.known, pace.margin
     return (known and expected_first_event(room, tokens, pace) + margin <= left for room in rooms)
 
 
 def any_has_capacity(rooms: Iterable[EngineOccupancy], pace: ServiceLatency) -> bool:
-    """Whether any engine has a place that no online work needs."""
+    """Return whether online work leaves capacity free at any engine."""
     return any(room.has_capacity(pace) for room in rooms)
 
 
 def least_loaded(rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> EngineOccupancy:
-    """The engine with the least online work for its places."""
+    """Return the engine with the least online work relative to its capacity."""
     return min(rooms, key=lambda room: room.online / max(1, room.capacity(pace)))
 
 
 def queue_penalty(room: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
-    """How much worse than an even engine of the same load one is, in places of a queue.
+    """Return how much worse an engine is than a uniform one of the same load, in queue positions.
 
-    Counts what the request waits longer for its first event, and what the next one waits longer for
-    its slot, as likely as the engine is full. One place is what an engine of the service needs to
-    come free of one request, so this can be held against other reasons to go elsewhere; 0 for an
-    even engine, below 0 for one that is faster.
+    This adds up how much longer the request waits for its first event, and how much longer the next
+    request waits for its slot, weighted by how full the engine is. One queue position is the time
+    in which an engine of the service finishes one request, so the value can be weighed against
+    other reasons to choose another engine. It is 0 for a uniform engine, and negative for a faster
+    one.
     """
     if room.factors is UNIFORM or not pace.known:
         return 0.0
--- a/postvalve/core/routing/pace_gossip.py
+++ b/postvalve/core/routing/pace_gossip.py
@@ -1,9 +1,9 @@
-"""What a node tells its peers of engines' pace: a part of reports and digests, of bounded size.
+"""Part of load reports and zone digests in which nodes exchange engine pace, of bounded size.
 
-A part holds some lives, with what the sender's own attempts showed of each, and some of the paces
-that engines told it. What is new goes first; then those lives that were told longest ago, so that a
-node that starts hears of all in a while. A share of the bytes that a node may hear bounds it, so
-that more nodes tell less each.
+A part holds the sender's own samples of some engines, and some of the readings that engines
+reported to it. New information goes first, then the samples that were sent longest ago, so that a
+node that starts receives all of them in time. The byte rate that a node may receive is divided
+among the senders, so with more nodes each sends less.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 from postvalve.core.routing.engine_pace import EngineSamples, PaceMetric
 
 MAX_RECEIVE_RATE = 1_000.0
-"""Bytes a second of these parts that a node hears from its zone, and the same from all others: the
-planned size leaves 7 KB/s for all control of a node."""
+"""Bytes per second of these parts that a node receives from its zone, and as many again from all
+other zones; the planned size leaves 7 KB/s for all control traffic of a node."""
 MAX_PACE_PART_BYTES = 240
-"""Of one part: a report stays within a datagram."""
+"""Size limit of one part in bytes, so that a report fits into a datagram."""
 MAX_READING_AGE = 0.5
-"""Seconds after which a reading isn't told any more."""
+"""Age in seconds from which a reading is no longer sent."""
 MIN_DEVIATION = 0.1
-"""Of the logarithm: readings that deviate less, from what the engine tells usually, are told only
-after one that did."""
+"""Deviation of the logarithm from the engine's average below which a reading is sent only if the
+one sent before deviated."""
 MIN_WEIGHT = 0.2
-"""Weight of samples from which they are told."""
+"""Weight of samples below which they are not sent."""
 RESEND_INTERVAL = 5.0
-"""Seconds after which a life is told again though nothing new was shown: a node that starts hears
-of all in a while, and what a lost datagram held comes late."""
+"""Seconds after which samples are sent again although nothing is new, for nodes that have started
+since, and in case a datagram was lost."""
 
 _LIVES = struct.Struct("!B")
-"""Number of lives, which follow; readings are the rest."""
+"""Number of samples records; readings fill the rest."""
 _LIFE = struct.Struct("!I3b3BB")
-"""Hash, means, weights, age of the newest sample."""
+"""Hash of the engine's life, means, weights, age of the newest sample."""
 _READING = struct.Struct("!IbB")
-"""Hash, value, age."""
+"""Hash of the engine's life, value, age."""
 _MEAN_UNIT = 1 / 64
 _WEIGHT_UNIT = 1 / 4
 _LIFE_AGE_UNIT = 0.25
@@ -47,24 +47,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PacePart:
-    """A part, as a peer told it; times in monotonic seconds of this node."""
+    """A decoded part of a peer's report; times are monotonic seconds of this node."""
 
     lives: tuple[tuple[int, EngineSamples], ...]
     readings: tuple[tuple[int, float, float], ...]
-    """Hash, pace (1.0 as usual) and time of each."""
+    """Hash of the engine's life, pace (1.0 is usual) and time of each reading."""
 
 
 @dataclass(slots=True)
 class PacePartWriter:
-    """Makes the parts for one group of peers."""
+    """Encodes the parts that go to one group of peers."""
 
     _lives_allowance: float = 0.0
-    """Bytes of lives that may be told now."""
+    """Bytes of samples that may be sent now."""
     _readings_allowance: float = 0.0
-    """Likewise of readings, so that these, which come all the time, don't keep lives untold."""
+    """Bytes of readings that may be sent now. The allowances are separate, because readings arrive
+    all the time and would leave no room for samples."""
     _at: float = float("-inf")
     _told: dict[int, float] = field(default_factory=dict)
-    """When each life was told last."""
+    """When the samples of each engine were last sent."""
     _told_readings: dict[int, PaceReading] = field(default_factory=dict)
 
     def next_part(
@@ -75,14 +76,15 @@
         sources: int,
         now: float,
     ) -> bytes:
-        """The next part; empty where there is nothing to tell, or it is not time for it.
+        """Return the next part; empty if there is nothing to send, or the byte rate is used up.
 
         Args:
-            lives: Hash of each that may be told of, and monotonic seconds of its newest sample;
-                asked for only where there is room to tell of one.
-            shown: Gives what a life showed.
-            readings: Hash of each engine that told its pace, and what; asked for likewise.
-            sources: Nodes, or zones, that each peer hears such parts from.
+            lives: Hash of each engine of which there are samples, with the time of the newest;
+                consumed only if a part has room for one.
+            shown: Returns the samples of an engine.
+            readings: Hash of each engine that reported its pace, with the latest reading; consumed
+                only if a part has room for one.
+            sources: Number of nodes, or zones, from which each peer receives such parts.
             now: Monotonic seconds.
         """
         elapsed = min(1.0, now - self._at)
@@ -174,10 +176,10 @@
 
 
 def unpack_pace_part(data: bytes, now: float) -> PacePart:
-    """Undo `PacePartWriter.part`.
+    """Decode the bytes from `PacePartWriter.next_part`.
 
     Raises:
-        struct.error: the bytes are cut.
+        struct.error: the bytes are truncated.
     """
     (count,) = _LIVES.unpack_from(data)
     end = _LIVES.size + count * _LIFE.size
--- a/postvalve/core/routing/retry.py
+++ b/postvalve/core/routing/retry.py
@@ -1,4 +1,4 @@
-"""When a failed attempt is tried again."""
+"""Retry budget, retry safety and backoff of failed attempts."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from postvalve.exceptions import Verdict
 
 RETRY_RATIO = 0.2
-"""Retries allowed for each request, over time."""
+"""Retries allowed per request, on average."""
 RETRY_RESERVE = 100.0
-"""Most retries that may be saved up: all streams of an engine that dies are resumed."""
+"""Upper bound of the retries saved up, enough to resume all streams of an engine that dies."""
 RETRY_BACKOFF_BASE = 0.010
-"""Seconds before the first retry, doubled for each later one and jittered."""
+"""Longest wait in seconds before the first retry; it doubles with each retry, with full jitter."""
 
 
 class RetryBudget:
-    """A ratio of traffic: each request deposits a part of a retry."""
+    """Limits retries to a ratio of requests: each request deposits a fraction of a retry."""
 
     def __init__(self, ratio: float = RETRY_RATIO, reserve: float = RETRY_RESERVE) -> None:
         self._ratio = ratio
@@ -22,11 +22,11 @@
         self._balance = reserve
 
     def deposit(self) -> None:
-        """Count one first attempt."""
+        """Count the first attempt of a request."""
         self._balance = min(self._reserve, self._balance + self._ratio)
 
     def withdraw(self) -> bool:
-        """Take one retry, if the budget has one."""
+        """Take one retry from the budget; return whether there was one."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
@@ -34,12 +34,13 @@
 
 
 def may_repeat(verdict: Verdict, *, at_most_once: bool) -> bool:
-    """Whether another attempt keeps the promise made for the request."""
+    """Return whether another attempt respects the delivery guarantee of the request."""
     if verdict is Verdict.NOT_RUN:
         return True
     return verdict is Verdict.MAY_HAVE_RUN and not at_most_once
 
 
 def backoff(attempt: int, generator: RandomSource) -> float:
-    """Seconds to wait before retry number `attempt`, counted from 0; full jitter."""
+    """Return the seconds to wait before retry number `attempt`, counted from 0, with full
+    jitter."""
     return generator.uniform(0, RETRY_BACKOFF_BASE * 2**attempt)
--- a/postvalve/core/routing/route_table.py
+++ b/postvalve/core/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request in a routed configuration."""
+"""Lookup of routes, services and tenants in a routed configuration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RouteTable:
-    """One revision of the configuration, ready for look-ups."""
+    """Indexes of one revision of the routed configuration."""
 
     def __init__(self, configuration: RoutedConfiguration) -> None:
         self.configuration = configuration
@@ -35,15 +35,15 @@
 
     @property
     def revision(self) -> int:
-        """Number of the revision."""
+        """Number of the configuration's revision."""
         return self.configuration.revision
 
     def match(self, host: str, path: str) -> RouteSpec | None:
-        """The route with the longest prefix of `path` among those of the host.
+        """Return the route of a host with the longest prefix of `path`, or None.
 
         Args:
-            host: As the client names it; a port is passed over.
-            path: Without the query.
+            host: Host name as the client sent it; a port is ignored.
+            path: Path without the query.
         """
         name = host.rpartition(":")[0] if _has_port(host) else host
         for route in self._by_host.get(name.lower(), ()):
@@ -52,34 +52,37 @@
         return None
 
     def routes_of_host(self, host: str) -> Sequence[RouteSpec]:
-        """All routes of a host, the longest prefix first."""
+        """Return all routes of a host, the longest prefix first."""
         name = host.rpartition(":")[0] if _has_port(host) else host
         return self._by_host.get(name.lower(), ())
 
     def route_named(self, name: str) -> RouteSpec | None:
-        """A route by its name."""
+        """Return a route by its name, or None."""
         return next((one for one in self.configuration.routes if one.name == name), None)
 
     @property
     def requires_api_key(self) -> bool:
-        """Whether requests need an API key, but for routes that say otherwise."""
+        """Whether requests need an API key, except on routes that allow anonymous ones."""
         return self.configuration.tenants is not None
 
     def tenant_of(self, key: str) -> RoutedTenant | None:
-        """The tenant that an API key belongs to."""
+        """Return the tenant to which an API key belongs, or None."""
         return find_by_key(key, self._by_key)
 
     def pause_aim(self, service: str) -> float | None:
-        """Seconds between events that callers of a service bear: the least of its online routes."""
+        """Return the longest pause between events that callers of a service accept, in seconds.
+
+        It is the smallest of the service's online routes; None if no route sets one.
+        """
         return self._pause_aims.get(service)
 
     def service(self, name: str) -> ServiceSpec | None:
-        """A service by its name."""
+        """Return a service by its name, or None."""
         return self._services.get(name)
 
 
 def _pause_aims(routes: Iterable[RouteSpec]) -> dict[str, float]:
-    """By service, the least of the online routes to it."""
+    """Return the smallest pause aim of the online routes to each service."""
     aims: dict[str, float] = {}
     for route in routes:
         if route.pause_aim is None or route.batch is not None:
@@ -90,7 +93,7 @@
 
 
 def choose_target(targets: Sequence[WeightedService], generator: RandomSource) -> str:
-    """Draw a service by the weights."""
+    """Draw a service at random, by weight."""
     if len(targets) == 1:
         return targets[0].service
     point = generator.uniform(0, sum(target.weight for target in targets))
--- a/postvalve/core/routing/router.py
+++ b/postvalve/core/routing/router.py
@@ -1,7 +1,7 @@
 """Choice of an engine for one online request.
 
-Power of two choices on load, with affinity to the engine that likely holds the prompt's
-prefix, as long as that engine is not loaded more than the others.
+Uses the power of two choices on load, with affinity to the engine that probably holds the prompt's
+prefix, as long as that engine is not loaded much more than the others.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 from postvalve.core.randomness import RandomSource
 
 AFFINITY_LOAD_BOUND = 1.25
-"""The affine engine is taken while its load is at most this many times the mean."""
+"""The engine with prefix affinity is chosen while its load is at most this multiple of the mean."""
 AFFINITY_LOAD_SLACK = 2.0
-"""Requests above the bound that are still tolerated."""
+"""Requests above this bound that are still accepted."""
 ACTIVE_LOAD = 0.5
-"""Share of an active engine's slots that online work is planned to take."""
+"""Fraction of an active engine's slots that online work is planned to use."""
 ACTIVE_RESERVE = 4
-"""Requests more than the present ones that the active engines have room for."""
+"""Number of additional requests for which the active engines must have room."""
 LOCAL_LOAD_LIMIT = 0.8
-"""Engines of other zones are considered when all local ones are loaded above this."""
+"""Load from which an engine of the own zone counts as full; engines of other zones are considered
+once all local ones are."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineCandidate:
-    """An engine as the gateway sees it, by the owner's last summary."""
+    """An engine as the gateway sees it, from the owner's latest summary."""
 
     engine_id: str
     owner_id: str
@@ -36,12 +37,12 @@
 
     @property
     def load(self) -> float:
-        """Share of the slots that runs online work."""
+        """Fraction of the slots that runs online work."""
         return self.online_in_flight / max(1, self.slots)
 
 
 class Router:
-    """Orders candidates; the first is tried first."""
+    """Orders the candidate engines of a request; the first is tried first."""
 
     def __init__(self, zone: str, generator: RandomSource) -> None:
         self._zone = zone
@@ -50,7 +51,7 @@
     def order(
         self, candidates: Sequence[EngineCandidate], prefix_key: str
     ) -> list[EngineCandidate]:
-        """All candidates, the best first, then by zone and load."""
+        """Return all candidates, the chosen one first, the others by zone and load."""
         if not candidates:
             return []
         near = self._active(self._near(candidates))
@@ -67,9 +68,11 @@
 
     @staticmethod
     def _active(candidates: Sequence[EngineCandidate]) -> Sequence[EngineCandidate]:
-        """The fewest engines, in a fixed order, that carry the present load with room to spare.
+        """Return the fewest engines, in a fixed order, that carry the present load with some
+        reserve.
 
-        Online work keeps to them, so the others can run batch without harm to it.
+        Online work is concentrated on these, so that the other engines can run batch items without
+        affecting it.
         """
         ordered = sorted(candidates, key=lambda one: one.engine_id)
         in_flight = sum(one.online_in_flight for one in candidates)
--- a/postvalve/core/scheduling/__init__.py
+++ b/postvalve/core/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Whose turn it is: fair shares of tenants, one order over nodes, what each tenant got."""
+"""Fair scheduling among tenants: shares, queue order over all nodes, and usage accounts."""
--- a/postvalve/core/scheduling/accounts.py
+++ b/postvalve/core/scheduling/accounts.py
@@ -1,11 +1,12 @@
-"""What each tenant asked for and got at one node: counts of bounded size, and no decisions.
-
-Every request counts once, when it ends, so that what was asked is at all times the sum of the ways
-in which it ended. A tenant has an account of its own while it is among the first `TOP_TENANTS` in one of
-three orders of the last `WINDOW` seconds: who asked most, who held engines longest, who was served
-worst. There may be `MAX_ACCOUNTS` accounts; when one more tenant comes, all that are in none of these
-orders are summed in one account, and a tenant among them begins anew when it comes again. So a
-newcomer has the time of many others to show what it asks for, and a node's sums are exact.
+"""Counts of what each tenant requested and received at one node, of bounded size.
+
+Every request is counted once, when it ends, so the number of requests is always the sum over the
+ways in which they ended. A tenant has an account of its own while it is among the first
+`TOP_TENANTS` of the last `WINDOW` seconds by requests, by engine time, or by worst service. There
+are at most `MAX_ACCOUNTS` accounts. When a new tenant needs one, the accounts of all tenants that
+rank in none of these orders are merged into a common one, and a tenant among them starts a new
+account with its next request. A new tenant thus keeps its account until many others have come, and
+the node's totals are exact.
 """
 
 from __future__ import annotations
@@ -20,19 +21,19 @@
 SLICE_SECONDS = 5.0
 """Seconds of one slice of the window."""
 SLICES = 6
-"""Slices of the window, the one under way among them."""
+"""Number of slices of the window, including the current one."""
 WINDOW = SLICE_SECONDS * SLICES
-"""Seconds of which `Row.lately` tells at the most, and a slice less at the least: a heap of
-requests and what came of it."""
+"""Upper bound of the seconds covered by `Row.recent`, which covers one slice less at the least:
+long enough for a burst of requests and its outcome."""
 TOP_TENANTS = 24
 """Tenants of each order that keep accounts of their own."""
 MAX_ACCOUNTS = 128
-"""Accounts of single tenants."""
+"""Upper bound of the accounts of single tenants."""
 PRIOR_REQUESTS = 2
-"""Requests served in time that are added to all when tenants are ordered by how they were served:
-one refused request must not rank before a hundred of them."""
+"""Requests served in time that are added to each tenant's counts for ordering by service, so that
+one refused request does not rank before a hundred of them."""
 OTHERS = "all others"
-"""Name of the row that sums tenants without accounts; no tenant's name holds a blank."""
+"""Name of the row that sums tenants without accounts; tenant names contain no blanks."""
 
 
 class End(enum.StrEnum):
@@ -40,27 +41,27 @@
 
     IN_TIME = "in_time"
     LATE = "late"
-    """Served whole, its first event (or its body) after the route's target latency."""
+    """Completed, but the first event (or the body) came after the route's target latency."""
     FAILED = "failed"
-    """Answered with a failure, or cut, after it may have run."""
+    """Answered with an error, or cut off, after it may have run."""
     GIVEN_UP = "given_up"
-    """Its time was over after it may have run."""
+    """Timed out after it may have run."""
     LEFT = "left"
-    """Its client closed the connection."""
+    """The client closed the connection."""
     OVER_LIMIT = "over_limit"
-    """This and the following: refused, not run."""
+    """Refused without running, like all that follow."""
     COUNT_UNKNOWN = "count_unknown"
-    """Nobody told whether the tenant has credit."""
+    """No node could tell whether the tenant has credit."""
     KEY_UNKNOWN = "key_unknown"
-    """No key, one that nobody holds, or one that the node could not judge."""
+    """No key, an unknown key, or one that the node could not check."""
     NO_ROOM = "no_room"
-    """No engine would have been in time, or took it."""
+    """No engine would have been in time, or accepted the request."""
     NODE_LEAVING = "node_leaving"
     STORE_AWAY = "store_away"
     TIME_OVER = "time_over"
-    """Its time was over before it could have run."""
+    """Timed out before it could have run."""
     INVALID = "invalid"
-    """No node could serve it as it was sent: no route leads there, too large, no job."""
+    """No node could serve the request as sent: no route, body too large, or no such job."""
     REFUSED_ELSE = "refused_else"
 
 
@@ -84,12 +85,12 @@
     End.REFUSED_ELSE,
 )
 CALLER_CAUSED = (End.LEFT, End.OVER_LIMIT, End.KEY_UNKNOWN, End.INVALID)
-"""Ends that are the caller's own doing, passed over in the order of who is served worst."""
+"""Ends caused by the caller itself, ignored when tenants are ordered by worst service."""
 
 
 @dataclass(slots=True)
 class Counts:
-    """What some requests and batch items of a tenant came to; times in seconds."""
+    """Totals of some requests and batch items of a tenant; times in seconds."""
 
     asked: int = 0
     sent: int = 0
@@ -97,40 +98,40 @@
     ends: dict[End, int] = field(default_factory=dict)
     items: dict[ItemOutcome, int] = field(default_factory=dict)
     waited: float = 0.0
-    """Until an engine got them, or until they ended without one."""
+    """Time until an engine got the requests, or until they ended without one."""
     worst_wait: float = 0.0
     online_seconds: float = 0.0
-    """For which online requests were at engines; those that an engine refused do not count."""
+    """Time that online requests spent at engines, except at those that refused them."""
     item_seconds: float = 0.0
-    """The same of batch items."""
+    """Time that batch items spent at engines."""
 
     @property
     def engine_seconds(self) -> float:
-        """For which requests and items were at engines."""
+        """Time that requests and batch items spent at engines."""
         return self.online_seconds + self.item_seconds
 
     @property
     def refused(self) -> int:
-        """Requests that were refused, not run."""
+        """Requests that were refused without running."""
         return sum(self.ends.get(one, 0) for one in REFUSED)
 
     @property
     def eligible(self) -> int:
-        """Requests that should have been served."""
+        """Requests that should have been served, those excluded whose end the caller caused."""
         return self.asked - sum(self.ends.get(one, 0) for one in CALLER_CAUSED)
 
     @property
     def in_time_share(self) -> float:
-        """Share of what was owed that was served in time; 1 where nothing was."""
+        """Fraction of the eligible requests served in time; 1 if there were none."""
         return self.ends.get(End.IN_TIME, 0) / self.eligible if self.eligible else 1.0
 
     @property
     def in_time_score(self) -> float:
-        """The same, nearer to 1 the fewer requests it is made of."""
+        """The in-time share with a prior: the fewer the requests, the nearer to 1."""
         return (self.ends.get(End.IN_TIME, 0) + PRIOR_REQUESTS) / (self.eligible + PRIOR_REQUESTS)
 
     def add(self, other: Counts) -> None:
-        """Add what others came to."""
+        """Add other counts to these."""
         self.asked += other.asked
         self.sent += other.sent
         for end, count in other.ends.items():
@@ -143,7 +144,7 @@
         self.item_seconds += other.item_seconds
 
     def fields(self) -> dict[str, float]:
-        """All counts by name, for output; `read` takes them back."""
+        """Return all counts by name, for output; `from_fields` is the inverse."""
         return {
             "asked": self.asked,
             "sent": self.sent,
@@ -157,7 +158,7 @@
 
     @classmethod
     def from_fields(cls, fields: Mapping[str, Any]) -> Self:
-        """Counts from `fields` of this or another build: what is missing counts as nothing."""
+        """Return counts from the output of `fields` of any build; missing counts are 0."""
         plain = [one.name for one in dataclasses.fields(cls) if one.name not in ("ends", "items")]
         return cls(
             ends={end: int(fields.get(end, 0)) for end in End},
@@ -167,7 +168,7 @@
 
 
 def total_of(counts: Iterable[Counts]) -> Counts:
-    """The sum of counts."""
+    """Return the sum of counts."""
     total = Counts()
     for one in counts:
         total.add(one)
@@ -176,18 +177,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One tenant's account, or the sum of those that have none."""
+    """The account of one tenant, or the sum of the tenants that have none."""
 
     tenant: str
     total: Counts
-    """Since the node's start, or since the tenant last got an account."""
+    """Counts since the node's start, or since the tenant last got an account."""
     recent: Counts
-    """Of the last `WINDOW` seconds."""
+    """Counts of the last `WINDOW` seconds."""
     running: int = 0
-    """Online requests that are at engines now."""
+    """Online requests at engines now."""
 
     def fields(self) -> dict[str, Any]:
-        """All of it by name, for output."""
+        """Return the row as nested dictionaries, for output."""
         return {
             "tenant": self.tenant,
             "running": self.running,
@@ -197,7 +198,7 @@
 
 
 class _Account:
-    """Counts by slices of time, the older ones summed."""
+    """Counts in time slices, with the older slices summed."""
 
     __slots__ = ("_past", "_slices")
 
@@ -206,7 +207,7 @@
         self._slices: deque[tuple[int, Counts]] = deque()
 
     def at(self, number: int) -> Counts:
-        """Counts of the slice of that number, for adding to."""
+        """Return the counts of a slice, to be added to."""
         if self._slices and self._slices[-1][0] >= number:
             return self._slices[-1][1]
         self._expire(number)
@@ -218,16 +219,16 @@
             self._past.add(self._slices.popleft()[1])
 
     def recent(self, number: int) -> Counts:
-        """Counts of the window that ends with the slice of that number."""
+        """Return the counts of the window that ends with a slice."""
         self._expire(number)
         return total_of(counts for _, counts in self._slices)
 
     def total(self) -> Counts:
-        """All counts."""
+        """Return the counts of all time."""
         return total_of((self._past, *(counts for _, counts in self._slices)))
 
     def take(self, other: _Account) -> None:
-        """Add another account to this one, slice by slice."""
+        """Merge another account into this one, slice by slice."""
         self._past.add(other._past)
         slices = dict(self._slices)
         for number, counts in other._slices:
@@ -245,10 +246,10 @@
         self._others: _Account | None = None
         self._running: dict[str, int] = {}
         self.change_count = 0
-        """Times that anything was counted."""
+        """Number of changes to the counts."""
 
     def __len__(self) -> int:
-        """Number of tenants that have accounts of their own."""
+        """Return the number of tenants that have accounts of their own."""
         return len(self._own)
 
     def record_request(
@@ -261,15 +262,15 @@
         sent: bool = False,
         engine_seconds: float = 0.0,
     ) -> None:
-        """A request of a tenant ended; empty is nobody in particular.
+        """Count a request that has ended.
 
         Args:
-            tenant: Its name.
-            end: How it ended.
-            now: When.
+            tenant: Name of the tenant; empty if it is unknown.
+            end: How the request ended.
+            now: When it ended.
             waited: Seconds until its first engine got it, or until it ended without one.
             sent: Whether an engine got it.
-            engine_seconds: Seconds for which it was at engines.
+            engine_seconds: Seconds that it spent at engines.
         """
         counts = self._counts(tenant, now)
         counts.asked += 1
@@ -281,26 +282,26 @@
         counts.online_seconds += engine_seconds
 
     def record_start(self, tenant: str) -> None:
-        """An engine gets an online request of a tenant."""
+        """Count an online request that an engine gets as running."""
         self._running[tenant] = self._running.get(tenant, 0) + 1
 
     def record_stop(self, tenant: str) -> None:
-        """That engine is done with it."""
+        """Count an online request that has left its engine as no longer running."""
         self._running[tenant] -= 1
         if not self._running[tenant]:
             del self._running[tenant]
 
     def holders(self, count: int) -> dict[str, int]:
-        """Tenants with the most online requests at engines now, and how many."""
+        """Return the tenants with the most online requests at engines now, with their numbers."""
         first_ones = sorted(self._running.items(), key=lambda one: (-one[1], one[0]))[:count]
         return dict(first_ones)
 
     def record_item_run(self, tenant: str, seconds: float, now: float) -> None:
-        """A batch item was at an engine for some time, whether it ended there or not."""
+        """Add the time that a batch item spent at an engine, whether it ended there or not."""
         self._counts(tenant, now).item_seconds += seconds
 
     def record_item_end(self, tenant: str, outcome: ItemOutcome, now: float) -> None:
-        """A batch item ended."""
+        """Count a batch item that has ended."""
         items = self._counts(tenant, now).items
         items[outcome] = items.get(outcome, 0) + 1
 
@@ -315,7 +316,7 @@
         return account.at(number)
 
     def _fold(self, number: int) -> None:
-        """Sum the accounts of all that are in none of the orders."""
+        """Merge the accounts of all tenants that rank in none of the orders."""
         lately = {tenant: account.recent(number) for tenant, account in self._own.items()}
         kept = set().union(*(top_tenants(lately, order, TOP_TENANTS) for order in ORDERS))
         for tenant in lately.keys() - kept:
@@ -324,7 +325,8 @@
             self._others.take(self._own.pop(tenant))
 
     def rows(self, now: float) -> list[Row]:
-        """All accounts, those served worst lately first, the sum of the others last.
+        """Return all accounts, those with the worst recent service first, the sum of the others
+        last.
 
         Tenants whose first request still runs are among the others.
         """
@@ -342,17 +344,17 @@
 
 
 def by_asked(counts: Counts) -> float:
-    """Order of who asked most."""
+    """Sort key of the order by most requests."""
     return -counts.asked
 
 
 def by_engine_seconds(counts: Counts) -> float:
-    """Order of who held engines longest."""
+    """Sort key of the order by most engine time."""
     return -counts.engine_seconds
 
 
 def by_in_time_score(counts: Counts) -> float:
-    """Order of who was served worst."""
+    """Sort key of the order by worst service."""
     return counts.in_time_score
 
 
@@ -362,5 +364,5 @@
 def top_tenants(
     lately: Mapping[str, Counts], order: Callable[[Counts], float], count: int
 ) -> list[str]:
-    """The first tenants in an order, by name among equals."""
+    """Return the first tenants in an order; equal ones are ordered by name."""
     return sorted(lately, key=lambda tenant: (order(lately[tenant]), tenant))[:count]
--- a/postvalve/core/scheduling/load_shedding.py
+++ b/postvalve/core/scheduling/load_shedding.py
@@ -1,10 +1,11 @@
-"""Whether a request that stands in order waits for its turn, starts, or is asked to come back.
-
-Beside `core/admission/holding`, where tenants have shares. The load it answers: tenants that
-together want more than the engines can serve in time. By age everybody is late by a little. In
-order, those in front are in time, and whoever stands too far behind hears so while its client can
-still come back, also in an overload that lasts: those that would be late anyhow leave the slots to
-those that need not be. Nobody is turned away for those that stand behind it.
+"""Decides whether a request queued by fair share waits, starts, or is refused with a retry time.
+
+It takes the place of the decision in `core/admission/online_admission` where tenants have shares.
+The target load is tenants that together want more than the engines can serve in time. In order of
+arrival, all requests would be a little late. In order of shares, those in front are in time, and a
+request that is too far behind is refused while its client can still retry, also in a lasting
+overload; requests that would be late anyway leave their slots to those that can be in time. No
+request is refused for the sake of requests behind it.
 """
 
 from __future__ import annotations
@@ -24,27 +25,29 @@
 from postvalve.core.admission.service_latency import ServiceLatency
 
 MAX_ENGINE_QUEUE = 1
-"""Requests that wait at each engine while others stand in order: a slot that comes free is known
-elsewhere some tenths of a second later, and would stand idle so long."""
+"""Requests queued at each engine while others wait in order: a slot that comes free becomes known
+at other nodes some tenths of a second later, and would be idle until then."""
 REFUSAL_DEVIATIONS = 2.33
-"""Standard deviations by which more requests must go before one than slots come free in its time,
-until it is turned away: one in a hundred of them would have got a slot."""
+"""Standard deviations by which the requests ahead must exceed the expected number of slots that
+come free in time before a request is refused: one in a hundred of those refused would have got a
+slot."""
 
 
 def free_capacity(rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> int:
-    """Requests that engines take before anybody waits at a node."""
+    """Return how many requests the engines accept before any wait at a node."""
     return sum(max(0, one.capacity(pace) + MAX_ENGINE_QUEUE - one.online) for one in rooms)
 
 
 def zone_queue_wait(ahead: int, rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> float:
-    """Seconds until a slot is free for a request that `ahead` others go before."""
+    """Return the seconds until a slot is free for a request with `ahead` others before it."""
     places = sum(one.capacity(pace) for one in rooms)
     before = ahead + 1 + sum(one.online for one in rooms) - places
     return max(0, before) * pace.queue_delay_per_place(places) if places else 0.0
 
 
 def hold_expired(req: PendingRequest, now: float) -> bool:
-    """Whether a request has waited for as long as any is held: an engine gets it, turn or not."""
+    """Return whether a request has waited for as long as any may; it then starts, whatever its
+    position."""
     return now - req.arrived_at >= req.target_latency * HOLD_SHARE
 
 
@@ -55,14 +58,14 @@
     now: float,
     ahead: int,
 ) -> AdmissionAction:
-    """Decide about a request at `now`.
+    """Decide about a queued request at `now`.
 
     Args:
         req: The request.
-        rooms: Load of the engines that may take it.
-        pace: Of these engines.
+        rooms: The engines that may take it.
+        pace: Latencies of the service.
         now: Monotonic seconds.
-        ahead: Requests that go before it.
+        ahead: Number of requests that go before it.
     """
     if not rooms or free_capacity(rooms, pace) > ahead or hold_expired(req, now):
         return AdmissionAction.START
@@ -78,9 +81,9 @@
 def _may_get_slot(
     left: float, rooms: Sequence[EngineOccupancy], pace: ServiceLatency, ahead: int
 ) -> bool:
-    """Whether a request has a fair chance of a slot within `left` seconds.
+    """Return whether a request has a fair chance of a slot within `left` seconds.
 
-    Slots come free by chance: so many in the mean, and about the root of it more or fewer.
+    Slots come free at random: the expected number, give or take its square root.
     """
     if left < 0:
         return False
@@ -92,12 +95,12 @@
 
 
 def retry_after_seconds(expected: float, time_left: float, drawn: float) -> float:
-    """Seconds told to a client that is turned away.
+    """Return the seconds after which a refused client should retry.
 
     Args:
-        expected: Seconds until there is room for it, as far as can be told.
-        time_left: Seconds that its client still waits.
-        drawn: From 0 to 1: those that are turned away together come back one after the other.
+        expected: Estimated seconds until there is capacity for the request.
+        time_left: Seconds that the client will still wait.
+        drawn: Random number from 0 to 1, so that clients refused together retry at different times.
     """
     latest = max(0.0, time_left) * RETRY_AFTER_SHARE
     return min(latest, max(MIN_RETRY_AFTER, expected) + RETRY_JITTER * drawn)
--- a/postvalve/core/scheduling/queue_order.py
+++ b/postvalve/core/scheduling/queue_order.py
@@ -1,8 +1,9 @@
-"""In which order requests wait, and what each node tells of the first that waits there.
+"""Order of waiting requests, and the message in which nodes report their share clock and queue
+heads.
 
-Priority goes before share, share before time left. A request may be passed by more urgent ones, and
-by tenants that got less, for as long as it is held at all: then an engine gets it in any case (see
-`core/admission/holding.HOLD_SHARE`).
+Priority comes before share, and share before time left. Requests of higher priority, and those of
+tenants that got less, may pass a request until it has been held for the longest time allowed; then
+it starts in any case (see `HOLD_SHARE` in `core/admission/online_admission`).
 """
 
 from __future__ import annotations
@@ -16,39 +17,39 @@
 
 _CLOCK = struct.Struct("!d")
 _FIRST = struct.Struct("!IBBd")
-"""Hash of the service; rank; start tag."""
+"""Hash of the service, rank, start tag."""
 MAX_RANK = 0xFF
 MAX_SERVICES = 32
-"""Services of which a node tells."""
+"""Upper bound of the services in one message."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuePosition:
-    """Where a request stands: the least goes first."""
+    """Position of a request in the queue; the lowest is served first."""
 
     rank: tuple[int, int]
-    """See `Caller.rank`."""
+    """Priority, see `Caller.rank`."""
     tag: float
-    """See `core/scheduling/fair_share`."""
+    """Start tag, see `core/scheduling/fair_share`."""
     deadline: float = math.inf
-    """Monotonic seconds of the node where it waits; of others, unknown."""
+    """Monotonic seconds of the node where the request waits; unknown to other nodes."""
 
 
 def service_hash(service: str) -> int:
-    """The 32 bits by which nodes name a service to each other."""
+    """Return the 32-bit hash by which nodes identify a service to each other."""
     return xxhash.xxh32_intdigest(service.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class ShareUpdate:
-    """What a node tells of the fair shares."""
+    """Share clock and queue heads of a node."""
 
     clock: float
     queue_heads: Mapping[int, QueuePosition]
-    """The first that waits there, by the hash of its service."""
+    """Position of the first request that waits, by the hash of its service."""
 
     def pack(self) -> bytes:
-        """For the wire."""
+        """Encode the message."""
         told = sorted(self.queue_heads.items())[:MAX_SERVICES]
         return _CLOCK.pack(self.clock) + b"".join(
             _FIRST.pack(key, *(min(MAX_RANK, one) for one in place.rank), place.tag)
@@ -57,7 +58,7 @@
 
 
 def unpack_share_update(data: bytes) -> ShareUpdate | None:
-    """Undo `ShareUpdate.pack`; None for bytes that are none."""
+    """Decode the bytes from `ShareUpdate.pack`; return None if they are malformed."""
     if len(data) < _CLOCK.size or (len(data) - _CLOCK.size) % _FIRST.size:
         return None
     (clock,) = _CLOCK.unpack_from(data)
@@ -69,7 +70,10 @@
 
 
 def merge_share_updates(parts: Iterable[bytes]) -> bytes:
-    """What a zone tells: the newest clock, and the first of all its nodes; empty for no news."""
+    """Merge the messages of a zone's nodes: the latest clock and the first waiting requests.
+
+    Returns empty bytes if no part holds a message.
+    """
     known = [one for one in map(unpack_share_update, parts) if one is not None]
     if not known:
         return b""
--- a/postvalve/core/scheduling/weights.py
+++ b/postvalve/core/scheduling/weights.py
@@ -1,4 +1,4 @@
-"""How much of the engines' time a tenant is entitled to, against the others that want some."""
+"""Tenants' weights in the fair sharing of engine time."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from postvalve.settings.routes import RoutedTenant
 
 DEFAULT_WEIGHT = 1.0
-"""Of a tenant where the configuration says nothing by which tenants could differ."""
+"""Weight of tenants if the configuration does not distinguish them."""
 
 
 def tenant_weights(tenants: Iterable[RoutedTenant]) -> dict[str, float]:
-    """Weight by the tenant's name.
+    """Return the weight of each tenant by name.
 
-    Rates are what operators have agreed on with tenants, so they are the weights where every tenant
-    has one. A tenant without a rate can't be set against one that has one: then all count alike.
+    Rates are agreed between operators and tenants, so they are the weights if every tenant has one.
+    A tenant without a rate cannot be compared with one that has a rate; then all weights are equal.
     """
     known = list(tenants)
     rated = all(one.rate > 0 for one in known)
--- a/postvalve/core/scheduling/zone_queue.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -1,12 +1,13 @@
-"""One line for a zone and a service: which waiting request gets a slot that comes free.
+"""Queue shared by the nodes of a zone, one per service: decides which request gets a free slot.
 
-The load it answers: requests wait at many nodes, and a slot that comes free is seen by all of them.
-Drawn for, it goes to any of them; in one line it goes to the first in order.
+Requests wait at many nodes, and all of them see a slot that comes free. If nodes drew for it, any
+of them might get it; with a shared queue it goes to the first request in order.
 
-One node of the zone keeps the line. Nodes tell it who waits there, again and again while somebody
-does; it grants free slots in order, and counts a grant as taken until a report of that node shows
-it. All it knows is told anew all the time, so nothing must be recovered when it is lost. Without
-an answer each node goes by its own order, so a keeper can delay nobody for longer than that takes.
+One node of the zone coordinates the queue. Nodes report their waiting requests to it repeatedly
+while there are any. It grants free slots in order, and counts a grant as used until a report of
+that node accounts for it. All of its state is reported again all the time, so nothing must be
+recovered when it is lost. Without an answer each node follows its own order, so a coordinator that
+fails delays requests for no longer than the time-out.
 """
 
 from __future__ import annotations
@@ -22,40 +23,46 @@
 from postvalve.core.scheduling.queue_order import MAX_RANK, QueuePosition
 
 MAX_REPORTED = 4
-"""Requests that a node tells of at once, the first in its order: more than it gets slots until it
-tells again."""
+"""Waiting requests in one report, the first in the node's order: more than the node gets slots
+until its next report."""
 STATES_PER_SECOND = 150.0
-"""States that a keeper reads at the most; with as many answers they stay within 3% of a core."""
+"""Reports that a coordinator reads per second at most; together with as many answers they take less
+than 3% of a core."""
 MIN_STATE_INTERVAL = 0.06
-"""Seconds between two states of a node at the least: with the answers these are 2.5 KB/s."""
+"""Least seconds between two reports of a node; together with the answers these are 2.5 KB/s."""
 STATE_TIME = 0.5
-"""Seconds for which a state counts, or two intervals where these are longer. A node that is gone
-keeps grants from the others for no longer than `GRANT_TIME` after its last one."""
+"""Seconds for which a report is valid, or two report intervals if these are longer. A node that is
+gone blocks slots for no longer than `GRANT_TIME` after its last grant."""
 GRANT_TIME = 0.25
-"""Seconds after which a grant that nothing shows counts as not used: reports come sooner."""
+"""Seconds after which a grant that no report accounts for counts as unused; reports come sooner
+than that."""
 COORDINATOR_TIMEOUT = 0.1
-"""Seconds without an answer after which a node goes by its own order."""
+"""Seconds without an answer after which a node follows its own order."""
 LISTEN_TIME = 1.0
-"""Seconds after its start in which a node keeps no line: it must hear what engines run first."""
+"""Seconds after its start in which a node coordinates no queue: it must first receive reports of
+what the engines run."""
 
 _STATE = struct.Struct("!IQIIBB")
-"""Hash of the service; incarnation and number of the state; last grant taken; length of the node's
-id; number of entries."""
+"""Hash of the service, incarnation, number of the report, last grant received, length of the node's
+id, number of entries."""
 _ENTRY = struct.Struct("!IBBd")
 _GRANT = struct.Struct("!IIBB")
-"""Hash of the service; number of the grant; numbers of granted and of waiting requests."""
+"""Hash of the service, number of the grant, number of granted requests, number of waiting
+requests."""
 _NUMBER = struct.Struct("!I")
 _AHEAD = struct.Struct("!IH")
 MAX_TRACKED_NODES = 1000
-"""Nodes whose starts are remembered, the last ones: several times as many as a zone has."""
+"""Upper bound of the nodes whose starts are remembered, the latest ones: several times the size of
+a zone."""
 MAX_AHEAD = 0xFFFF
 MAX_ADOPTED_GRANT = 0xF0000000
-"""Largest number of another keeper beyond which this one goes on: the rest of 32 bits is left for
-its own, also where a node tells a wrong one."""
+"""Largest grant number of another coordinator that this one adopts. The rest of the 32 bits is
+reserved for its own numbers, in case a node reports a wrong one."""
 
 
 class NewNodes:
-    """Nodes that have started lately: they use nothing yet that takes all, and keep no line."""
+    """Nodes that have started lately; they use no feature yet that needs all nodes, and coordinate
+    no queue."""
 
     def __init__(self, now: float) -> None:
         self._listens_until = now + LISTEN_TIME
@@ -63,11 +70,11 @@
         """Incarnation of each node, and when it was first heard."""
 
     def record(self, node_id: str, incarnation: int, now: float) -> None:
-        """A node reported itself."""
+        """Record that a node reported itself."""
         known = self._lives.get(node_id)
         if known is not None and known[0] == incarnation:
             return
-        # Who is heard while this node itself starts was there before, as far as it can tell.
+        # A node heard while this one is starting is taken to have been there before.
         first = -math.inf if known is None and now < self._listens_until else now
         self._lives.pop(node_id, None)
         self._lives[node_id] = incarnation, first
@@ -75,18 +82,18 @@
             del self._lives[next(iter(self._lives))]
 
     def includes(self, node_id: str, now: float) -> bool:
-        """Whether it is one."""
+        """Return whether a node has started lately."""
         known = self._lives.get(node_id)
         return known is not None and now - known[1] < SETTLE_TIME
 
 
 def coordinator_of(zone: str, service: int, node_ids: Iterable[str]) -> str | None:
-    """The node that keeps a line, alike at all nodes with the same view."""
+    """Return the node that coordinates a queue, the same at all nodes with the same view."""
     return preferred_owner(f"line {zone} {service}", node_ids)
 
 
 def state_interval(nodes: int) -> float:
-    """Seconds between two states of a node where a zone has so many."""
+    """Return the seconds between two reports of a node in a zone of so many nodes."""
     return max(MIN_STATE_INTERVAL, nodes / STATES_PER_SECOND)
 
 
@@ -95,25 +102,25 @@
     """A request that waits at a node."""
 
     number: int
-    """By which that node knows it."""
+    """Number of the request, unique at its node."""
     place: QueuePosition
 
 
 @dataclass(frozen=True, slots=True)
 class QueueState:
-    """Those that wait at one node for one service, the first in order."""
+    """Report of the requests that wait at one node for one service, the first in order."""
 
     service: int
-    """Its hash."""
+    """Hash of the service."""
     node_id: str
     incarnation: int
     number: int
     last_grant: int
-    """Number of the last grant that this node has taken in."""
+    """Number of the last grant that the node has received."""
     waiting: tuple[WaitingRequest, ...] = ()
 
     def pack(self) -> bytes:
-        """For the wire."""
+        """Encode the report."""
         node = self.node_id.encode()[:0xFF]
         told = self.waiting[:MAX_REPORTED]
         head = _STATE.pack(
@@ -128,18 +135,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What a keeper tells a node in answer."""
+    """A coordinator's answer to a node's report."""
 
     service: int
     number: int
-    """Of this grant; larger ones are newer."""
+    """Number of the grant; a larger one is newer."""
     granted: tuple[int, ...] = ()
-    """Numbers of the requests that may start; those told before are among them until taken."""
+    """Numbers of the requests that may start, including earlier grants that the node has not yet
+    acknowledged."""
     ahead: tuple[tuple[int, int], ...] = ()
-    """Numbers of others that wait there, and how many requests go before each."""
+    """Numbers of the node's other waiting requests, each with the number of requests ahead of
+    it."""
 
     def pack(self) -> bytes:
-        """For the wire."""
+        """Encode the answer."""
         granted, ahead = self.granted[:0xFF], self.ahead[:MAX_REPORTED]
         head = _GRANT.pack(self.service, self.number, len(granted), len(ahead))
         numbers = b"".join(map(_NUMBER.pack, granted))
@@ -147,14 +156,14 @@
 
 
 class QueueMessageError(ValueError):
-    """Bytes that are no state, or no grant."""
+    """A report or an answer is malformed."""
 
 
 def unpack_state(data: bytes) -> QueueState:
-    """Undo `State.pack`.
+    """Decode the bytes from `QueueState.pack`.
 
     Raises:
-        LineMessageError: they are none.
+        QueueMessageError: the bytes are malformed.
     """
     try:
         service, incarnation, number, taken, length, count = _STATE.unpack_from(data)
@@ -174,10 +183,10 @@
 
 
 def unpack_grant(data: bytes) -> Grant:
-    """Undo `Grant.pack`.
+    """Decode the bytes from `Grant.pack`.
 
     Raises:
-        LineMessageError: they are none.
+        QueueMessageError: the bytes are malformed.
     """
     try:
         service, number, granted, ahead = _GRANT.unpack_from(data)
@@ -192,7 +201,7 @@
 
 @dataclass(slots=True)
 class _Given:
-    """A grant that no report has shown yet."""
+    """A grant that no report accounts for yet."""
 
     request: int
     grant: int
@@ -200,22 +209,22 @@
 
 
 _Key = tuple[tuple[int, int], float, str, int]
-"""Rank, tag, node and number of a request: plain tuples, since a keeper sorts all that wait for
-each answer, and places take ten times as long to compare."""
+"""Rank, tag, node and number of a request. These are plain tuples, because a coordinator sorts all
+waiting requests for each answer, and `QueuePosition` takes ten times as long to compare."""
 
 
 @dataclass(slots=True)
 class _Member:
-    """What the keeper knows of one node."""
+    """State of one node at the coordinator."""
 
     state: QueueState
     heard_at: float
     given: list[_Given] = field(default_factory=list)
     open: list[_Key] = field(default_factory=list)
-    """Those that wait without a grant."""
+    """Requests that wait without a grant."""
 
     def update(self) -> None:
-        """Find out who waits without a grant."""
+        """Recompute which requests wait without a grant."""
         given = {one.request for one in self.given}
         self.open = [
             (one.place.rank, one.place.tag, self.state.node_id, one.number)
@@ -225,19 +234,21 @@
 
 
 class QueueCoordinator:
-    """The line of one service, at the node that keeps it. Times are monotonic seconds."""
+    """The queue of one service at its coordinator; times are monotonic seconds."""
 
     def __init__(self, service: int, first_grant: int) -> None:
-        """Know of nobody; `first_grant` is larger than any number that this node gave before."""
+        """Start with an empty queue; `first_grant` must be above all grant numbers that this node
+        has used before."""
         self._service = service
         self._members: dict[str, _Member] = {}
         self._grants = first_grant
 
     def receive(self, state: QueueState, now: float) -> bool:
-        """Take in who waits at a node; returns whether it is newer than what was known."""
+        """Receive a node's report; return whether it is newer than the one known."""
         known = self._members.get(state.node_id)
         if self._grants < state.last_grant <= MAX_ADOPTED_GRANT:
-            # Another keeper's: this one's must be larger, else they would count as taken unseen.
+            # The number comes from another coordinator. Numbers of this one must be larger, else
+            # its grants would count as received before the node has seen them.
             self._grants = state.last_grant
         if known is None:
             known = self._members[state.node_id] = _Member(state, now)
@@ -249,13 +260,14 @@
         if not same_life:
             known.given = []
         known.state, known.heard_at = state, now
-        # A report that shows what it has taken goes before each state.
+        # The node's load report, which shows the grants it has used, goes out before each of these
+        # reports.
         known.given = [one for one in known.given if one.grant > state.last_grant]
         known.update()
         return True
 
     def expire(self, now: float, nodes: int) -> None:
-        """Drop what is too old, in a zone of so many nodes."""
+        """Drop reports and grants that have expired, in a zone of so many nodes."""
         oldest = now - max(STATE_TIME, 2 * state_interval(nodes))
         self._members = {
             node_id: one for node_id, one in self._members.items() if one.heard_at > oldest
@@ -267,16 +279,16 @@
 
     @property
     def has_waiting(self) -> bool:
-        """Whether anybody waits."""
+        """Whether any request waits."""
         return any(one.state.waiting for one in self._members.values())
 
     @property
     def outstanding(self) -> int:
-        """Grants that count as taken though no report shows them."""
+        """Number of grants counted as used that no report accounts for yet."""
         return sum(len(one.given) for one in self._members.values())
 
     def order(self) -> list[_Key]:
-        """Those that wait without a grant, the first one first."""
+        """Return the requests that wait without a grant, the first one first."""
         keys: list[_Key] = []
         for member in self._members.values():
             keys += member.open
@@ -284,10 +296,10 @@
         return keys
 
     def grant(self, free: int, now: float) -> set[str]:
-        """Grant free places in order; returns the nodes that got some.
+        """Grant free slots in order; return the nodes that got some.
 
         Args:
-            free: Places at engines, those granted before not taken off.
+            free: Free slots at engines, outstanding grants not subtracted.
             now: Monotonic seconds.
         """
         left = free - self.outstanding
@@ -303,7 +315,8 @@
         return nodes
 
     def answers(self, node_ids: Collection[str]) -> dict[str, Grant]:
-        """What to tell some nodes: their grants that they have not taken in, and who is before."""
+        """Return the answers to some nodes: their unacknowledged grants, and the requests ahead of
+        the others."""
         if not node_ids:
             return {}
         order = self.order()
@@ -317,5 +330,5 @@
 
 
 def first_waiting(waiting: Sequence[tuple[int, QueuePosition]]) -> tuple[WaitingRequest, ...]:
-    """What a node tells of those that wait there, given in its order."""
+    """Return the part of a node's waiting requests that it reports, given in its order."""
     return tuple(WaitingRequest(number, place) for number, place in waiting[:MAX_REPORTED])
--- a/postvalve/core/serving/__init__.py
+++ b/postvalve/core/serving/__init__.py
@@ -1,1 +1,1 @@
-"""What a node keeps for those who read and write slowly, and whom it gives up."""
+"""Buffers for slow clients, and limits on slow transfers."""
--- a/postvalve/core/serving/client_buffer.py
+++ b/postvalve/core/serving/client_buffer.py
@@ -1,7 +1,7 @@
-"""What a node holds for slow clients: one budget for all, a bounded store for each stream.
+"""Event buffers of slow clients: a bounded buffer for each stream, and one memory budget for all.
 
-Bytes count from when they are held until the client has taken them. Whoever holds nothing keeps up,
-and is never given up for others.
+Bytes count from when they are buffered until the client has received them. A client for which
+nothing is buffered keeps up, and is never dropped for the sake of others.
 """
 
 from __future__ import annotations
@@ -13,85 +13,87 @@
 from postvalve.exceptions import PostvalveError
 
 BUDGET_SHARE = 1 / 16
-"""Share of a machine's memory held for slow clients. A node at rest takes nearly three quarters of
-the smallest machines, and requests under way want most of what is left."""
+"""Fraction of a machine's memory that may be buffered for slow clients. An idle node uses nearly
+three quarters of the smallest machines, and requests in flight need most of the rest."""
 DEFAULT_MACHINE_MB = 256.0
-"""Memory reckoned with where the settings don't tell a machine's."""
+"""Memory size assumed if the settings do not give the machine's."""
 STREAM_SHARE = 1 / 4
-"""Share of the budget that one stream may hold, so that one client doesn't use it up."""
+"""Fraction of the budget that one stream may use, so that one client cannot exhaust it."""
 EVENT_OVERHEAD = 56
-"""Bytes that an event takes beside its own: the object's head, its place in the store, and what the
-allocator rounds up. Events of a token are shorter than this."""
+"""Memory that an event takes beside its bytes: the object's header, its entry in the buffer, and
+the allocator's rounding. Events of a single token are shorter than this."""
 MAX_BACKPRESSURE = 2.0
-"""Seconds for which a full store may keep an engine's answer waiting, all its waits together.
-Engines cut answers off that lie unread for some seconds, and a slot is held meanwhile."""
+"""Total seconds for which a full buffer may block reading from the engine. Engines drop answers
+that stay unread for some seconds, and a slot is occupied meanwhile."""
 
 
 def slow_client_bytes(memory_mb: float | None) -> int:
-    """The budget of a node on a machine with so many MB."""
+    """Return the budget in bytes of a node on a machine with so many MB."""
     return int((memory_mb or DEFAULT_MACHINE_MB) * 1e6 * BUDGET_SHARE)
 
 
 class CutCause(enum.StrEnum):
-    """Why a slow client is given up."""
+    """Why a slow client was dropped."""
 
     MEMORY_SHORT = "memory_short"
-    """The budget was used up, and the client held most for longest."""
+    """The budget was exhausted, and the client used the most memory for the longest time."""
     STORE_FULL = "store_full"
-    """Its own store was full for too long."""
+    """The client's own buffer was full for too long."""
 
 
 @dataclass(slots=True, eq=False)
 class BufferAccount:
-    """What is held for one connection."""
+    """Memory used for one connection."""
 
     tenant: str
-    """Whose it is; empty where that isn't known."""
+    """Name of the tenant; empty if it is unknown."""
     size: int = 0
-    """Bytes."""
+    """Buffered bytes."""
     cause: CutCause | None = None
-    """Why it was given up, if it was."""
+    """Why the client was dropped; None if it was not."""
     _byte_seconds: float = 0.0
     _told_at: float = 0.0
 
     def change(self, size: int, now: float) -> None:
-        """Hold `size` bytes more, or less."""
+        """Change the buffered bytes by `size`, which may be negative."""
         self._byte_seconds = self.byte_seconds(now)
         self._told_at = now
         self.size += size
         if not self.size:
-            # It has caught up.
+            # The client has caught up.
             self._byte_seconds = 0.0
 
     def byte_seconds(self, now: float) -> float:
-        """How much for how long, since it last held nothing."""
+        """Return the integral of buffered bytes over time since the buffer was last empty."""
         return self._byte_seconds + self.size * (now - self._told_at)
 
 
 class MemoryBudget:
-    """Bytes that a node holds for all its slow clients."""
+    """Memory budget of a node for all its slow clients."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        """Bytes."""
+        """Limit in bytes."""
         self.stream_share = STREAM_SHARE
         self.held = 0
-        """Bytes; never above the limit."""
+        """Buffered bytes, never above the limit."""
         self._holdings: dict[BufferAccount, None] = {}
 
     @property
     def stream_limit(self) -> int:
-        """Bytes that one stream may hold."""
+        """Bytes that may be buffered for one stream."""
         return int(self.limit * self.stream_share)
 
     def holdings(self) -> list[BufferAccount]:
-        """Whoever something is held for."""
+        """Return the accounts for which something is buffered."""
         return list(self._holdings)
 
     def take(self, holding: BufferAccount, size: int, now: float) -> list[BufferAccount]:
-        """Hold `size` bytes more; returns who is given up for it, `holding` itself perhaps.
+        """Reserve `size` bytes; return the accounts dropped for it, which may include `holding`
+        itself.
 
-        What those held counts no more. Nothing is added to one that was given up.
+        Bytes of dropped accounts are released at once. Nothing is reserved for an account that is
+        dropped.
         """
         given_up: list[BufferAccount] = []
         if holding.cause is None and holding.size + size > self.limit:
@@ -103,17 +105,17 @@
         return given_up
 
     def give(self, holding: BufferAccount, size: int, now: float) -> None:
-        """Hold `size` bytes less; nothing is held any more for one that was given up."""
+        """Return `size` bytes to the budget; no effect for a dropped account."""
         if holding.cause is None:
             self._change(holding, -size, now)
 
     def cut(self, holding: BufferAccount, cause: CutCause) -> None:
-        """Give a holding up."""
+        """Drop an account and release its bytes."""
         self.release(holding)
         holding.cause = cause
 
     def release(self, holding: BufferAccount) -> None:
-        """Hold nothing for it any more."""
+        """Release all bytes of an account."""
         self.held -= holding.size
         holding.size = 0
         self._holdings.pop(holding, None)
@@ -131,10 +133,12 @@
         return holding
 
     def _worst(self, asking: BufferAccount, size: int, now: float) -> BufferAccount:
-        """Of the tenant that holds most, who holds most for longest.
+        """Return the account with the most memory over time, from the tenant that uses the most
+        memory.
 
-        Tenants count alike: it is for engines' time that they agree on rates. The bytes asked for
-        count as the asker's, so that it doesn't push others out from above its own share.
+        Tenants are equal here, since their agreed rates concern engine time, not memory. The
+        requested bytes count for the account that asks, so that it cannot displace others by
+        exceeding its own share.
         """
         by_tenant: dict[str, int] = defaultdict(int)
         for one in self._holdings:
@@ -147,7 +151,7 @@
 
 
 class EventBuffer:
-    """Events of one stream that its client hasn't taken yet, in order, and how the stream ended."""
+    """Buffered events of one stream, in order, and how the stream ended."""
 
     def __init__(self, budget: MemoryBudget, holding: BufferAccount) -> None:
         self.holding = holding
@@ -156,14 +160,14 @@
         self._held_back = 0.0
         self._full_since: float | None = None
         self.ended = False
-        """Whether nothing more will come."""
+        """Whether no more events will come."""
         self.error: PostvalveError | None = None
-        """What ended the stream before its end."""
+        """The error that cut the stream off; None if it was not."""
 
     def max_wait(self, size: int, now: float) -> float:
-        """Seconds for which an event of `size` bytes must wait for room, at the most.
+        """Return how many seconds at most an event of `size` bytes must wait for room.
 
-        None are left, and the store is given up, when the client has been too slow for too long.
+        If the client has been too slow for too long, the result is 0 and the client is dropped.
         """
         held, wanted = self.holding.size, size + EVENT_OVERHEAD
         full = held > 0 and held + wanted > self._budget.stream_limit
@@ -178,28 +182,29 @@
         return max(0.0, left)
 
     def put(self, event: bytes, now: float) -> list[BufferAccount]:
-        """Keep an event; returns who is given up for it, this store's own holding perhaps."""
+        """Append an event; return the accounts dropped for it, which may include this buffer's
+        own."""
         given_up = self._budget.take(self.holding, len(event) + EVENT_OVERHEAD, now)
         if self.holding.cause is None:
             self._events.append(event)
         return given_up
 
     def first(self) -> bytes:
-        """The event that the client gets next, or nothing."""
+        """Return the event to send next; empty if there is none."""
         return self._events[0] if self._events and self.holding.cause is None else b""
 
     def pop_first(self, now: float) -> None:
-        """The client has taken it."""
+        """Remove the first event, which the client has received."""
         if self._events:
             size = len(self._events.popleft()) + EVENT_OVERHEAD
             self._budget.give(self.holding, size, now)
 
     def end(self, error: PostvalveError | None) -> None:
-        """Nothing more comes; what is kept is still given out."""
+        """Mark the end of the stream; buffered events are still sent."""
         self.ended = True
         self.error = error
 
     def close(self) -> None:
-        """Keep nothing any more."""
+        """Drop all events and release their bytes."""
         self._events.clear()
         self._budget.release(self.holding)
--- a/postvalve/core/serving/transfer_rate.py
+++ b/postvalve/core/serving/transfer_rate.py
@@ -1,27 +1,31 @@
-"""How slowly somebody may send, or take, what must come in time."""
+"""Enforcement of a minimum rate on transfers to or from slow peers."""
 
 from __future__ import annotations
 
 
 class MinTransferRate:
-    """Whether a transfer keeps up with the slowest pace allowed.
+    """Checks whether a transfer keeps up with a minimum rate.
 
-    It may fall behind by a stated time, and what went early is no credit for later: else somebody
-    could send much at once and trickle the rest for long.
+    It may fall behind by a fixed time. Bytes sent early give no credit for later; otherwise a peer
+    could send much at once and then trickle the rest for a long time.
     """
 
     def __init__(self, rate: float, allowance: float, now: float) -> None:
-        """Bytes a second, seconds that it may fall behind, and the time at which it begins."""
+        """Start at `now` with a minimum rate in bytes per second and the seconds that it may fall
+        behind."""
         self._rate = rate
         self._allowance = allowance
         self._left = allowance
         self._told_at = now
 
     def record(self, size: int, now: float) -> None:
-        """So many bytes went over."""
+        """Record that `size` bytes were transferred."""
         self._left = min(self._allowance, self.seconds_left(now) + size / self._rate)
         self._told_at = now
 
     def seconds_left(self, now: float) -> float:
-        """Seconds until it is too slow if nothing goes over; 0 or less: it is."""
+        """Return the seconds until the transfer is too slow if nothing more is transferred.
+
+        At 0 or less it is too slow.
+        """
         return self._left - (now - self._told_at)
