--- a/postvalve/core/routing/pace_gossip.py
+++ b/postvalve/core/routing/pace_gossip.py
@@ -184,7 +184,7 @@
     (count,) = _LIVES.unpack_from(data)
     end = _LIVES.size + count * _LIFE.size
     if len(data) < end or (len(data) - end) % _READING.size:
-        raise struct.error("part of engines' pace is cut")
+        raise struct.error("engine pace part is truncated")
     lives = tuple(_life(fields, now) for fields in _LIFE.iter_unpack(data[_LIVES.size : end]))
     readings = tuple(
         (life, math.exp(value * _VALUE_UNIT), now - age * _READING_AGE_UNIT)
--- a/postvalve/core/scheduling/zone_queue.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -170,10 +170,10 @@
         start = _STATE.size + length
         node = data[_STATE.size : start].decode()
         if len(data) != start + count * _ENTRY.size:
-            raise QueueMessageError("a state of a wrong length")
+            raise QueueMessageError("queue state has a wrong length")
         entries = _ENTRY.iter_unpack(data[start:])
     except (struct.error, UnicodeDecodeError) as exc:
-        raise QueueMessageError(f"no state: {exc}") from exc
+        raise QueueMessageError(f"malformed queue state: {exc}") from exc
     waiting = tuple(
         WaitingRequest(one, QueuePosition((own, route), tag))
         for one, own, route, tag in entries
@@ -191,10 +191,10 @@
     try:
         service, number, granted, ahead = _GRANT.unpack_from(data)
     except struct.error as exc:
-        raise QueueMessageError(f"no grant: {exc}") from exc
+        raise QueueMessageError(f"malformed grant: {exc}") from exc
     middle = _GRANT.size + granted * _NUMBER.size
     if len(data) != middle + ahead * _AHEAD.size:
-        raise QueueMessageError("a grant of a wrong length")
+        raise QueueMessageError("grant has a wrong length")
     numbers = tuple(one for (one,) in _NUMBER.iter_unpack(data[_GRANT.size : middle]))
     return Grant(service, number, numbers, tuple(_AHEAD.iter_unpack(data[middle:])))
 
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -259,7 +259,7 @@
     def test_refused_requests_of_long_work_get_back_no_more_than_they_cost(self):
         self.enter(1000.0)
         for _ in range(5):
-            self.enter(1000.0).end()
+            self.enter(1000.0).settle()
         self.assertGreaterEqual(self.enter(1.0).tag, INITIAL_TIME + MAX_COST)
 
     def take(self, cost, seconds):
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -381,10 +381,10 @@
                 self.online = 7
 
         self.room.zone_queue = mock.Mock(
-            stands=lambda service: False,
-            granted=lambda service, number: False,
-            ahead=lambda service, number: None,
-            show=show,
+            is_coordinated=lambda service: False,
+            is_granted=lambda service, number: False,
+            requests_ahead=lambda service, number: None,
+            update_waiting=show,
         )
         self.send("first", 1.0)
         self.online = 7
