--- a/postvalve/core/configuration/history.py
+++ b/postvalve/core/configuration/history.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(self) -> None:
-        self._decided = NO_REVISION
+        self._revision_in_force = NO_REVISION
         self._newest: Revision | None = None
         self._outcomes: dict[str, ChangeOutcome] = {}
 
@@ -67,12 +67,10 @@
         if not isinstance(change, records.ConfigurationChange):
             return ChangeOutcome.IGNORED
         outcome = ChangeOutcome.CONFLICT
-        if change.base_revision == self._decided:
+        if change.base_revision == self._revision_in_force:
             outcome = ChangeOutcome.ACCEPTED
-            self._decided = offset
-            self._move_forward(
-                Revision(offset, change.document, change.author, change.written_at_ms)
-            )
+            self._revision_in_force = offset
+            self._advance(Revision(offset, change.document, change.author, change.written_at_ms))
         self._outcomes[record.record_id] = outcome
         return outcome
 
@@ -83,9 +81,9 @@
 
     def adopt(self, revision: Revision) -> bool:
         """Take over a revision from a peer; return whether it was newer than the known one."""
-        return self._move_forward(revision)
+        return self._advance(revision)
 
-    def _move_forward(self, revision: Revision) -> bool:
+    def _advance(self, revision: Revision) -> bool:
         if revision.number <= self.newest_number:
             return False
         self._newest = revision
--- a/postvalve/core/configuration/resolution.py
+++ b/postvalve/core/configuration/resolution.py
@@ -53,31 +53,31 @@
 ) -> list[LimitSpec]:
     """Return the limit rules that match both the tenant and the workload, in order of
     precedence."""
-    covering = [
+    matching = [
         rule
         for rule in configuration.limits
         if compiled_selector(rule.tenants).matches(tenant_labels(tenant))
         and compiled_selector(rule.workloads).matches(workload_labels(workload))
     ]
-    return _by_precedence(covering)
+    return _by_precedence(matching)
 
 
 def matching_pools(
     configuration: FleetConfiguration, engine_labels: Mapping[str, str]
 ) -> list[PoolSpec]:
     """Return the pools whose selector matches the engine's labels, in order of precedence."""
-    covering = [
+    matching = [
         pool
         for pool in configuration.pools
         if compiled_selector(pool.engines).matches(engine_labels)
     ]
-    return _by_precedence(covering)
+    return _by_precedence(matching)
 
 
 def pool_serves(pool: PoolSpec, tenant: TenantSpec, model: str) -> bool:
     """Return whether the pool's engines accept this tenant's requests for the model."""
-    covered = compiled_selector(pool.tenants).matches(tenant_labels(tenant))
-    return covered and model.partition(":")[0] in pool.models
+    permitted = compiled_selector(pool.tenants).matches(tenant_labels(tenant))
+    return permitted and model.partition(":")[0] in pool.models
 
 
 def resolve_workload(
--- a/postvalve/core/placement/plan.py
+++ b/postvalve/core/placement/plan.py
@@ -50,10 +50,10 @@
 ) -> PlacementSpec | None:
     """Return the placement rule of an engine: the highest precedence wins, then the first in the
     document."""
-    covering = [
+    matching = [
         rule for rule in configuration.placements if compiled_selector(rule.engines).matches(labels)
     ]
-    return max(covering, key=lambda rule: rule.precedence, default=None)
+    return max(matching, key=lambda rule: rule.precedence, default=None)
 
 
 def desired_models(configuration: FleetConfiguration, rule: PlacementSpec) -> dict[str, str]:
@@ -81,12 +81,12 @@
             for engine in engines
             if placement_of(configuration, engine.labels) is rule and dict(engine.models) != desired
         ]
-        for engine in _choose(changing, desired, serving, rule.max_unavailable):
+        for engine in _select_engines(changing, desired, serving, rule.max_unavailable):
             orders += _orders_for(engine, desired)
     return orders
 
 
-def _choose(
+def _select_engines(
     changing: Sequence[EngineView],
     desired: Mapping[str, str],
     serving: list[EngineView],
@@ -95,20 +95,24 @@
     """Return the engines to change now, and remove them from `serving`."""
     chosen: list[EngineView] = []
     # Engines that are already changing, or that hold no models, come first: they cost no capacity.
-    for engine in sorted(changing, key=lambda one: (one.serving, bool(one.models), one.engine_id)):
+    for engine in sorted(
+        changing, key=lambda other: (other.serving, bool(other.models), other.engine_id)
+    ):
         if len(chosen) == max_unavailable:
             break
-        others = [one for one in serving if one.engine_id != engine.engine_id]
-        if engine.serving and _is_last(engine, desired, others):
+        others = [other for other in serving if other.engine_id != engine.engine_id]
+        if engine.serving and _is_last_holder(engine, desired, others):
             continue
         chosen.append(engine)
         serving[:] = others
     return chosen
 
 
-def _is_last(engine: EngineView, desired: Mapping[str, str], others: Sequence[EngineView]) -> bool:
+def _is_last_holder(
+    engine: EngineView, desired: Mapping[str, str], others: Sequence[EngineView]
+) -> bool:
     changed = {model for model, version in engine.models.items() if desired.get(model) != version}
-    return any(not any(model in one.models for one in others) for model in changed)
+    return any(not any(model in other.models for other in others) for model in changed)
 
 
 def _orders_for(engine: EngineView, desired: Mapping[str, str]) -> list[EngineOrder]:
--- a/postvalve/core/routing/connect_timeout.py
+++ b/postvalve/core/routing/connect_timeout.py
@@ -32,9 +32,9 @@
         """Record how many seconds the set-up of a connection took."""
         self._seconds.append(seconds)
 
-    def seconds(self, most: float) -> float:
-        """Return the time-out in seconds, at most `most`; `most` itself while there are too few
+    def seconds(self, maximum: float) -> float:
+        """Return the time-out in seconds, at most `maximum`; `maximum` itself while there are too few
         samples."""
         if len(self._seconds) < MIN_SAMPLES:
-            return most
-        return min(most, max(MIN_TIMEOUT, TIMEOUT_MULTIPLE * max(self._seconds)))
+            return maximum
+        return min(maximum, max(MIN_TIMEOUT, TIMEOUT_MULTIPLE * max(self._seconds)))
--- a/postvalve/core/routing/engine_choice.py
+++ b/postvalve/core/routing/engine_choice.py
@@ -121,24 +121,30 @@
             shared_tokens: Tokens of the shared prefix.
             own: Engines that this node watches; it is told first what other nodes send there.
         """
-        holder = self._holder(options, prefix_key) if shared_tokens >= AFFINITY_TOKENS else None
+        holder = (
+            self._prefix_holder(options, prefix_key) if shared_tokens >= AFFINITY_TOKENS else None
+        )
         choices = []
-        for option in self._drawn(options, holder, own):
-            read = holder is None or option.life == holder
-            unread = 0 if read else shared_tokens
+        for option in self._sample(options, holder, own):
+            has_prefix = holder is None or option.life == holder
+            unread = 0 if has_prefix else shared_tokens
             cost = unread + self._cost(option) - (OWN_ENGINE_TOKENS if option.life in own else 0)
             choices.append(EngineChoice(option, unread, cost))
-        return min(choices, key=lambda one: one.cost)
+        return min(choices, key=lambda candidate: candidate.cost)
 
-    def _drawn(
+    def _sample(
         self, options: Sequence[EngineOption], holder: str | None, own: Container[EngineLife]
     ) -> list[EngineOption]:
-        near = [one for one in options if one.zone == self._zone]
-        far = [one for one in options if one.zone != self._zone]
+        local = [candidate for candidate in options if candidate.zone == self._zone]
+        remote = [candidate for candidate in options if candidate.zone != self._zone]
         return [
-            *self._random.sample(near, min(SAMPLE_SIZE, len(near))),
-            *self._random.sample(far, min(SAMPLE_SIZE, len(far))),
-            *(one for one in options if one.life == holder or one.life in own),
+            *self._random.sample(local, min(SAMPLE_SIZE, len(local))),
+            *self._random.sample(remote, min(SAMPLE_SIZE, len(remote))),
+            *(
+                candidate
+                for candidate in options
+                if candidate.life == holder or candidate.life in own
+            ),
         ]
 
     def _cost(self, option: EngineOption) -> float:
@@ -158,8 +164,8 @@
             cost += QUEUED_REQUEST_TOKENS + option.memory_short
         return cost + QUEUED_REQUEST_TOKENS * max(0, option.online - option.slots + 1)
 
-    def _holder(self, options: Sequence[EngineOption], prefix_key: str) -> str | None:
+    def _prefix_holder(self, options: Sequence[EngineOption], prefix_key: str) -> str | None:
         """Return the engine that probably holds the shared prefix; the same at all nodes of a
         zone."""
-        near = [one.life for one in options if one.zone == self._zone]
-        return preferred_owner(prefix_key, near or [one.life for one in options])
+        local = [candidate.life for candidate in options if candidate.zone == self._zone]
+        return preferred_owner(prefix_key, local or [candidate.life for candidate in options])
--- a/postvalve/core/routing/engine_load.py
+++ b/postvalve/core/routing/engine_load.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class _Pairs:
+class _MeanSquare:
     """Decaying mean of squared differences between readings."""
 
     weight: float = 0.0
@@ -94,8 +94,8 @@
 
     def __init__(self) -> None:
         self._readings: dict[int, PaceReading] = {}
-        self._pairs = [_Pairs() for _ in range(AGE_CLASSES)]
-        self._spread = _Pairs()
+        self._differences = [_MeanSquare() for _ in range(AGE_CLASSES)]
+        self._deviations = _MeanSquare()
         """Squared deviations of readings from each engine's average."""
 
     @property
@@ -119,10 +119,10 @@
             return True
         if at <= last.at:
             return False
-        group = _age_class(at - last.at)
-        if group < AGE_CLASSES:
-            self._pairs[group].add(value - last.value)
-        self._spread.add(value - last.baseline)
+        age_class = _age_class(at - last.at)
+        if age_class < AGE_CLASSES:
+            self._differences[age_class].add(value - last.value)
+        self._deviations.add(value - last.baseline)
         last.at, last.value, last.peer = at, value, peer
         last.baseline += BASELINE_WEIGHT * (value - last.baseline)
         return True
@@ -133,12 +133,12 @@
         This is the autocorrelation of readings. An age class with too few pairs uses the next older
         class that has enough, so a reading is never used for longer than the data support.
         """
-        variance = self._spread.mean
-        if self._spread.weight < MIN_PAIRS or variance < MIN_VARIANCE:
+        variance = self._deviations.mean
+        if self._deviations.weight < MIN_PAIRS or variance < MIN_VARIANCE:
             return 0.0
-        for group in range(_age_class(max(0.0, age)), AGE_CLASSES):
-            if self._pairs[group].weight >= MIN_PAIRS:
-                return min(1.0, max(0.0, 1.0 - self._pairs[group].mean / (2 * variance)))
+        for age_class in range(_age_class(max(0.0, age)), AGE_CLASSES):
+            if self._differences[age_class].weight >= MIN_PAIRS:
+                return min(1.0, max(0.0, 1.0 - self._differences[age_class].mean / (2 * variance)))
         return 0.0
 
     def factor(self, life: int, now: float) -> float:
@@ -151,7 +151,7 @@
 
     def retain(self, lives: Container[int]) -> None:
         """Drop the readings of engines that are not in `lives`."""
-        self._readings = {life: one for life, one in self._readings.items() if life in lives}
+        self._readings = {life: entry for life, entry in self._readings.items() if life in lives}
 
 
 def _age_class(age: float) -> int:
@@ -172,10 +172,10 @@
     def __init__(self) -> None:
         self._excess: dict[int, _Excess] = {}
 
-    def record(self, life: int, told: int, counted: int, now: float) -> None:
-        """Record that an engine reported `told` requests while this node counts `counted` there."""
-        if told > counted:
-            self._excess[life] = _Excess(now, told - counted)
+    def record(self, life: int, reported: int, counted: int, now: float) -> None:
+        """Record that an engine reported its number of requests while this node counts `counted` there."""
+        if reported > counted:
+            self._excess[life] = _Excess(now, reported - counted)
         else:
             self._excess.pop(life, None)
 
@@ -188,4 +188,4 @@
 
     def retain(self, lives: Container[int]) -> None:
         """Drop the corrections of engines that are not in `lives`."""
-        self._excess = {life: one for life, one in self._excess.items() if life in lives}
+        self._excess = {life: entry for life, entry in self._excess.items() if life in lives}
--- a/postvalve/core/routing/engine_pace.py
+++ b/postvalve/core/routing/engine_pace.py
@@ -95,15 +95,15 @@
     def decay(self, now: float) -> None:
         """Decay the weights to the time `now`."""
         if now > self.at:
-            left = 0.5 ** ((now - self.at) / HALF_LIFE)
-            for one in self.metrics:
-                one.weight *= left
+            remaining = 0.5 ** ((now - self.at) / HALF_LIFE)
+            for entry in self.metrics:
+                entry.weight *= remaining
             self.at = now
 
     @property
     def weight(self) -> float:
         """Weight of the metric with the most samples."""
-        return max(one.weight for one in self.metrics)
+        return max(entry.weight for entry in self.metrics)
 
 
 @dataclass(frozen=True, slots=True)
@@ -144,14 +144,14 @@
     def __init__(self) -> None:
         self._lives: dict[int, EngineLife] = {}
         self._services: dict[int, str] = {}
-        self._own: dict[int, EngineSamples] = {}
-        self._peers: dict[int, dict[str, EngineSamples]] = {}
+        self._own_samples: dict[int, EngineSamples] = {}
+        self._peer_samples: dict[int, dict[str, EngineSamples]] = {}
         """Samples received from peers, by life and the peer's name."""
         self._factors: dict[int, PaceFactors] = {}
         """Factors of the engines that differ from the others."""
-        self._newest: dict[int, float] = {}
+        self._newest_at: dict[int, float] = {}
         """Time of the newest sample of each engine from any node, in monotonic seconds."""
-        self._judged: dict[int, float] = {}
+        self._evaluated_at: dict[int, float] = {}
         """When each engine was last evaluated."""
         self._variance: dict[tuple[str, PaceMetric], float] = {}
         self._differing: set[str] = set()
@@ -162,12 +162,12 @@
         dropped."""
         self._lives = {engine_hash(life): life for life in services}
         self._services = {engine_hash(life): name for life, name in services.items()}
-        self._own = _only(self._own, self._lives)
-        self._peers = _only(self._peers, self._lives)
-        self._factors = _only(self._factors, self._lives)
-        self._newest = _only(self._newest, self._lives)
-        self._judged = _only(self._judged, self._lives)
-        self._note_services()
+        self._own_samples = _restrict(self._own_samples, self._lives)
+        self._peer_samples = _restrict(self._peer_samples, self._lives)
+        self._factors = _restrict(self._factors, self._lives)
+        self._newest_at = _restrict(self._newest_at, self._lives)
+        self._evaluated_at = _restrict(self._evaluated_at, self._lives)
+        self._update_services()
 
     def knows(self, life: int) -> bool:
         """Return whether the directory lists an engine whose life has this hash."""
@@ -186,13 +186,13 @@
         return self._factors.get(life, UNIFORM)
 
     def observe(
-        self, life: EngineLife, aspect: PaceMetric, seconds: float, expected: float, now: float
+        self, life: EngineLife, metric: PaceMetric, seconds: float, expected: float, now: float
     ) -> None:
         """Add a sample from an attempt of this node.
 
         Args:
             life: The engine.
-            aspect: What was measured.
+            metric: What was measured.
             seconds: The measured time.
             expected: The usual time at the service's engines. The sample is ignored unless both
                 times are above 0.
@@ -201,79 +201,79 @@
         key = engine_hash(life)
         if key not in self._lives or seconds <= 0 or expected <= 0:
             return
-        value = _bounded(math.log(seconds) - math.log(expected))
-        self._note_spread(key, aspect, value)
-        shown = self._own.get(key)
-        if shown is None:
-            shown = self._own[key] = EngineSamples(now, now)
-        shown.decay(now)
-        shown.newest_at = self._newest[key] = now
-        one = shown.metrics[aspect]
-        one.add(1.0, value)
-        one.weight = min(MAX_WEIGHT, one.weight)
-
-    def _note_spread(self, key: int, aspect: PaceMetric, value: float) -> None:
+        value = _clamp(math.log(seconds) - math.log(expected))
+        self._update_variance(key, metric, value)
+        samples = self._own_samples.get(key)
+        if samples is None:
+            samples = self._own_samples[key] = EngineSamples(now, now)
+        samples.decay(now)
+        samples.newest_at = self._newest_at[key] = now
+        entry = samples.metrics[metric]
+        entry.add(1.0, value)
+        entry.weight = min(MAX_WEIGHT, entry.weight)
+
+    def _update_variance(self, key: int, metric: PaceMetric, value: float) -> None:
         """Update the variance of the samples of single engines."""
-        known = self._own.get(key)
-        if known is None or known.metrics[aspect].weight <= 0:
+        known = self._own_samples.get(key)
+        if known is None or known.metrics[metric].weight <= 0:
             return
-        one = known.metrics[aspect]
+        entry = known.metrics[metric]
         # Corrects for the error of the mean, which adds to that of the sample.
-        square = (value - one.mean) ** 2 * one.weight / (one.weight + 1.0)
-        at = (self._services[key], aspect)
+        square = (value - entry.mean) ** 2 * entry.weight / (entry.weight + 1.0)
+        at = (self._services[key], metric)
         variance = self._variance.get(at, INITIAL_DEVIATION**2)
         self._variance[at] = variance + VARIANCE_WEIGHT * (square - variance)
 
-    def error(self, service: str, aspect: PaceMetric, weight: float) -> float:
+    def error(self, service: str, metric: PaceMetric, weight: float) -> float:
         """Return the standard error of the mean of samples of a given weight."""
-        variance = self._variance.get((service, aspect), INITIAL_DEVIATION**2)
+        variance = self._variance.get((service, metric), INITIAL_DEVIATION**2)
         return math.sqrt(variance / weight) if weight > 0 else math.inf
 
     # Samples from peers
 
-    def receive_samples(self, peer: str, life: int, shown: EngineSamples) -> None:
+    def receive_samples(self, peer: str, life: int, samples: EngineSamples) -> None:
         """Replace a peer's samples of an engine by newer ones."""
         if life in self._lives:
-            self._peers.setdefault(life, {})[peer] = shown
-            self._newest[life] = max(shown.newest_at, self._newest.get(life, float("-inf")))
+            self._peer_samples.setdefault(life, {})[peer] = samples
+            self._newest_at[life] = max(samples.newest_at, self._newest_at.get(life, float("-inf")))
 
     def drop_peer(self, peer: str) -> None:
         """Drop a peer's samples, because they now arrive in a zone digest. Those of a node that is
         gone need no call, they decay."""
-        for shown in self._peers.values():
-            shown.pop(peer, None)
+        for samples in self._peer_samples.values():
+            samples.pop(peer, None)
 
     def own_sample_times(self) -> Iterator[tuple[int, float]]:
         """Return the engines of which this node has samples, with the time of the newest."""
-        return ((life, shown.newest_at) for life, shown in self._own.items())
+        return ((life, samples.newest_at) for life, samples in self._own_samples.items())
 
     def sample_times(self) -> Iterator[tuple[int, float]]:
         """Return the engines of which any node has samples, with the time of the newest."""
-        return iter(self._newest.items())
+        return iter(self._newest_at.items())
 
     def own_samples(self, life: int, now: float) -> EngineSamples:
         """Return the samples from this node's attempts at an engine."""
-        return self._total(life, now, set())
+        return self._sum(life, now, set())
 
     def samples_of(self, life: int, peers: set[str], now: float) -> EngineSamples:
         """Return the samples of an engine from this node and some of its peers."""
-        return self._total(life, now, peers)
+        return self._sum(life, now, peers)
 
     def all_samples(self, life: int, now: float) -> EngineSamples:
         """Return the samples of an engine from all nodes."""
-        return self._total(life, now, None)
+        return self._sum(life, now, None)
 
-    def _total(self, life: int, now: float, names: set[str] | None) -> EngineSamples:
+    def _sum(self, life: int, now: float, names: set[str] | None) -> EngineSamples:
         total = EngineSamples(now, float("-inf"))
-        told = self._peers.get(life, {})
-        parts = [one for name, one in told.items() if names is None or name in names]
-        own = self._own.get(life)
+        by_peer = self._peer_samples.get(life, {})
+        parts = [entry for name, entry in by_peer.items() if names is None or name in names]
+        own = self._own_samples.get(life)
         for part in (*parts, own) if own is not None else parts:
             part.decay(now)
             total.newest_at = max(total.newest_at, part.newest_at)
-            for sums, one in zip(total.metrics, part.metrics, strict=True):
-                if one.weight > 0:
-                    sums.add(one.weight, one.mean)
+            for sums, entry in zip(total.metrics, part.metrics, strict=True):
+                if entry.weight > 0:
+                    sums.add(entry.weight, entry.mean)
         return total
 
     # Evaluation
@@ -282,66 +282,70 @@
         """Update which engines differ from the others; return those whose status changed."""
         changes = []
         for life in self._due():
-            self._judged[life] = now
-            self._drop_faded(life, now)
-            former = self._factors.get(life, UNIFORM)
+            self._evaluated_at[life] = now
+            self._drop_decayed(life, now)
+            previous = self._factors.get(life, UNIFORM)
             total = self.all_samples(life, now)
-            factors = self._judge(life, total, former)
+            factors = self._evaluate(life, total, previous)
             if factors == UNIFORM:
                 self._factors.pop(life, None)
             else:
                 self._factors[life] = factors
-            if (factors == UNIFORM) is not (former == UNIFORM):
+            if (factors == UNIFORM) is not (previous == UNIFORM):
                 age = max(0.0, now - total.newest_at)
                 name = self._lives[life]
                 changes.append(PaceChange(name, factors != UNIFORM, factors, total.weight, age))
-        self._note_services()
+        self._update_services()
         return changes
 
     def _due(self) -> list[int]:
         """Return the engines to evaluate now."""
         never = float("-inf")
         order = sorted(
-            (self._judged.get(life, never) >= newest, self._judged.get(life, never), life)
-            for life, newest in self._newest.items()
+            (
+                self._evaluated_at.get(life, never) >= newest,
+                self._evaluated_at.get(life, never),
+                life,
+            )
+            for life, newest in self._newest_at.items()
         )
         return [life for _, _, life in order[:MAX_EVALUATED]]
 
-    def _drop_faded(self, life: int, now: float) -> None:
-        told = self._peers.get(life, {})
-        for name, shown in list(told.items()):
-            shown.decay(now)
-            if shown.weight < NEGLIGIBLE_WEIGHT:
-                del told[name]
+    def _drop_decayed(self, life: int, now: float) -> None:
+        by_peer = self._peer_samples.get(life, {})
+        for name, samples in list(by_peer.items()):
+            samples.decay(now)
+            if samples.weight < NEGLIGIBLE_WEIGHT:
+                del by_peer[name]
 
-    def _judge(self, life: int, total: EngineSamples, former: PaceFactors) -> PaceFactors:
-        before = (former.first, former.pause, former.held)
+    def _evaluate(self, life: int, total: EngineSamples, previous: PaceFactors) -> PaceFactors:
+        before = (previous.first, previous.pause, previous.held)
         first, pause, held = (
-            self._factor(self._services[life], aspect, total.metrics[aspect], before[aspect])
-            for aspect in PaceMetric
+            self._factor(self._services[life], metric, total.metrics[metric], before[metric])
+            for metric in PaceMetric
         )
         return PaceFactors(first, pause, held)
 
     def _factor(
-        self, service: str, aspect: PaceMetric, shown: WeightedMean, before: float
+        self, service: str, metric: PaceMetric, samples: WeightedMean, before: float
     ) -> float:
-        differed = before != 1.0
-        if shown.weight < (PRIOR_WEIGHT if differed else MIN_WEIGHT):
+        was_different = before != 1.0
+        if samples.weight < (PRIOR_WEIGHT if was_different else MIN_WEIGHT):
             return 1.0
-        errors = EXIT_ERRORS if differed else ENTER_ERRORS
-        least = MIN_DIFFERENCE / 2 if differed else MIN_DIFFERENCE
-        error = self.error(service, aspect, shown.weight)
-        if abs(shown.mean) < max(least, errors * error):
+        errors = EXIT_ERRORS if was_different else ENTER_ERRORS
+        threshold = MIN_DIFFERENCE / 2 if was_different else MIN_DIFFERENCE
+        error = self.error(service, metric, samples.weight)
+        if abs(samples.mean) < max(threshold, errors * error):
             return 1.0
-        return math.exp(_bounded(shown.mean * shown.weight / (shown.weight + PRIOR_WEIGHT)))
+        return math.exp(_clamp(samples.mean * samples.weight / (samples.weight + PRIOR_WEIGHT)))
 
-    def _note_services(self) -> None:
+    def _update_services(self) -> None:
         self._differing = {self._services[life] for life in self._factors}
 
 
-def _bounded(value: float) -> float:
+def _clamp(value: float) -> float:
     return min(_LARGEST_LOG, max(-_LARGEST_LOG, value))
 
 
-def _only(by_life: dict[int, Kept], lives: Mapping[int, EngineLife]) -> dict[int, Kept]:
-    return {life: one for life, one in by_life.items() if life in lives}
+def _restrict(by_life: dict[int, Kept], lives: Mapping[int, EngineLife]) -> dict[int, Kept]:
+    return {life: entry for life, entry in by_life.items() if life in lives}
--- a/postvalve/core/routing/keyed_request.py
+++ b/postvalve/core/routing/keyed_request.py
@@ -46,10 +46,10 @@
 
     def _observe_start(self, body: records.RequestStarted) -> None:
         self.request_digest = self.request_digest or body.request_digest
-        if self.start is None or self._may_follow(body):
+        if self.start is None or self._may_replace(body):
             self.start = body
 
-    def _may_follow(self, body: records.RequestStarted) -> bool:
+    def _may_replace(self, body: records.RequestStarted) -> bool:
         # A start replaces another one only if it names it, so of two nodes that race for an
         # abandoned key, the first in offset order wins.
         assert self.start is not None
--- a/postvalve/core/routing/latency_estimate.py
+++ b/postvalve/core/routing/latency_estimate.py
@@ -30,7 +30,7 @@
     """How much longer than usual for its service the engine takes now."""
     pause_aim: float | None = None
     """Longest pause between events that callers accept, in seconds; None if no route sets one."""
-    _places: int = -1
+    _capacity: int = -1
     """Cached capacity; -1 before it is computed."""
 
     def capacity(self, pace: ServiceLatency) -> int:
@@ -38,9 +38,9 @@
         at least one."""
         if self.factors is UNIFORM or self.pause_aim is None:
             return self.slots
-        if self._places < 0:
-            self._places = capacity_within(self.slots, pace, self.factors.pause, self.pause_aim)
-        return self._places
+        if self._capacity < 0:
+            self._capacity = capacity_within(self.slots, pace, self.factors.pause, self.pause_aim)
+        return self._capacity
 
     def has_capacity(self, pace: ServiceLatency) -> bool:
         """Return whether online work leaves capacity free."""
@@ -61,47 +61,52 @@
     return 1
 
 
-def queue_delay_per_place(room: EngineOccupancy, pace: ServiceLatency) -> float:
+def queue_delay_per_place(engine: EngineOccupancy, pace: ServiceLatency) -> float:
     """Return the delay in seconds for each position in an engine's queue."""
-    return pace.queue_delay_per_place(room.capacity(pace)) * room.factors.held
+    return pace.queue_delay_per_place(engine.capacity(pace)) * engine.factors.held
 
 
-def queue_wait(room: EngineOccupancy, pace: ServiceLatency) -> float:
+def queue_wait(engine: EngineOccupancy, pace: ServiceLatency) -> float:
     """Return the seconds until an engine has a slot for one more online request."""
-    total = room.online + room.batch
-    places = room.slots if room.pause_aim is None else room.capacity(pace)
-    if total < places:
+    total = engine.online + engine.batch
+    capacity = engine.slots if engine.pause_aim is None else engine.capacity(pace)
+    if total < capacity:
         return 0.0
-    by_slots = queue_delay_per_place(room, pace)
-    if room.online < places:
-        return min(PREEMPTION_TIME, (total - places + 1) * by_slots)
-    return (room.online - places + 1) * by_slots
+    delay = queue_delay_per_place(engine, pace)
+    if engine.online < capacity:
+        return min(PREEMPTION_TIME, (total - capacity + 1) * delay)
+    return (engine.online - capacity + 1) * delay
 
 
-def expected_first_event(room: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
+def expected_first_event(engine: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
     """Return the seconds to the first event of a request with so many prompt tokens."""
-    return queue_wait(room, pace) + pace.first_event(room.unread + tokens) * room.factors.first
+    return (
+        queue_wait(engine, pace) + pace.first_event(engine.unread + tokens) * engine.factors.first
+    )
 
 
 def expected_in_time(
-    rooms: Iterable[EngineOccupancy], tokens: int, pace: ServiceLatency, left: float
+    engines: Iterable[EngineOccupancy], tokens: int, pace: ServiceLatency, time_left: float
 ) -> Iterator[bool]:
-    """Yield for each engine whether a request's first event is expected within `left` seconds."""
+    """Yield for each engine whether a request's first event is expected within `time_left` seconds."""
     known, margin = pace.known, pace.margin
-    return (known and expected_first_event(room, tokens, pace) + margin <= left for room in rooms)
+    return (
+        known and expected_first_event(engine, tokens, pace) + margin <= time_left
+        for engine in engines
+    )
 
 
-def any_has_capacity(rooms: Iterable[EngineOccupancy], pace: ServiceLatency) -> bool:
+def any_has_capacity(engines: Iterable[EngineOccupancy], pace: ServiceLatency) -> bool:
     """Return whether online work leaves capacity free at any engine."""
-    return any(room.has_capacity(pace) for room in rooms)
+    return any(engine.has_capacity(pace) for engine in engines)
 
 
-def least_loaded(rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> EngineOccupancy:
+def least_loaded(engines: Sequence[EngineOccupancy], pace: ServiceLatency) -> EngineOccupancy:
     """Return the engine with the least online work relative to its capacity."""
-    return min(rooms, key=lambda room: room.online / max(1, room.capacity(pace)))
+    return min(engines, key=lambda engine: engine.online / max(1, engine.capacity(pace)))
 
 
-def queue_penalty(room: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
+def queue_penalty(engine: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
     """Return how much worse an engine is than a uniform one of the same load, in queue positions.
 
     This adds up how much longer the request waits for its first event, and how much longer the next
@@ -110,14 +115,14 @@
     other reasons to choose another engine. It is 0 for a uniform engine, and negative for a faster
     one.
     """
-    if room.factors is UNIFORM or not pace.known:
+    if engine.factors is UNIFORM or not pace.known:
         return 0.0
-    even = EngineOccupancy(room.slots, room.online, room.batch, room.unread)
-    step = pace.queue_delay_per_place(room.slots)
+    uniform = EngineOccupancy(engine.slots, engine.online, engine.batch, engine.unread)
+    step = pace.queue_delay_per_place(engine.slots)
     if step <= 0:
         return 0.0
-    own = (
-        expected_first_event(room, tokens, pace) - expected_first_event(even, tokens, pace)
+    extra = (
+        expected_first_event(engine, tokens, pace) - expected_first_event(uniform, tokens, pace)
     ) / step
-    load = min(1.0, (room.online + room.batch) / room.slots)
-    return own + (room.factors.held - 1.0) * load
+    load = min(1.0, (engine.online + engine.batch) / engine.slots)
+    return extra + (engine.factors.held - 1.0) * load
--- a/postvalve/core/routing/pace_gossip.py
+++ b/postvalve/core/routing/pace_gossip.py
@@ -63,15 +63,15 @@
     _readings_allowance: float = 0.0
     """Bytes of readings that may be sent now. The allowances are separate, because readings arrive
     all the time and would leave no room for samples."""
-    _at: float = float("-inf")
-    _told: dict[int, float] = field(default_factory=dict)
+    _updated_at: float = float("-inf")
+    _sent_at: dict[int, float] = field(default_factory=dict)
     """When the samples of each engine were last sent."""
-    _told_readings: dict[int, PaceReading] = field(default_factory=dict)
+    _sent_readings: dict[int, PaceReading] = field(default_factory=dict)
 
     def next_part(
         self,
         lives: Iterable[tuple[int, float]],
-        shown: Callable[[int], EngineSamples],
+        samples: Callable[[int], EngineSamples],
         readings: Iterable[tuple[int, PaceReading]],
         sources: int,
         now: float,
@@ -81,21 +81,21 @@
         Args:
             lives: Hash of each engine of which there are samples, with the time of the newest;
                 consumed only if a part has room for one.
-            shown: Returns the samples of an engine.
+            samples: Returns the samples of an engine.
             readings: Hash of each engine that reported its pace, with the latest reading; consumed
                 only if a part has room for one.
             sources: Number of nodes, or zones, from which each peer receives such parts.
             now: Monotonic seconds.
         """
-        elapsed = min(1.0, now - self._at)
-        self._at = now
-        more = elapsed * MAX_RECEIVE_RATE / max(1, sources) / 2
-        self._lives_allowance = min(MAX_PACE_PART_BYTES / 2, self._lives_allowance + more)
-        self._readings_allowance = min(MAX_PACE_PART_BYTES / 2, self._readings_allowance + more)
-        packed_lives = self._lives(
-            lives, shown, int((self._lives_allowance - _LIVES.size) / _LIFE.size), now
+        elapsed = min(1.0, now - self._updated_at)
+        self._updated_at = now
+        added = elapsed * MAX_RECEIVE_RATE / max(1, sources) / 2
+        self._lives_allowance = min(MAX_PACE_PART_BYTES / 2, self._lives_allowance + added)
+        self._readings_allowance = min(MAX_PACE_PART_BYTES / 2, self._readings_allowance + added)
+        packed_lives = self._pack_lives(
+            lives, samples, int((self._lives_allowance - _LIVES.size) / _LIFE.size), now
         )
-        packed_readings = self._readings(
+        packed_readings = self._pack_readings(
             readings, int(self._readings_allowance / _READING.size), now
         )
         if not packed_lives and not packed_readings:
@@ -104,62 +104,62 @@
         self._readings_allowance -= len(packed_readings)
         return _LIVES.pack(len(packed_lives) // _LIFE.size) + packed_lives + packed_readings
 
-    def _readings(
-        self, readings: Iterable[tuple[int, PaceReading]], most: int, now: float
+    def _pack_readings(
+        self, readings: Iterable[tuple[int, PaceReading]], maximum: int, now: float
     ) -> bytes:
-        if most <= 0:
+        if maximum <= 0:
             return b""
         due = [
-            (abs(one.deviation), life, one)
-            for life, one in readings
-            if now - one.at <= MAX_READING_AGE and self._is_news(life, one)
+            (abs(entry.deviation), life, entry)
+            for life, entry in readings
+            if now - entry.at <= MAX_READING_AGE and self._is_new(life, entry)
         ]
-        due.sort(key=lambda one: -one[0])
-        chosen = due[:most]
-        for _, life, one in chosen:
-            self._told_readings[life] = PaceReading(one.at, one.value, one.baseline)
-        return b"".join(_pack_reading(life, one, now) for _, life, one in chosen)
-
-    def _is_news(self, life: int, reading: PaceReading) -> bool:
-        told = self._told_readings.get(life)
-        if told is None:
+        due.sort(key=lambda entry: -entry[0])
+        chosen = due[:maximum]
+        for _, life, entry in chosen:
+            self._sent_readings[life] = PaceReading(entry.at, entry.value, entry.baseline)
+        return b"".join(_pack_reading(life, entry, now) for _, life, entry in chosen)
+
+    def _is_new(self, life: int, reading: PaceReading) -> bool:
+        sent = self._sent_readings.get(life)
+        if sent is None:
             return abs(reading.deviation) >= MIN_DEVIATION
-        if told.at >= reading.at:
+        if sent.at >= reading.at:
             return False
-        return max(abs(reading.deviation), abs(told.deviation)) >= MIN_DEVIATION
+        return max(abs(reading.deviation), abs(sent.deviation)) >= MIN_DEVIATION
 
-    def _lives(
+    def _pack_lives(
         self,
         lives: Iterable[tuple[int, float]],
-        shown: Callable[[int], EngineSamples],
-        most: int,
+        samples: Callable[[int], EngineSamples],
+        maximum: int,
         now: float,
     ) -> bytes:
-        if most <= 0:
+        if maximum <= 0:
             return b""
         never = float("-inf")
         newest = dict(lives)
         due = [
-            (told >= at, told, life)
+            (sent >= at, sent, life)
             for life, at in newest.items()
-            if (told := self._told.get(life, never)) < at or now - told >= RESEND_INTERVAL
+            if (sent := self._sent_at.get(life, never)) < at or now - sent >= RESEND_INTERVAL
         ]
-        chosen = [(life, shown(life)) for _, _, life in sorted(due)[:most]]
-        self._told = {life: at for life, at in self._told.items() if life in newest}
-        self._told_readings = {
-            life: one for life, one in self._told_readings.items() if now - one.at < 1.0
+        chosen = [(life, samples(life)) for _, _, life in sorted(due)[:maximum]]
+        self._sent_at = {life: at for life, at in self._sent_at.items() if life in newest}
+        self._sent_readings = {
+            life: entry for life, entry in self._sent_readings.items() if now - entry.at < 1.0
         }
         for life, _ in chosen:
-            self._told[life] = now
+            self._sent_at[life] = now
         return b"".join(
-            _pack_life(life, one, now) for life, one in chosen if one.weight >= MIN_WEIGHT
+            _pack_life(life, entry, now) for life, entry in chosen if entry.weight >= MIN_WEIGHT
         )
 
 
-def _pack_life(life: int, shown: EngineSamples, now: float) -> bytes:
-    means = [_signed(one.mean / _MEAN_UNIT) for one in shown.metrics]
-    weights = [_unsigned(one.weight / _WEIGHT_UNIT) for one in shown.metrics]
-    return _LIFE.pack(life, *means, *weights, _unsigned((now - shown.newest_at) / _LIFE_AGE_UNIT))
+def _pack_life(life: int, samples: EngineSamples, now: float) -> bytes:
+    means = [_signed(entry.mean / _MEAN_UNIT) for entry in samples.metrics]
+    weights = [_unsigned(entry.weight / _WEIGHT_UNIT) for entry in samples.metrics]
+    return _LIFE.pack(life, *means, *weights, _unsigned((now - samples.newest_at) / _LIFE_AGE_UNIT))
 
 
 def _pack_reading(life: int, reading: PaceReading, now: float) -> bytes:
@@ -185,7 +185,9 @@
     end = _LIVES.size + count * _LIFE.size
     if len(data) < end or (len(data) - end) % _READING.size:
         raise struct.error("engine pace part is truncated")
-    lives = tuple(_life(fields, now) for fields in _LIFE.iter_unpack(data[_LIVES.size : end]))
+    lives = tuple(
+        _unpack_life(fields, now) for fields in _LIFE.iter_unpack(data[_LIVES.size : end])
+    )
     readings = tuple(
         (life, math.exp(value * _VALUE_UNIT), now - age * _READING_AGE_UNIT)
         for life, value, age in _READING.iter_unpack(data[end:])
@@ -193,10 +195,10 @@
     return PacePart(lives, readings)
 
 
-def _life(fields: tuple[int, ...], now: float) -> tuple[int, EngineSamples]:
+def _unpack_life(fields: tuple[int, ...], now: float) -> tuple[int, EngineSamples]:
     life, *rest = fields
-    shown = EngineSamples(now, now - rest[-1] * _LIFE_AGE_UNIT)
+    samples = EngineSamples(now, now - rest[-1] * _LIFE_AGE_UNIT)
     for aspect in PaceMetric:
-        shown.metrics[aspect].mean = rest[aspect] * _MEAN_UNIT
-        shown.metrics[aspect].weight = rest[len(PaceMetric) + aspect] * _WEIGHT_UNIT
-    return life, shown
+        samples.metrics[aspect].mean = rest[aspect] * _MEAN_UNIT
+        samples.metrics[aspect].weight = rest[len(PaceMetric) + aspect] * _WEIGHT_UNIT
+    return life, samples
--- a/postvalve/core/routing/route_table.py
+++ b/postvalve/core/routing/route_table.py
@@ -58,7 +58,7 @@
 
     def route_named(self, name: str) -> RouteSpec | None:
         """Return a route by its name, or None."""
-        return next((one for one in self.configuration.routes if one.name == name), None)
+        return next((route for route in self.configuration.routes if route.name == name), None)
 
     @property
     def requires_api_key(self) -> bool:
--- a/postvalve/core/routing/router.py
+++ b/postvalve/core/routing/router.py
@@ -56,13 +56,21 @@
             return []
         near = self._active(self._near(candidates))
         first = self._affine(near, prefix_key) or self._less_loaded(near)
-        others = [one for one in candidates if one is not first]
-        others.sort(key=lambda one: (one.load >= 1.0, one.zone != self._zone, one.load))
+        others = [candidate for candidate in candidates if candidate is not first]
+        others.sort(
+            key=lambda candidate: (
+                candidate.load >= 1.0,
+                candidate.zone != self._zone,
+                candidate.load,
+            )
+        )
         return [first, *others]
 
     def _near(self, candidates: Sequence[EngineCandidate]) -> Sequence[EngineCandidate]:
         local = [
-            one for one in candidates if one.zone == self._zone and one.load < LOCAL_LOAD_LIMIT
+            candidate
+            for candidate in candidates
+            if candidate.zone == self._zone and candidate.load < LOCAL_LOAD_LIMIT
         ]
         return local or candidates
 
@@ -74,25 +82,25 @@
         Online work is concentrated on these, so that the other engines can run batch items without
         affecting it.
         """
-        ordered = sorted(candidates, key=lambda one: one.engine_id)
-        in_flight = sum(one.online_in_flight for one in candidates)
-        room = 0.0
+        ordered = sorted(candidates, key=lambda candidate: candidate.engine_id)
+        in_flight = sum(candidate.online_in_flight for candidate in candidates)
+        planned = 0.0
         for number, candidate in enumerate(ordered, 1):
-            room += candidate.slots * ACTIVE_LOAD
-            if room >= in_flight + ACTIVE_RESERVE:
+            planned += candidate.slots * ACTIVE_LOAD
+            if planned >= in_flight + ACTIVE_RESERVE:
                 return ordered[:number]
         return ordered
 
     def _affine(
         self, candidates: Sequence[EngineCandidate], prefix_key: str
     ) -> EngineCandidate | None:
-        chosen_id = preferred_owner(prefix_key, [one.engine_id for one in candidates])
-        chosen = next(one for one in candidates if one.engine_id == chosen_id)
-        mean = sum(one.online_in_flight for one in candidates) / len(candidates)
+        chosen_id = preferred_owner(prefix_key, [candidate.engine_id for candidate in candidates])
+        chosen = next(candidate for candidate in candidates if candidate.engine_id == chosen_id)
+        mean = sum(candidate.online_in_flight for candidate in candidates) / len(candidates)
         if chosen.online_in_flight > AFFINITY_LOAD_BOUND * mean + AFFINITY_LOAD_SLACK:
             return None
         return chosen if chosen.load < 1.0 else None
 
     def _less_loaded(self, candidates: Sequence[EngineCandidate]) -> EngineCandidate:
         pair = self._random.sample(list(candidates), min(2, len(candidates)))
-        return min(pair, key=lambda one: one.load)
+        return min(pair, key=lambda candidate: candidate.load)
--- a/postvalve/core/scheduling/accounts.py
+++ b/postvalve/core/scheduling/accounts.py
@@ -113,12 +113,12 @@
     @property
     def refused(self) -> int:
         """Requests that were refused without running."""
-        return sum(self.ends.get(one, 0) for one in REFUSED)
+        return sum(self.ends.get(entry, 0) for entry in REFUSED)
 
     @property
     def eligible(self) -> int:
         """Requests that should have been served, those excluded whose end the caller caused."""
-        return self.asked - sum(self.ends.get(one, 0) for one in CALLER_CAUSED)
+        return self.asked - sum(self.ends.get(entry, 0) for entry in CALLER_CAUSED)
 
     @property
     def in_time_share(self) -> float:
@@ -159,19 +159,21 @@
     @classmethod
     def from_fields(cls, fields: Mapping[str, Any]) -> Self:
         """Return counts from the output of `fields` of any build; missing counts are 0."""
-        plain = [one.name for one in dataclasses.fields(cls) if one.name not in ("ends", "items")]
+        names = [
+            entry.name for entry in dataclasses.fields(cls) if entry.name not in ("ends", "items")
+        ]
         return cls(
             ends={end: int(fields.get(end, 0)) for end in End},
             items={outcome: int(fields.get(outcome, 0)) for outcome in ItemOutcome},
-            **{name: fields.get(name, 0) for name in plain},
+            **{name: fields.get(name, 0) for name in names},
         )
 
 
 def total_of(counts: Iterable[Counts]) -> Counts:
     """Return the sum of counts."""
     total = Counts()
-    for one in counts:
-        total.add(one)
+    for entry in counts:
+        total.add(entry)
     return total
 
 
@@ -227,7 +229,7 @@
         """Return the counts of all time."""
         return total_of((self._past, *(counts for _, counts in self._slices)))
 
-    def take(self, other: _Account) -> None:
+    def merge(self, other: _Account) -> None:
         """Merge another account into this one, slice by slice."""
         self._past.add(other._past)
         slices = dict(self._slices)
@@ -293,8 +295,8 @@
 
     def holders(self, count: int) -> dict[str, int]:
         """Return the tenants with the most online requests at engines now, with their numbers."""
-        first_ones = sorted(self._running.items(), key=lambda one: (-one[1], one[0]))[:count]
-        return dict(first_ones)
+        ordered = sorted(self._running.items(), key=lambda entry: (-entry[1], entry[0]))[:count]
+        return dict(ordered)
 
     def record_item_run(self, tenant: str, seconds: float, now: float) -> None:
         """Add the time that a batch item spent at an engine, whether it ended there or not."""
@@ -311,18 +313,18 @@
         account = self._own.get(tenant)
         if account is None:
             if len(self._own) >= MAX_ACCOUNTS:
-                self._fold(number)
+                self._merge_unranked(number)
             account = self._own[tenant] = _Account()
         return account.at(number)
 
-    def _fold(self, number: int) -> None:
+    def _merge_unranked(self, number: int) -> None:
         """Merge the accounts of all tenants that rank in none of the orders."""
-        lately = {tenant: account.recent(number) for tenant, account in self._own.items()}
-        kept = set().union(*(top_tenants(lately, order, TOP_TENANTS) for order in ORDERS))
-        for tenant in lately.keys() - kept:
+        recent = {tenant: account.recent(number) for tenant, account in self._own.items()}
+        ranked = set().union(*(top_tenants(recent, order, TOP_TENANTS) for order in ORDERS))
+        for tenant in recent.keys() - ranked:
             if self._others is None:
                 self._others = _Account()
-            self._others.take(self._own.pop(tenant))
+            self._others.merge(self._own.pop(tenant))
 
     def rows(self, now: float) -> list[Row]:
         """Return all accounts, those with the worst recent service first, the sum of the others
@@ -362,7 +364,7 @@
 
 
 def top_tenants(
-    lately: Mapping[str, Counts], order: Callable[[Counts], float], count: int
+    recent: Mapping[str, Counts], order: Callable[[Counts], float], count: int
 ) -> list[str]:
     """Return the first tenants in an order; equal ones are ordered by name."""
-    return sorted(lately, key=lambda tenant: (order(lately[tenant]), tenant))[:count]
+    return sorted(recent, key=lambda tenant: (order(recent[tenant]), tenant))[:count]
--- a/postvalve/core/scheduling/fair_share.py
+++ b/postvalve/core/scheduling/fair_share.py
@@ -45,10 +45,10 @@
     def __init__(self) -> None:
         self.now = INITIAL_TIME
 
-    def merge(self, told: float) -> None:
+    def merge(self, other: float) -> None:
         """Merge another node's clock; repeated and older values have no effect."""
-        if math.isfinite(told) and told > self.now:
-            self.now = told
+        if math.isfinite(other) and other > self.now:
+            self.now = other
 
     def record_served(self, tag: float, first_waiting: float | None) -> None:
         """Advance the clock after a request was served while the lowest waiting tag was
@@ -83,8 +83,8 @@
     def assign_tag(self, tenant: str, weight: float, work: Work) -> float:
         """Return the start tag of a tenant's next request."""
         correction = max(-MAX_COST, min(MAX_COST, work.correction))
-        former = self._finish.get(tenant, self._clock.now) + correction / weight
-        start = max(self._clock.now - MAX_CREDIT, former)
+        finish = self._finish.get(tenant, self._clock.now) + correction / weight
+        start = max(self._clock.now - MAX_CREDIT, finish)
         self._finish[tenant] = start + max(0.0, min(MAX_COST, work.cost)) / weight
         return start
 
@@ -99,4 +99,4 @@
 
     def retain(self, tenants: Mapping[str, float]) -> None:
         """Drop tenants that are no longer in the configuration."""
-        self._finish = {name: at for name, at in self._finish.items() if name in tenants}
+        self._finish = {name: tag for name, tag in self._finish.items() if name in tenants}
--- a/postvalve/core/scheduling/load_shedding.py
+++ b/postvalve/core/scheduling/load_shedding.py
@@ -33,16 +33,18 @@
 slot."""
 
 
-def free_capacity(rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> int:
+def free_capacity(engines: Sequence[EngineOccupancy], pace: ServiceLatency) -> int:
     """Return how many requests the engines accept before any wait at a node."""
-    return sum(max(0, one.capacity(pace) + MAX_ENGINE_QUEUE - one.online) for one in rooms)
+    return sum(
+        max(0, engine.capacity(pace) + MAX_ENGINE_QUEUE - engine.online) for engine in engines
+    )
 
 
-def zone_queue_wait(ahead: int, rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> float:
+def zone_queue_wait(ahead: int, engines: Sequence[EngineOccupancy], pace: ServiceLatency) -> float:
     """Return the seconds until a slot is free for a request with `ahead` others before it."""
-    places = sum(one.capacity(pace) for one in rooms)
-    before = ahead + 1 + sum(one.online for one in rooms) - places
-    return max(0, before) * pace.queue_delay_per_place(places) if places else 0.0
+    capacity = sum(engine.capacity(pace) for engine in engines)
+    excess = ahead + 1 + sum(engine.online for engine in engines) - capacity
+    return max(0, excess) * pace.queue_delay_per_place(capacity) if capacity else 0.0
 
 
 def hold_expired(req: PendingRequest, now: float) -> bool:
@@ -53,7 +55,7 @@
 
 def decide_in_order(
     req: PendingRequest,
-    rooms: Sequence[EngineOccupancy],
+    engines: Sequence[EngineOccupancy],
     pace: ServiceLatency,
     now: float,
     ahead: int,
@@ -62,45 +64,47 @@
 
     Args:
         req: The request.
-        rooms: The engines that may take it.
+        engines: The engines that may take it.
         pace: Latencies of the service.
         now: Monotonic seconds.
         ahead: Number of requests that go before it.
     """
-    if not rooms or free_capacity(rooms, pace) > ahead or hold_expired(req, now):
+    if not engines or free_capacity(engines, pace) > ahead or hold_expired(req, now):
         return AdmissionAction.START
     if not (pace.known and req.may_retry):
         return AdmissionAction.HOLD
-    unread = min(one.unread for one in rooms)
-    left = req.arrived_at + req.target_latency - now - pace.first_event(unread + req.tokens)
+    unread = min(engine.unread for engine in engines)
+    seconds_left = req.arrived_at + req.target_latency - now - pace.first_event(unread + req.tokens)
     return (
-        AdmissionAction.HOLD if _may_get_slot(left, rooms, pace, ahead) else AdmissionAction.REFUSE
+        AdmissionAction.HOLD
+        if _may_get_slot(seconds_left, engines, pace, ahead)
+        else AdmissionAction.REFUSE
     )
 
 
 def _may_get_slot(
-    left: float, rooms: Sequence[EngineOccupancy], pace: ServiceLatency, ahead: int
+    seconds_left: float, engines: Sequence[EngineOccupancy], pace: ServiceLatency, ahead: int
 ) -> bool:
-    """Return whether a request has a fair chance of a slot within `left` seconds.
+    """Return whether a request has a fair chance of a slot within `seconds_left` seconds.
 
     Slots come free at random: the expected number, give or take its square root.
     """
-    if left < 0:
+    if seconds_left < 0:
         return False
-    places = sum(one.capacity(pace) for one in rooms)
-    step = pace.queue_delay_per_place(places)
-    before = ahead + 1 + sum(one.online for one in rooms) - places
-    mean = left / step if step > 0 else math.inf
-    return before <= 1 + mean + REFUSAL_DEVIATIONS * math.sqrt(mean)
+    capacity = sum(engine.capacity(pace) for engine in engines)
+    delay = pace.queue_delay_per_place(capacity)
+    excess = ahead + 1 + sum(engine.online for engine in engines) - capacity
+    expected_slots = seconds_left / delay if delay > 0 else math.inf
+    return excess <= 1 + expected_slots + REFUSAL_DEVIATIONS * math.sqrt(expected_slots)
 
 
-def retry_after_seconds(expected: float, time_left: float, drawn: float) -> float:
+def retry_after_seconds(expected: float, time_left: float, jitter: float) -> float:
     """Return the seconds after which a refused client should retry.
 
     Args:
         expected: Estimated seconds until there is capacity for the request.
         time_left: Seconds that the client will still wait.
-        drawn: Random number from 0 to 1, so that clients refused together retry at different times.
+        jitter: Random number from 0 to 1, so that clients refused together retry at different times.
     """
     latest = max(0.0, time_left) * RETRY_AFTER_SHARE
-    return min(latest, max(MIN_RETRY_AFTER, expected) + RETRY_JITTER * drawn)
+    return min(latest, max(MIN_RETRY_AFTER, expected) + RETRY_JITTER * jitter)
--- a/postvalve/core/scheduling/queue_order.py
+++ b/postvalve/core/scheduling/queue_order.py
@@ -50,10 +50,10 @@
 
     def pack(self) -> bytes:
         """Encode the message."""
-        told = sorted(self.queue_heads.items())[:MAX_SERVICES]
+        reported = sorted(self.queue_heads.items())[:MAX_SERVICES]
         return _CLOCK.pack(self.clock) + b"".join(
-            _FIRST.pack(key, *(min(MAX_RANK, one) for one in place.rank), place.tag)
-            for key, place in told
+            _FIRST.pack(key, *(min(MAX_RANK, value) for value in position.rank), position.tag)
+            for key, position in reported
         )
 
 
@@ -63,10 +63,15 @@
         return None
     (clock,) = _CLOCK.unpack_from(data)
     entries = _FIRST.iter_unpack(data[_CLOCK.size :])
-    first = {key: QueuePosition((own, route), tag) for key, own, route, tag in entries}
-    if not all(math.isfinite(one) for one in (clock, *(place.tag for place in first.values()))):
+    heads = {
+        key: QueuePosition((tenant_rank, route_rank), tag)
+        for key, tenant_rank, route_rank, tag in entries
+    }
+    if not all(
+        math.isfinite(value) for value in (clock, *(position.tag for position in heads.values()))
+    ):
         return None
-    return ShareUpdate(clock, first)
+    return ShareUpdate(clock, heads)
 
 
 def merge_share_updates(parts: Iterable[bytes]) -> bytes:
@@ -74,11 +79,11 @@
 
     Returns empty bytes if no part holds a message.
     """
-    known = [one for one in map(unpack_share_update, parts) if one is not None]
+    known = [value for value in map(unpack_share_update, parts) if value is not None]
     if not known:
         return b""
-    first: dict[int, QueuePosition] = {}
-    for news in known:
-        for key, place in news.queue_heads.items():
-            first[key] = min(place, first.get(key, place))
-    return ShareUpdate(max(one.clock for one in known), first).pack()
+    heads: dict[int, QueuePosition] = {}
+    for update in known:
+        for key, position in update.queue_heads.items():
+            heads[key] = min(position, heads.get(key, position))
+    return ShareUpdate(max(value.clock for value in known), heads).pack()
--- a/postvalve/core/scheduling/zone_queue.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -75,9 +75,9 @@
         if known is not None and known[0] == incarnation:
             return
         # A node heard while this one is starting is taken to have been there before.
-        first = -math.inf if known is None and now < self._listens_until else now
+        first_heard = -math.inf if known is None and now < self._listens_until else now
         self._lives.pop(node_id, None)
-        self._lives[node_id] = incarnation, first
+        self._lives[node_id] = incarnation, first_heard
         if len(self._lives) > MAX_TRACKED_NODES:
             del self._lives[next(iter(self._lives))]
 
@@ -122,13 +122,15 @@
     def pack(self) -> bytes:
         """Encode the report."""
         node = self.node_id.encode()[:0xFF]
-        told = self.waiting[:MAX_REPORTED]
+        reported = self.waiting[:MAX_REPORTED]
         head = _STATE.pack(
-            self.service, self.incarnation, self.number, self.last_grant, len(node), len(told)
+            self.service, self.incarnation, self.number, self.last_grant, len(node), len(reported)
         )
         entries = (
-            _ENTRY.pack(one.number, *(min(MAX_RANK, r) for r in one.place.rank), one.place.tag)
-            for one in told
+            _ENTRY.pack(
+                entry.number, *(min(MAX_RANK, r) for r in entry.place.rank), entry.place.tag
+            )
+            for entry in reported
         )
         return head + node + b"".join(entries)
 
@@ -175,8 +177,8 @@
     except (struct.error, UnicodeDecodeError) as exc:
         raise QueueMessageError(f"malformed queue state: {exc}") from exc
     waiting = tuple(
-        WaitingRequest(one, QueuePosition((own, route), tag))
-        for one, own, route, tag in entries
+        WaitingRequest(entry, QueuePosition((tenant_rank, route_rank), tag))
+        for entry, tenant_rank, route_rank, tag in entries
         if math.isfinite(tag)
     )
     return QueueState(service, node, incarnation, number, taken, waiting)
@@ -192,15 +194,15 @@
         service, number, granted, ahead = _GRANT.unpack_from(data)
     except struct.error as exc:
         raise QueueMessageError(f"malformed grant: {exc}") from exc
-    middle = _GRANT.size + granted * _NUMBER.size
-    if len(data) != middle + ahead * _AHEAD.size:
+    end = _GRANT.size + granted * _NUMBER.size
+    if len(data) != end + ahead * _AHEAD.size:
         raise QueueMessageError("grant has a wrong length")
-    numbers = tuple(one for (one,) in _NUMBER.iter_unpack(data[_GRANT.size : middle]))
-    return Grant(service, number, numbers, tuple(_AHEAD.iter_unpack(data[middle:])))
+    numbers = tuple(entry for (entry,) in _NUMBER.iter_unpack(data[_GRANT.size : end]))
+    return Grant(service, number, numbers, tuple(_AHEAD.iter_unpack(data[end:])))
 
 
 @dataclass(slots=True)
-class _Given:
+class _PendingGrant:
     """A grant that no report accounts for yet."""
 
     request: int
@@ -208,7 +210,7 @@
     at: float
 
 
-_Key = tuple[tuple[int, int], float, str, int]
+_SortKey = tuple[tuple[int, int], float, str, int]
 """Rank, tag, node and number of a request. These are plain tuples, because a coordinator sorts all
 waiting requests for each answer, and `QueuePosition` takes ten times as long to compare."""
 
@@ -219,17 +221,17 @@
 
     state: QueueState
     heard_at: float
-    given: list[_Given] = field(default_factory=list)
-    open: list[_Key] = field(default_factory=list)
+    given: list[_PendingGrant] = field(default_factory=list)
+    ungranted: list[_SortKey] = field(default_factory=list)
     """Requests that wait without a grant."""
 
     def update(self) -> None:
         """Recompute which requests wait without a grant."""
-        given = {one.request for one in self.given}
-        self.open = [
-            (one.place.rank, one.place.tag, self.state.node_id, one.number)
-            for one in self.state.waiting
-            if one.number not in given
+        given = {entry.request for entry in self.given}
+        self.ungranted = [
+            (entry.place.rank, entry.place.tag, self.state.node_id, entry.number)
+            for entry in self.state.waiting
+            if entry.number not in given
         ]
 
 
@@ -262,7 +264,7 @@
         known.state, known.heard_at = state, now
         # The node's load report, which shows the grants it has used, goes out before each of these
         # reports.
-        known.given = [one for one in known.given if one.grant > state.last_grant]
+        known.given = [entry for entry in known.given if entry.grant > state.last_grant]
         known.update()
         return True
 
@@ -270,28 +272,28 @@
         """Drop reports and grants that have expired, in a zone of so many nodes."""
         oldest = now - max(STATE_TIME, 2 * state_interval(nodes))
         self._members = {
-            node_id: one for node_id, one in self._members.items() if one.heard_at > oldest
+            node_id: entry for node_id, entry in self._members.items() if entry.heard_at > oldest
         }
         for member in self._members.values():
             if member.given and now - member.given[0].at >= GRANT_TIME:
-                member.given = [one for one in member.given if now - one.at < GRANT_TIME]
+                member.given = [entry for entry in member.given if now - entry.at < GRANT_TIME]
                 member.update()
 
     @property
     def has_waiting(self) -> bool:
         """Whether any request waits."""
-        return any(one.state.waiting for one in self._members.values())
+        return any(entry.state.waiting for entry in self._members.values())
 
     @property
     def outstanding(self) -> int:
         """Number of grants counted as used that no report accounts for yet."""
-        return sum(len(one.given) for one in self._members.values())
+        return sum(len(entry.given) for entry in self._members.values())
 
-    def order(self) -> list[_Key]:
+    def order(self) -> list[_SortKey]:
         """Return the requests that wait without a grant, the first one first."""
-        keys: list[_Key] = []
+        keys: list[_SortKey] = []
         for member in self._members.values():
-            keys += member.open
+            keys += member.ungranted
         keys.sort()
         return keys
 
@@ -302,13 +304,13 @@
             free: Free slots at engines, outstanding grants not subtracted.
             now: Monotonic seconds.
         """
-        left = free - self.outstanding
-        if left <= 0:
+        remaining = free - self.outstanding
+        if remaining <= 0:
             return set()
         nodes = set()
-        for _, _, node_id, number in self.order()[:left]:
+        for _, _, node_id, number in self.order()[:remaining]:
             self._grants += 1
-            self._members[node_id].given.append(_Given(number, self._grants, now))
+            self._members[node_id].given.append(_PendingGrant(number, self._grants, now))
             nodes.add(node_id)
         for node_id in nodes:
             self._members[node_id].update()
@@ -321,12 +323,14 @@
             return {}
         order = self.order()
         members = ((node_id, self._members.get(node_id)) for node_id in node_ids)
-        return {node_id: self._answer(one, order) for node_id, one in members if one is not None}
+        return {
+            node_id: self._answer(entry, order) for node_id, entry in members if entry is not None
+        }
 
-    def _answer(self, member: _Member, order: list[_Key]) -> Grant:
-        last = max((one.grant for one in member.given), default=member.state.last_grant)
-        before = tuple((key[3], bisect.bisect_left(order, key)) for key in member.open)
-        return Grant(self._service, last, tuple(one.request for one in member.given), before)
+    def _answer(self, member: _Member, order: list[_SortKey]) -> Grant:
+        last = max((entry.grant for entry in member.given), default=member.state.last_grant)
+        ahead = tuple((key[3], bisect.bisect_left(order, key)) for key in member.ungranted)
+        return Grant(self._service, last, tuple(entry.request for entry in member.given), ahead)
 
 
 def first_waiting(waiting: Sequence[tuple[int, QueuePosition]]) -> tuple[WaitingRequest, ...]:
--- a/postvalve/core/serving/client_buffer.py
+++ b/postvalve/core/serving/client_buffer.py
@@ -52,12 +52,12 @@
     cause: CutCause | None = None
     """Why the client was dropped; None if it was not."""
     _byte_seconds: float = 0.0
-    _told_at: float = 0.0
+    _updated_at: float = 0.0
 
     def change(self, size: int, now: float) -> None:
         """Change the buffered bytes by `size`, which may be negative."""
         self._byte_seconds = self.byte_seconds(now)
-        self._told_at = now
+        self._updated_at = now
         self.size += size
         if not self.size:
             # The client has caught up.
@@ -65,7 +65,7 @@
 
     def byte_seconds(self, now: float) -> float:
         """Return the integral of buffered bytes over time since the buffer was last empty."""
-        return self._byte_seconds + self.size * (now - self._told_at)
+        return self._byte_seconds + self.size * (now - self._updated_at)
 
 
 class MemoryBudget:
@@ -95,14 +95,14 @@
         Bytes of dropped accounts are released at once. Nothing is reserved for an account that is
         dropped.
         """
-        given_up: list[BufferAccount] = []
+        dropped: list[BufferAccount] = []
         if holding.cause is None and holding.size + size > self.limit:
-            given_up.append(self._give_up(holding))
+            dropped.append(self._drop(holding))
         while holding.cause is None and self.held + size > self.limit:
-            given_up.append(self._give_up(self._worst(holding, size, now)))
+            dropped.append(self._drop(self._largest_user(holding, size, now)))
         if holding.cause is None:
             self._change(holding, size, now)
-        return given_up
+        return dropped
 
     def give(self, holding: BufferAccount, size: int, now: float) -> None:
         """Return `size` bytes to the budget; no effect for a dropped account."""
@@ -128,11 +128,11 @@
         else:
             self._holdings.pop(holding, None)
 
-    def _give_up(self, holding: BufferAccount) -> BufferAccount:
+    def _drop(self, holding: BufferAccount) -> BufferAccount:
         self.cut(holding, CutCause.MEMORY_SHORT)
         return holding
 
-    def _worst(self, asking: BufferAccount, size: int, now: float) -> BufferAccount:
+    def _largest_user(self, requester: BufferAccount, size: int, now: float) -> BufferAccount:
         """Return the account with the most memory over time, from the tenant that uses the most
         memory.
 
@@ -141,13 +141,15 @@
         exceeding its own share.
         """
         by_tenant: dict[str, int] = defaultdict(int)
-        for one in self._holdings:
-            by_tenant[one.tenant] += one.size
-        by_tenant[asking.tenant] += size
-        most = max(by_tenant.values())
-        tenants = {name for name, held in by_tenant.items() if held == most}
-        candidates = [one for one in self._holdings if one.tenant in tenants]
-        return max(candidates or [asking], key=lambda one: (one.byte_seconds(now), one.size))
+        for account in self._holdings:
+            by_tenant[account.tenant] += account.size
+        by_tenant[requester.tenant] += size
+        maximum = max(by_tenant.values())
+        tenants = {name for name, held in by_tenant.items() if held == maximum}
+        candidates = [account for account in self._holdings if account.tenant in tenants]
+        return max(
+            candidates or [requester], key=lambda account: (account.byte_seconds(now), account.size)
+        )
 
 
 class EventBuffer:
@@ -157,7 +159,7 @@
         self.holding = holding
         self._budget = budget
         self._events: deque[bytes] = deque()
-        self._held_back = 0.0
+        self._blocked_seconds = 0.0
         self._full_since: float | None = None
         self.ended = False
         """Whether no more events will come."""
@@ -172,11 +174,11 @@
         held, wanted = self.holding.size, size + EVENT_OVERHEAD
         full = held > 0 and held + wanted > self._budget.stream_limit
         if self._full_since is not None:
-            self._held_back += now - self._full_since
+            self._blocked_seconds += now - self._full_since
         self._full_since = now if full else None
         if not full:
             return 0.0
-        left = MAX_BACKPRESSURE - self._held_back
+        left = MAX_BACKPRESSURE - self._blocked_seconds
         if left <= 0 and self.holding.cause is None:
             self._budget.cut(self.holding, CutCause.STORE_FULL)
         return max(0.0, left)
@@ -184,10 +186,10 @@
     def put(self, event: bytes, now: float) -> list[BufferAccount]:
         """Append an event; return the accounts dropped for it, which may include this buffer's
         own."""
-        given_up = self._budget.take(self.holding, len(event) + EVENT_OVERHEAD, now)
+        dropped = self._budget.take(self.holding, len(event) + EVENT_OVERHEAD, now)
         if self.holding.cause is None:
             self._events.append(event)
-        return given_up
+        return dropped
 
     def first(self) -> bytes:
         """Return the event to send next; empty if there is none."""
--- a/postvalve/core/serving/transfer_rate.py
+++ b/postvalve/core/serving/transfer_rate.py
@@ -15,17 +15,17 @@
         behind."""
         self._rate = rate
         self._allowance = allowance
-        self._left = allowance
-        self._told_at = now
+        self._allowance_left = allowance
+        self._updated_at = now
 
     def record(self, size: int, now: float) -> None:
         """Record that `size` bytes were transferred."""
-        self._left = min(self._allowance, self.seconds_left(now) + size / self._rate)
-        self._told_at = now
+        self._allowance_left = min(self._allowance, self.seconds_left(now) + size / self._rate)
+        self._updated_at = now
 
     def seconds_left(self, now: float) -> float:
         """Return the seconds until the transfer is too slow if nothing more is transferred.
 
         At 0 or less it is too slow.
         """
-        return self._left - (now - self._told_at)
+        return self._allowance_left - (now - self._updated_at)
