--- a/postvalve/core/routing/connect_timeout.py
+++ b/postvalve/core/routing/connect_timeout.py
@@ -33,8 +33,8 @@
         self._seconds.append(seconds)
 
     def seconds(self, maximum: float) -> float:
-        """Return the time-out in seconds, at most `maximum`; `maximum` itself while there are too few
-        samples."""
+        """Return the time-out in seconds, at most `maximum`, which is also used while there are too
+        few samples."""
         if len(self._seconds) < MIN_SAMPLES:
             return maximum
         return min(maximum, max(MIN_TIMEOUT, TIMEOUT_MULTIPLE * max(self._seconds)))
--- a/postvalve/core/routing/engine_load.py
+++ b/postvalve/core/routing/engine_load.py
@@ -173,7 +173,8 @@
         self._excess: dict[int, _Excess] = {}
 
     def record(self, life: int, reported: int, counted: int, now: float) -> None:
-        """Record that an engine reported its number of requests while this node counts `counted` there."""
+        """Record the number of requests that an engine reported, and the number that this node
+        counts there."""
         if reported > counted:
             self._excess[life] = _Excess(now, reported - counted)
         else:
--- a/postvalve/core/routing/latency_estimate.py
+++ b/postvalve/core/routing/latency_estimate.py
@@ -88,7 +88,7 @@
 def expected_in_time(
     engines: Iterable[EngineOccupancy], tokens: int, pace: ServiceLatency, time_left: float
 ) -> Iterator[bool]:
-    """Yield for each engine whether a request's first event is expected within `time_left` seconds."""
+    """Yield for each engine whether the first event is expected within `time_left` seconds."""
     known, margin = pace.known, pace.margin
     return (
         known and expected_first_event(engine, tokens, pace) + margin <= time_left
--- a/postvalve/core/scheduling/load_shedding.py
+++ b/postvalve/core/scheduling/load_shedding.py
@@ -104,7 +104,8 @@
     Args:
         expected: Estimated seconds until there is capacity for the request.
         time_left: Seconds that the client will still wait.
-        jitter: Random number from 0 to 1, so that clients refused together retry at different times.
+        jitter: Random number from 0 to 1, so that clients refused together retry at different
+            times.
     """
     latest = max(0.0, time_left) * RETRY_AFTER_SHARE
     return min(latest, max(MIN_RETRY_AFTER, expected) + RETRY_JITTER * jitter)
