--- a/postvalve/core/scheduling/queue_order.py
+++ b/postvalve/core/scheduling/queue_order.py
@@ -16,7 +16,7 @@
 import xxhash
 
 _CLOCK = struct.Struct("!d")
-_FIRST = struct.Struct("!IBBd")
+_HEAD = struct.Struct("!IBBd")
 """Hash of the service, rank, start tag."""
 MAX_RANK = 0xFF
 MAX_SERVICES = 32
@@ -52,17 +52,17 @@
         """Encode the message."""
         reported = sorted(self.queue_heads.items())[:MAX_SERVICES]
         return _CLOCK.pack(self.clock) + b"".join(
-            _FIRST.pack(key, *(min(MAX_RANK, value) for value in position.rank), position.tag)
+            _HEAD.pack(key, *(min(MAX_RANK, value) for value in position.rank), position.tag)
             for key, position in reported
         )
 
 
 def unpack_share_update(data: bytes) -> ShareUpdate | None:
     """Decode the bytes from `ShareUpdate.pack`; return None if they are malformed."""
-    if len(data) < _CLOCK.size or (len(data) - _CLOCK.size) % _FIRST.size:
+    if len(data) < _CLOCK.size or (len(data) - _CLOCK.size) % _HEAD.size:
         return None
     (clock,) = _CLOCK.unpack_from(data)
-    entries = _FIRST.iter_unpack(data[_CLOCK.size :])
+    entries = _HEAD.iter_unpack(data[_CLOCK.size :])
     heads = {
         key: QueuePosition((tenant_rank, route_rank), tag)
         for key, tenant_rank, route_rank, tag in entries
--- a/postvalve/core/scheduling/zone_queue.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -66,24 +66,24 @@
 
     def __init__(self, now: float) -> None:
         self._listens_until = now + LISTEN_TIME
-        self._lives: dict[str, tuple[int, float]] = {}
+        self._incarnations: dict[str, tuple[int, float]] = {}
         """Incarnation of each node, and when it was first heard."""
 
     def record(self, node_id: str, incarnation: int, now: float) -> None:
         """Record that a node reported itself."""
-        known = self._lives.get(node_id)
+        known = self._incarnations.get(node_id)
         if known is not None and known[0] == incarnation:
             return
         # A node heard while this one is starting is taken to have been there before.
         first_heard = -math.inf if known is None and now < self._listens_until else now
-        self._lives.pop(node_id, None)
-        self._lives[node_id] = incarnation, first_heard
-        if len(self._lives) > MAX_TRACKED_NODES:
-            del self._lives[next(iter(self._lives))]
+        self._incarnations.pop(node_id, None)
+        self._incarnations[node_id] = incarnation, first_heard
+        if len(self._incarnations) > MAX_TRACKED_NODES:
+            del self._incarnations[next(iter(self._incarnations))]
 
     def includes(self, node_id: str, now: float) -> bool:
         """Return whether a node has started lately."""
-        known = self._lives.get(node_id)
+        known = self._incarnations.get(node_id)
         return known is not None and now - known[1] < SETTLE_TIME
 
 
@@ -168,7 +168,7 @@
         QueueMessageError: the bytes are malformed.
     """
     try:
-        service, incarnation, number, taken, length, count = _STATE.unpack_from(data)
+        service, incarnation, number, last_grant, length, count = _STATE.unpack_from(data)
         start = _STATE.size + length
         node = data[_STATE.size : start].decode()
         if len(data) != start + count * _ENTRY.size:
@@ -181,7 +181,7 @@
         for entry, tenant_rank, route_rank, tag in entries
         if math.isfinite(tag)
     )
-    return QueueState(service, node, incarnation, number, taken, waiting)
+    return QueueState(service, node, incarnation, number, last_grant, waiting)
 
 
 def unpack_grant(data: bytes) -> Grant:
@@ -256,10 +256,10 @@
             known = self._members[state.node_id] = _Member(state, now)
             known.update()
             return True
-        same_life = known.state.incarnation == state.incarnation
-        if same_life and state.number <= known.state.number:
+        same_incarnation = known.state.incarnation == state.incarnation
+        if same_incarnation and state.number <= known.state.number:
             return False
-        if not same_life:
+        if not same_incarnation:
             known.given = []
         known.state, known.heard_at = state, now
         # The node's load report, which shows the grants it has used, goes out before each of these
--- a/tests/share_model.py
+++ b/tests/share_model.py
@@ -9,14 +9,14 @@
 
 from postvalve.core.scheduling.fair_share import ShareClock, TagAssigner, Work
 
-HELD = 0.8
+SLOT_TIME = 0.8
 """Seconds that a request holds its slot."""
-PATIENCE = 0.6
+MAX_WAIT = 0.6
 """Seconds after which a request that has no slot is late."""
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class Request:
     """A request that waits."""
 
     tenant: int
@@ -33,7 +33,7 @@
         self.book = TagAssigner(self.clock)
         self.queues = [[] for _ in range(nodes)]
         self.in_time = [0] * len(rates)
-        self.asked = [0] * len(rates)
+        self.requested = [0] * len(rates)
         self.arrivals = sorted(
             (at, tenant)
             for tenant, rate in enumerate(rates)
@@ -58,31 +58,34 @@
                 self._arrive(*arrivals.pop())
             self._drop_late(now)
             while len(ends) < self.slots and (found := self.order(self)) is not None:
-                node, ask = found
-                self.queues[node].remove(ask)
-                self._serve(ask)
-                heapq.heappush(ends, now + HELD)
-        return [done / max(1, asked) for done, asked in zip(self.in_time, self.asked, strict=True)]
+                node, request = found
+                self.queues[node].remove(request)
+                self._serve(request)
+                heapq.heappush(ends, now + SLOT_TIME)
+        return [
+            done / max(1, requested)
+            for done, requested in zip(self.in_time, self.requested, strict=True)
+        ]
 
     def _arrive(self, now, tenant):
-        tag = self.book.assign_tag(str(tenant), 1.0, Work(HELD))
-        self.asked[tenant] += 1
-        self.random.choice(self.queues).append(Ask(tenant, now, tag))
+        tag = self.book.assign_tag(str(tenant), 1.0, Work(SLOT_TIME))
+        self.requested[tenant] += 1
+        self.random.choice(self.queues).append(Request(tenant, now, tag))
 
     def _drop_late(self, now):
         for queue in self.queues:
-            for ask in [one for one in queue if one.at + PATIENCE < now]:
-                queue.remove(ask)
+            for request in [one for one in queue if one.at + MAX_WAIT < now]:
+                queue.remove(request)
                 # Nothing was run for it: its tenant gets it back with the next ask.
-                self.book.assign_tag(str(ask.tenant), 1.0, Work(0.0, -HELD))
+                self.book.assign_tag(str(request.tenant), 1.0, Work(0.0, -SLOT_TIME))
 
-    def _serve(self, ask):
+    def _serve(self, request):
         waiting = [one.tag for queue in self.queues for one in queue]
-        self.clock.record_served(ask.tag, min(waiting, default=None))
-        self.in_time[ask.tenant] += 1
+        self.clock.record_served(request.tag, min(waiting, default=None))
+        self.in_time[request.tenant] += 1
 
 
-def drawn(model):
+def random_busy_node(model):
     """A node that has somebody waiting; None without one."""
     busy = [node for node, queue in enumerate(model.queues) if queue]
     return model.random.choice(busy) if busy else None
@@ -90,17 +93,17 @@
 
 def oldest_by_draw(model):
     """Today's way: each slot is drawn for, and the node's oldest gets it."""
-    node = drawn(model)
+    node = random_busy_node(model)
     return None if node is None else (node, min(model.queues[node], key=lambda one: one.at))
 
 
 def tag_by_draw(model):
     """Tags without the line: each slot is drawn for, and the node's lowest tag gets it."""
-    node = drawn(model)
+    node = random_busy_node(model)
     return None if node is None else (node, min(model.queues[node], key=lambda one: one.tag))
 
 
-def tag_in_line(model):
+def tag_in_shared_queue(model):
     """Tags in one line over all nodes."""
     waiting = [(one.tag, one.at, node, one) for node, q in enumerate(model.queues) for one in q]
     if not waiting:
@@ -116,38 +119,41 @@
     got the least of those that wait.
     """
 
-    SAVED = 25
+    MAX_CREDIT = 25
     """Requests that a tenant may get at once after it was idle."""
     DIGEST = 0.25
     """Seconds after which nodes know what others served."""
 
     def __init__(self):
-        self.told, self.told_at = {}, 0.0
+        self.shared_counts, self.shared_at = {}, 0.0
         """What each tenant got, as all nodes know."""
-        self.own = {}
+        self.local_counts = {}
         """By node and tenant: what it got since then."""
 
     def __call__(self, model):
-        node = drawn(model)
+        node = random_busy_node(model)
         if node is None:
             return None
-        if model.now - self.told_at > self.DIGEST:
-            self._tell(model.now)
+        if model.now - self.shared_at > self.DIGEST:
+            self._share_counts(model.now)
         queue = model.queues[node]
-        least = min((self._got(node, one.tenant) for one in queue), default=0)
-        first = min(queue, key=lambda one: (self._got(node, one.tenant), one.at))
-        floor = max(0, least - self.told.get(first.tenant, 0))
-        own = self.own.setdefault(node, {})
-        own[first.tenant] = max(own.get(first.tenant, 0), floor) + 1
+        least = min((self._served(node, one.tenant) for one in queue), default=0)
+        first = min(queue, key=lambda one: (self._served(node, one.tenant), one.at))
+        floor = max(0, least - self.shared_counts.get(first.tenant, 0))
+        local_counts = self.local_counts.setdefault(node, {})
+        local_counts[first.tenant] = max(local_counts.get(first.tenant, 0), floor) + 1
         return node, first
 
-    def _tell(self, now):
-        for counts in self.own.values():
+    def _share_counts(self, now):
+        for counts in self.local_counts.values():
             for tenant, count in counts.items():
-                self.told[tenant] = self.told.get(tenant, 0) + count
-        busy = max(self.told.values(), default=0)
-        self.told = {tenant: max(count, busy - self.SAVED) for tenant, count in self.told.items()}
-        self.own, self.told_at = {}, now
-
-    def _got(self, node, tenant):
-        return self.told.get(tenant, 0) + self.own.get(node, {}).get(tenant, 0)
+                self.shared_counts[tenant] = self.shared_counts.get(tenant, 0) + count
+        busy = max(self.shared_counts.values(), default=0)
+        self.shared_counts = {
+            tenant: max(count, busy - self.MAX_CREDIT)
+            for tenant, count in self.shared_counts.items()
+        }
+        self.local_counts, self.shared_at = {}, now
+
+    def _served(self, node, tenant):
+        return self.shared_counts.get(tenant, 0) + self.local_counts.get(node, {}).get(tenant, 0)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -32,44 +32,48 @@
 )
 
 
-def crowd(book, count, now, prefix="c"):
+def add_tenants(node_accounts, count, now, prefix="c"):
     """Requests of so many tenants, one each."""
     for number in range(count):
-        book.record_request(f"{prefix}{number:04}", End.IN_TIME, now)
+        node_accounts.record_request(f"{prefix}{number:04}", End.IN_TIME, now)
 
 
 class SumTest(unittest.TestCase):
     @given(REQUESTS, st.integers(0, 3))
-    def test_totals_add_up_whatever_is_folded_and_the_bound_is_kept(self, requests, crowds):
-        book, now, sent = Accounts(), 0.0, []
+    def test_totals_are_exact_after_merging_and_number_of_accounts_is_bounded(
+        self, requests, bulk_rounds
+    ):
+        node_accounts, now, sent = Accounts(), 0.0, []
         for number, (tenant, end, pause, wait_ms) in enumerate(requests):
             now += pause
-            if number < crowds:
-                crowd(book, MAX_ACCOUNTS, now, f"c{number}-")
+            if number < bulk_rounds:
+                add_tenants(node_accounts, MAX_ACCOUNTS, now, f"c{number}-")
                 sent += [(now, End.IN_TIME, 0.0)] * MAX_ACCOUNTS
-            book.record_request(tenant, end, now, waited=wait_ms / 1000, sent=True)
+            node_accounts.record_request(tenant, end, now, waited=wait_ms / 1000, sent=True)
             sent.append((now, end, wait_ms / 1000))
-            self.assertLessEqual(len(book), MAX_ACCOUNTS)
-        total = total_of(row.total for row in book.rows(now))
+            self.assertLessEqual(len(node_accounts), MAX_ACCOUNTS)
+        total = total_of(row.total for row in node_accounts.rows(now))
         self.assertEqual(total.asked, len(sent))
         self.assertEqual(total.asked, sum(total.ends.values()))
         for end in End:
             self.assertEqual(total.ends.get(end, 0), sum(one == end for _, one, _ in sent))
         self.assertAlmostEqual(total.waited, sum(waited for *_, waited in sent))
         self.assertEqual(total.worst_wait, max((waited for *_, waited in sent), default=0.0))
-        lately = total_of(row.recent for row in book.rows(now))
+        lately = total_of(row.recent for row in node_accounts.rows(now))
         since = (now // SLICE_SECONDS - accounts.SLICES + 1) * SLICE_SECONDS
         self.assertEqual(lately.asked, sum(at >= since for at, *_ in sent))
 
     @given(REQUESTS)
-    def test_the_first_of_each_order_are_kept(self, requests):
-        book, now = Accounts(), 0.0
-        crowd(book, MAX_ACCOUNTS, now)
+    def test_top_tenants_of_each_order_keep_their_accounts(self, requests):
+        node_accounts, now = Accounts(), 0.0
+        add_tenants(node_accounts, MAX_ACCOUNTS, now)
         for tenant, end, pause, wait_ms in requests:
             now += pause
-            before = {row.tenant: row.recent for row in book.rows(now) if row.tenant != OTHERS}
-            book.record_request(tenant, end, now, engine_seconds=wait_ms / 1000)
-            after = {row.tenant for row in book.rows(now)}
+            before = {
+                row.tenant: row.recent for row in node_accounts.rows(now) if row.tenant != OTHERS
+            }
+            node_accounts.record_request(tenant, end, now, engine_seconds=wait_ms / 1000)
+            after = {row.tenant for row in node_accounts.rows(now)}
             for order in (
                 lambda counts: -counts.asked,
                 lambda counts: -counts.online_seconds,
@@ -77,81 +81,81 @@
             ):
                 self.assertLessEqual(set(top_tenants(before, order, TOP_TENANTS)), after)
 
-    def test_each_order_keeps_an_account_by_itself(self):
+    def test_rank_in_one_order_is_enough_to_keep_an_account(self):
         """A tenant that is first in one order only, and among the last in the others."""
-        book = Accounts()
+        node_accounts = Accounts()
         for number in range(TOP_TENANTS):
-            book.record_request(f"a{number}", End.IN_TIME, 0.0, engine_seconds=0.2)
-            book.record_request(f"a{number}", End.LATE, 0.0)
+            node_accounts.record_request(f"a{number}", End.IN_TIME, 0.0, engine_seconds=0.2)
+            node_accounts.record_request(f"a{number}", End.LATE, 0.0)
         for _ in range(3):
-            book.record_request("asks", End.IN_TIME, 0.0)
-        book.record_request("holds", End.IN_TIME, 0.0, engine_seconds=5.0)
-        book.record_request("starves", End.NO_ROOM, 0.0)
-        crowd(book, MAX_ACCOUNTS, 0.0)
-        rows = {row.tenant: row.total.asked for row in book.rows(0.0)}
+            node_accounts.record_request("asks", End.IN_TIME, 0.0)
+        node_accounts.record_request("holds", End.IN_TIME, 0.0, engine_seconds=5.0)
+        node_accounts.record_request("starves", End.NO_ROOM, 0.0)
+        add_tenants(node_accounts, MAX_ACCOUNTS, 0.0)
+        rows = {row.tenant: row.total.asked for row in node_accounts.rows(0.0)}
         self.assertEqual([rows.get(one) for one in ("asks", "holds", "starves")], [3, 1, 1])
 
-    def test_a_large_and_a_badly_served_tenant_among_thousands_keep_their_accounts(self):
-        book = Accounts()
+    def test_large_and_badly_served_tenants_keep_accounts_among_thousands(self):
+        node_accounts = Accounts()
         for second in range(60):
-            crowd(book, 60, float(second), f"s{second}-")
-            book.record_request("large", End.IN_TIME, second, engine_seconds=1.0)
-            book.record_request("starved", End.NO_ROOM, second)
-        rows = {row.tenant: row for row in book.rows(60.0)}
+            add_tenants(node_accounts, 60, float(second), f"s{second}-")
+            node_accounts.record_request("large", End.IN_TIME, second, engine_seconds=1.0)
+            node_accounts.record_request("starved", End.NO_ROOM, second)
+        rows = {row.tenant: row for row in node_accounts.rows(60.0)}
         self.assertEqual(rows["large"].total.engine_seconds, 60.0)
         self.assertEqual(rows["starved"].total.ends, {End.NO_ROOM: 60})
-        self.assertEqual(book.rows(60.0)[0].tenant, "starved")
+        self.assertEqual(node_accounts.rows(60.0)[0].tenant, "starved")
         self.assertEqual(sum(row.total.asked for row in rows.values()), 60 * 62)
 
 
 class CountTest(unittest.TestCase):
-    def test_lately_forgets_and_the_total_does_not(self):
-        book = Accounts()
-        book.record_request("a", End.LATE, 1.0)
-        self.assertEqual(book.rows(WINDOW - 0.1)[0].recent.asked, 1)
-        row = book.rows(WINDOW + SLICE_SECONDS)[0]
+    def test_window_expires_and_total_does_not(self):
+        node_accounts = Accounts()
+        node_accounts.record_request("a", End.LATE, 1.0)
+        self.assertEqual(node_accounts.rows(WINDOW - 0.1)[0].recent.asked, 1)
+        row = node_accounts.rows(WINDOW + SLICE_SECONDS)[0]
         self.assertEqual((row.recent.asked, row.total.asked), (0, 1))
 
-    def test_who_runs_now(self):
-        book = Accounts()
+    def test_running_requests_by_tenant(self):
+        node_accounts = Accounts()
         for tenant in ("a", "b", "b", "c", "c", "c"):
-            book.record_start(tenant)
-        self.assertEqual(book.holders(2), {"c": 3, "b": 2})
-        book.record_stop("a")
-        self.assertEqual(book.holders(9), {"c": 3, "b": 2})
-        book.record_request("c", End.IN_TIME, 0.0)
+            node_accounts.record_start(tenant)
+        self.assertEqual(node_accounts.holders(2), {"c": 3, "b": 2})
+        node_accounts.record_stop("a")
+        self.assertEqual(node_accounts.holders(9), {"c": 3, "b": 2})
+        node_accounts.record_request("c", End.IN_TIME, 0.0)
         self.assertEqual(
-            [(one.tenant, one.running) for one in book.rows(0.0)], [("c", 3), (OTHERS, 2)]
+            [(one.tenant, one.running) for one in node_accounts.rows(0.0)], [("c", 3), (OTHERS, 2)]
         )
 
-    def test_one_refusal_ranks_behind_many(self):
-        book = Accounts()
-        book.record_request("once", End.NO_ROOM, 0.0)
+    def test_one_refusal_ranks_behind_many_refusals(self):
+        node_accounts = Accounts()
+        node_accounts.record_request("once", End.NO_ROOM, 0.0)
         for _ in range(50):
-            book.record_request("often", End.NO_ROOM, 0.0)
-        self.assertEqual([row.tenant for row in book.rows(0.0)], ["often", "once"])
+            node_accounts.record_request("often", End.NO_ROOM, 0.0)
+        self.assertEqual([row.tenant for row in node_accounts.rows(0.0)], ["often", "once"])
 
-    def test_what_is_the_callers_own_doing_is_not_owed(self):
+    def test_ends_caused_by_the_caller_are_not_eligible(self):
         ends = {End.OVER_LIMIT: 2, End.LEFT: 1, End.INVALID: 3, End.IN_TIME: 1}
         counts = Counts(asked=7, ends=ends)
         self.assertEqual((counts.eligible, counts.in_time_share, counts.refused), (1, 1.0, 5))
 
-    def test_what_is_held_is_bounded_though_nobody_looks(self):
+    def test_slices_are_bounded_without_reads(self):
         """Slices of the sum of the others, too, are kept no longer than the window."""
-        book = Accounts()
+        node_accounts = Accounts()
         for number in range(200):
-            crowd(book, MAX_ACCOUNTS, number * SLICE_SECONDS, f"n{number}-")
-        self.assertLessEqual(len(book._others._slices), accounts.SLICES + 1)
-
-    def test_items(self):
-        book = Accounts()
-        book.record_item_run("a", 2.5, 0.0)
-        book.record_item_run("a", 1.0, 0.0)
-        book.record_item_end("a", ItemOutcome.LATE, 0.0)
-        total = book.rows(0.0)[0].total
+            add_tenants(node_accounts, MAX_ACCOUNTS, number * SLICE_SECONDS, f"n{number}-")
+        self.assertLessEqual(len(node_accounts._others._slices), accounts.SLICES + 1)
+
+    def test_batch_items_are_counted(self):
+        node_accounts = Accounts()
+        node_accounts.record_item_run("a", 2.5, 0.0)
+        node_accounts.record_item_run("a", 1.0, 0.0)
+        node_accounts.record_item_end("a", ItemOutcome.LATE, 0.0)
+        total = node_accounts.rows(0.0)[0].total
         self.assertEqual((total.item_seconds, total.items), (3.5, {ItemOutcome.LATE: 1}))
 
-    def test_fields_are_read_back_also_those_of_another_build(self):
+    def test_fields_round_trip_and_accept_other_builds(self):
         counts = Counts(3, 2, {End.LATE: 3}, {ItemOutcome.LATE: 1}, 0.5, 0.25, 1.5, 2.5)
         self.assertEqual(Counts.from_fields(counts.fields()).fields(), counts.fields())
         self.assertEqual(Counts.from_fields({"asked": 2, "newer": 7}).asked, 2)
--- a/tests/test_competing_tenants.py
+++ b/tests/test_competing_tenants.py
@@ -15,12 +15,12 @@
     {"name": "hot", "apiKeys": ["hot-key"]},
     {"name": "small", "apiKeys": ["small-key"], "ratePerS": 50, "burst": 50},
 ]
-HELD = 0.4
-HOT = 30
+SLOT_TIME = 0.4
+HOT_REQUESTS = 30
 """Requests: they hold four slots for three seconds."""
 
 
-PLACES = 4 + MAX_ENGINE_QUEUE
+CAPACITY = 4 + MAX_ENGINE_QUEUE
 """Requests that the engine takes while others wait."""
 
 
@@ -35,7 +35,7 @@
         self.addCleanup(self.fleet.stop)
         self.nodes = list(self.fleet.nodes.values())
         wait_until(lambda: all(len(one.peers.all()) == 2 for one in self.nodes))
-        self.fleet.engines[0].usual = Behaviour(events=1, thinks=HELD)
+        self.fleet.engines[0].usual = Behaviour(events=1, thinks=SLOT_TIME)
         # Lenders begin with empty buckets, a keeper listens first, and a line needs all nodes.
         wait_until(lambda: all(one.peers.features() & Feature.LINE for one in self.nodes))
         self.sent = 0
@@ -54,7 +54,7 @@
         Returns:
             The runs' ids, and how many were at the engine when the other one came.
         """
-        sent = [self.send(f"n{number % 3}", "hot") for number in range(HOT)]
+        sent = [self.send(f"n{number % 3}", "hot") for number in range(HOT_REQUESTS)]
         gevent.sleep(0.5)
         before = len(self.fleet.engines[0].runs)
         sent += [self.send(f"n{number}", "small") for number in range(3)]
@@ -63,17 +63,17 @@
 
 
 class SharesTest(CompetingCase):
-    def test_a_small_tenant_goes_before_what_a_large_one_has_waiting(self):
+    def test_small_tenant_passes_backlog_of_large_tenant(self):
         runs, before = self.compete()
-        places = [number for number, name in enumerate(runs) if name.startswith("small")]
+        positions = [number for number, name in enumerate(runs) if name.startswith("small")]
         # A turn of the other's for each of its own, and what was granted when it came.
-        self.assertLess(max(places), before + 2 * 3 + PLACES)
+        self.assertLess(max(positions), before + 2 * 3 + CAPACITY)
         silent = [self.fleet.events(name, Event.LINE_SILENT) for name in self.fleet.nodes]
         granted = [self.fleet.events(name, Event.LINE_GRANTED) for name in self.fleet.nodes]
         self.assertTrue(any(granted), silent)
 
-    def test_operators_see_clock_tags_and_line(self):
-        waiting = [self.send(f"n{number % 3}", "hot") for number in range(HOT)]
+    def test_status_shows_clock_tags_and_zone_queue(self):
+        waiting = [self.send(f"n{number % 3}", "hot") for number in range(HOT_REQUESTS)]
         wait_until(lambda: any(one.status_document()["line"]["kept"] for one in self.nodes))
         rows = [row for one in self.nodes for row in one.status_document()["line"]["tags"]]
         self.assertIn("hot", {row["tenant"] for row in rows})
@@ -85,7 +85,7 @@
 class OneTenantTest(CompetingCase):
     tenants = [{"name": "hot", "apiKeys": ["hot-key", "small-key"]}]
 
-    def test_with_one_tenant_nothing_is_told_and_nobody_is_ordered(self):
+    def test_single_tenant_uses_no_shares_and_no_zone_queue(self):
         self.compete()
         for node in self.nodes:
             self.assertEqual(node._shares.pack(), b"")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -26,7 +26,7 @@
 from postvalve.settings.fleet import FleetConfiguration, parse_fleet_configuration
 from postvalve.settings.validation import InvalidSettingsGroup
 
-WITHIN = 16.0
+PROPAGATION_TIME = 16.0
 """Seconds in which an accepted revision is in force everywhere."""
 
 
@@ -68,7 +68,7 @@
 
         return run_virtual(run)
 
-    def test_a_revision_is_in_force_everywhere_within_seconds(self):
+    def test_revision_propagates_within_seconds(self):
         def run(fleet):
             store = operator(fleet, "a")
             revision = store.publish(changed(store, "x"), None, "a")
@@ -102,7 +102,7 @@
 
         self.session(run)
 
-    def test_the_answer_to_a_publication_is_lost(self):
+    def test_lost_answer_to_a_publication(self):
         def run(fleet):
             store = operator(fleet, "a")
             wanted = changed(store, "x")
@@ -119,18 +119,18 @@
 
         self.session(run)
 
-    def test_a_zone_that_is_cut_off_from_the_log_gets_it_from_peers(self):
+    def test_zone_without_log_gets_revision_from_peers(self):
         def run(fleet):
             fleet.log.model.faults.cut_zones.add("zone-1")
             gevent.sleep(3)
             store = operator(fleet, "a")
             revision = store.publish(changed(store, "x"), None, "a")
-            gevent.sleep(WITHIN)
+            gevent.sleep(PROPAGATION_TIME)
             self.assertEqual(set(revisions(fleet).values()), {revision})
 
         self.session(run)
 
-    def test_a_zone_that_is_cut_off_from_its_peers_gets_it_from_the_log(self):
+    def test_zone_without_peers_gets_revision_from_log(self):
         def run(fleet):
             fleet.network.cut("zone-0", "zone-1")
             store = operator(fleet, "a")
@@ -140,14 +140,14 @@
 
         self.session(run)
 
-    def test_a_node_restarts_in_an_outage_of_the_log(self):
+    def test_node_restarts_during_log_outage(self):
         def run(fleet):
             fleet.log.model.faults.fault = LogFault.DOWN
             fleet.kill_node("node-0-0")
             fleet.restart_node("node-0-0")
             chat = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
             early = fleet.request("node-0-0", "POST", "/v1/chat/completions", document=chat)
-            gevent.sleep(WITHIN)
+            gevent.sleep(PROPAGATION_TIME)
             later = fleet.request("node-0-0", "POST", "/v1/chat/completions", document=chat)
             return early, later
 
@@ -156,7 +156,7 @@
         self.assertEqual(early.document["error"]["verdict"], "not_run")
         self.assertEqual(later.status, 200)
 
-    def test_revisions_never_go_back_under_cuts_and_restarts(self):
+    def test_revisions_never_go_back_during_partitions(self):
         def run(fleet):
             seen = dict.fromkeys(fleet.nodes, NO_REVISION)
             store = operator(fleet, "a")
@@ -175,7 +175,7 @@
                 store.publish(changed(store, f"x{number}"), None, "a")
                 gevent.sleep(4)
             fleet.log.model.faults.cut_zones = set()
-            gevent.sleep(WITHIN)
+            gevent.sleep(PROPAGATION_TIME)
             self.assertFalse(watcher.dead, watcher.exception)
             self.assertEqual(len(set(revisions(fleet).values())), 1)
 
@@ -187,14 +187,14 @@
         body = records.ConfigurationChange(base_revision=base, document=b"{}")
         return Record(record_id, body)
 
-    def test_an_old_revision_from_a_peer_changes_nothing(self):
+    def test_old_revision_from_a_peer_is_ignored(self):
         history = ConfigurationHistory()
         history.observe(0, self.change("a", NO_REVISION))
         history.observe(1, self.change("b", 0))
         self.assertFalse(history.adopt(Revision(0, b"old")))
         self.assertEqual(history.newest_number, 1)
 
-    def test_a_peer_revision_does_not_disturb_decisions(self):
+    def test_revision_from_a_peer_does_not_affect_decisions(self):
         ahead, plain = ConfigurationHistory(), ConfigurationHistory()
         ahead.adopt(Revision(2, b"{}"))
         for offset, record in enumerate(
@@ -205,7 +205,7 @@
 
     @settings(derandomize=True, max_examples=200)
     @given(st.lists(st.tuples(st.integers(0, 9), st.integers(-1, 12)), max_size=14))
-    def test_differs_from_the_naive_version_in_nothing(self, changes):
+    def test_equals_naive_implementation(self, changes):
         history = ConfigurationHistory()
         in_force, seen = NO_REVISION, set()
         for offset, (record, base) in enumerate(changes):
@@ -219,7 +219,7 @@
 
 
 class SchemaTest(unittest.TestCase):
-    def test_every_mistake_is_reported_at_once(self):
+    def test_all_errors_are_reported_together(self):
         document = b"""{"tenants": [{"name": "bad name", "api_key_sha256": ["x"]}],
             "pools": [{"name": "p", "models": [], "engines": "zone in a"}],
             "drains": [{"name": "d", "machines": ""}], "unknown": 1}"""
@@ -238,7 +238,7 @@
             },
         )
 
-    def test_references_and_repeated_names(self):
+    def test_dangling_references_and_duplicate_names(self):
         key = "0" * 64
         document = {
             "tenants": [
@@ -251,7 +251,7 @@
         with self.assertRaisesRegex(ValueError, "stands twice.*other.*shares a key"):
             FleetConfiguration.model_validate(document)
 
-    def test_the_highest_precedence_then_the_first_wins(self):
+    def test_highest_precedence_then_first_wins(self):
         configuration = FleetConfiguration.model_validate(
             {
                 "tenants": [{"name": "a", "labels": {"t": "g"}, "api_key_sha256": ["0" * 64]}],
--- a/tests/test_engine_load.py
+++ b/tests/test_engine_load.py
@@ -16,7 +16,7 @@
 from postvalve.platform.dialect import ENGINE_LOAD, PlatformDialect
 
 LIFE = 7
-STEADY = 0.6
+PERIOD = 0.6
 """Seconds for which an engine of these tests keeps a pace."""
 
 
@@ -24,32 +24,32 @@
     return PlatformDialect().engine_load([(ENGINE_LOAD, value)], now)
 
 
-def told_in_turns(signal, lives=20, seconds=60.0, every=0.15, share=0.15, seed=1):
+def record_varying_pace(signal, lives=20, seconds=60.0, every=0.15, share=0.15, seed=1):
     """Each engine is 2.5 times as slow for some of the times of `STEADY` seconds."""
     draw = random.Random(seed)
     slow = {}
     now = 0.0
     while now < seconds:
         for life in range(lives):
-            turn = (life, int(now / STEADY))
-            if turn not in slow:
-                slow[turn] = draw.random() < share
-            signal.record(life, 2.5 if slow[turn] else 1.0, now + 0.001 * life)
+            period = (life, int(now / PERIOD))
+            if period not in slow:
+                slow[period] = draw.random() < share
+            signal.record(life, 2.5 if slow[period] else 1.0, now + 0.001 * life)
         now += every * draw.uniform(0.3, 1.7)
     return now
 
 
 class BorderTest(unittest.TestCase):
-    def test_three_figures(self):
+    def test_three_values(self):
         self.assertEqual(read("3,0,8"), EngineLoad(1.0, 3, 0, 8))
 
-    def test_four_figures(self):
+    def test_four_values(self):
         self.assertEqual(read(" 3, 1 ,8,250 "), EngineLoad(1.0, 3, 1, 8, 2.5))
 
-    def test_none(self):
+    def test_missing_header(self):
         self.assertIsNone(PlatformDialect().engine_load([("Other", "1,2,3")], 1.0))
 
-    def test_nonsense(self):
+    def test_malformed_header(self):
         for value in (
             "", "x", "3", "3,0", "-1,0,8", "3,0,8,-5", "3,0,8,0", "3,0,8,nan", "3,0,8,1e9",
             "3,0,8,100,7", "3,0,0,100", "3,,8,100", "9" * 40 + ",0,8", "3,0,8," + "9" * 40,
@@ -59,7 +59,7 @@
                 read(value)
 
     @given(st.text(max_size=300))
-    def test_whatever_it_is_it_is_read_or_named(self, value):
+    def test_any_text_is_parsed_or_rejected(self, value):
         try:
             load = read(value)
         except EngineLoadError as exc:
@@ -69,21 +69,21 @@
 
 
 class SignalTest(unittest.TestCase):
-    def test_how_long_a_reading_holds_is_learnt(self):
+    def test_confidence_follows_observed_duration(self):
         signal = PaceReadings()
-        told_in_turns(signal)
+        record_varying_pace(signal)
         self.assertGreater(signal.confidence(0.04), 0.7)
-        self.assertLess(signal.confidence(2 * STEADY), 0.3)
+        self.assertLess(signal.confidence(2 * PERIOD), 0.3)
         self.assertEqual(signal.confidence(60.0), 0.0)
 
-    def test_a_figure_that_changes_with_each_reading_counts_nothing(self):
+    def test_uncorrelated_readings_have_low_confidence(self):
         draw = random.Random(2)
         signal = PaceReadings()
         for number in range(2_000):
             signal.record(number % 10, draw.choice((1.0, 2.5)), number * 0.01)
         self.assertLess(max(signal.confidence(age) for age in (0.0, 0.1, 0.5)), 0.25)
 
-    def test_what_an_engine_always_tells_changes_nothing(self):
+    def test_constant_reading_has_no_effect(self):
         """Its usual pace is what its attempts show, and must not count twice."""
         signal = PaceReadings()
         for number in range(400):
@@ -91,20 +91,20 @@
                 signal.record(life, pace, number * 0.1 + life * 0.01)
         self.assertAlmostEqual(signal.factor(2, 40.0), 1.0, delta=0.02)
 
-    def test_before_pairs_were_seen_nothing_is_believed(self):
+    def test_no_confidence_without_pairs(self):
         signal = PaceReadings()
         signal.record(LIFE, 2.5, 1.0)
         self.assertTrue(signal.has_readings)
         self.assertEqual(signal.factor(LIFE, 1.0), 1.0)
 
-    def test_a_slow_turn_counts_while_it_is_fresh(self):
+    def test_slow_reading_counts_while_recent(self):
         signal = PaceReadings()
-        now = told_in_turns(signal)
+        now = record_varying_pace(signal)
         signal.record(LIFE, 2.5, now + 0.1)
         self.assertGreater(signal.factor(LIFE, now + 0.12), 1.5)
         self.assertLess(signal.factor(LIFE, now + 3.0), 1.2)
 
-    def test_an_older_reading_of_a_peer_is_passed_over(self):
+    def test_older_reading_from_a_peer_is_ignored(self):
         signal = PaceReadings()
         self.assertTrue(signal.record(LIFE, 1.0, 2.0))
         self.assertFalse(signal.record(LIFE, 9.0, 1.0, "n1"))
@@ -119,7 +119,7 @@
             self.assertTrue(1 / 260 < signal.factor(life, 100.0) < 260)
             self.assertTrue(0.0 <= signal.confidence(0.1) <= 1.0)
 
-    def test_engines_that_are_gone_are_forgotten(self):
+    def test_removed_engines_are_dropped(self):
         signal = PaceReadings()
         signal.record(LIFE, 2.0, 1.0)
         signal.retain({8})
@@ -127,13 +127,13 @@
 
 
 class CountsTest(unittest.TestCase):
-    def test_what_nobody_reports_counts_for_a_moment(self):
+    def test_unreported_requests_count_for_a_limited_time(self):
         counts = CountCorrection()
         counts.record(LIFE, 7, 4, 1.0)
         self.assertEqual(counts.requests(LIFE, 1.1), 3)
         self.assertEqual(counts.requests(LIFE, 1.0 + CORRECTION_TIME + 0.01), 0)
 
-    def test_an_engine_that_tells_fewer_is_not_believed_to_be_freer(self):
+    def test_lower_count_from_an_engine_is_ignored(self):
         """Requests that are on their way to it are not in its figures."""
         counts = CountCorrection()
         counts.record(LIFE, 7, 4, 1.0)
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -31,7 +31,7 @@
 OTHERS = [EngineLife.of(f"e{number}", 5) for number in range(3)]
 LIFE_BYTES = 12
 """Of a part that tells of one life."""
-TOLD_SECONDS = 20
+RUN_SECONDS = 20
 CONVERGED_AFTER = 12
 """Samples of a life after which its factor is within a fifth of the true one."""
 
@@ -48,7 +48,7 @@
     return pace
 
 
-def teach(pace, life, factor, count, start=0.0, step=0.1, spread=0.0, draw=None):
+def add_samples(pace, life, factor, count, start=0.0, step=0.1, spread=0.0, draw=None):
     for number in range(count):
         noise = draw.gauss(0, spread) if draw else 0.0
         for aspect in PaceMetric:
@@ -56,8 +56,8 @@
             pace.observe(life, aspect, seconds, 0.05, start + number * step)
 
 
-def tell(teller, pace, now, sources=1):
-    return teller.next_part(
+def next_part_of(writer, pace, now, sources=1):
+    return writer.next_part(
         pace.own_sample_times(), lambda life: pace.own_samples(life, now), [], sources, now
     )
 
@@ -69,9 +69,9 @@
 
 class LearningTest(unittest.TestCase):
     @given(samples)
-    def test_factors_are_bounded_whatever_is_shown(self, shown):
+    def test_factors_are_bounded_for_any_samples(self, observed):
         pace = pace_of()
-        for number, (life, aspect, seconds, expected) in enumerate(shown):
+        for number, (life, aspect, seconds, expected) in enumerate(observed):
             pace.observe(life, aspect, seconds, expected, number * 0.01)
         for life in (SLOW, *OTHERS):
             found = factors(pace, life, 1.0)
@@ -83,30 +83,30 @@
         st.floats(0.4, 3.0),
         st.integers(0, 10_000),
     )
-    def test_a_life_converges_within_the_stated_samples(self, factor, seed):
+    def test_factor_converges_within_stated_samples(self, factor, seed):
         draw = random.Random(seed)
         pace = pace_of()
         for life in OTHERS:
-            teach(pace, life, 1.0, 4 * CONVERGED_AFTER, spread=0.1, draw=draw)
-        teach(pace, SLOW, factor, CONVERGED_AFTER, spread=0.1, draw=draw)
+            add_samples(pace, life, 1.0, 4 * CONVERGED_AFTER, spread=0.1, draw=draw)
+        add_samples(pace, SLOW, factor, CONVERGED_AFTER, spread=0.1, draw=draw)
         found = factors(pace, SLOW, CONVERGED_AFTER * 0.1)
         for one in (found.first, found.pause, found.held):
             self.assertLess(abs(math.log(one / factor)), 0.2)
 
     @given(st.integers(0, 10_000))
-    def test_even_engines_hardly_ever_differ(self, seed):
+    def test_uniform_engines_rarely_differ(self, seed):
         """Three errors: of lives that are alike one in some hundred may, and then by little."""
         draw = random.Random(seed)
         pace = pace_of()
         for life in (SLOW, *OTHERS):
-            teach(pace, life, 1.0, 40, spread=0.3, draw=draw)
+            add_samples(pace, life, 1.0, 40, spread=0.3, draw=draw)
         for life in (SLOW, *OTHERS):
             found = factors(pace, life, 4.0)
             self.assertLess(abs(math.log(found.pause)), 0.3)
 
-    def test_nothing_is_known_of_a_new_life(self):
+    def test_restarted_engine_starts_without_factors(self):
         pace = pace_of()
-        teach(pace, SLOW, 2.0, 20)
+        add_samples(pace, SLOW, 2.0, 20)
         self.assertGreater(factors(pace, SLOW, 2.0).pause, 1.5)
         again = EngineLife.of("slow", 6)
         pace.retain(dict.fromkeys((again, *OTHERS), SERVICE))
@@ -114,35 +114,35 @@
         self.assertIs(factors(pace, SLOW, 2.0), UNIFORM)
         self.assertFalse(pace.differs(SERVICE))
 
-    def test_what_comes_of_a_former_life_teaches_nothing(self):
+    def test_samples_of_a_former_life_are_ignored(self):
         pace = pace_of(*OTHERS)
-        teach(pace, SLOW, 3.0, 20)
+        add_samples(pace, SLOW, 3.0, 20)
         pace.receive_samples("n1", engine_hash(SLOW), EngineSamples(2.0, 2.0))
         self.assertEqual(list(pace.sample_times()), [])
         self.assertFalse(pace.differs(SERVICE))
 
-    def test_an_engine_that_gets_no_work_is_tried_again(self):
+    def test_factors_of_an_unused_engine_expire(self):
         pace = pace_of()
-        teach(pace, SLOW, 2.0, 20)
+        add_samples(pace, SLOW, 2.0, 20)
         self.assertGreater(factors(pace, SLOW, 2.0).pause, 1.5)
         self.assertIs(factors(pace, SLOW, 2.0 + 8 * HALF_LIFE), UNIFORM)
 
-    def test_a_slow_engine_that_is_well_again_is_seen_to_be(self):
+    def test_recovery_of_a_slow_engine_is_noticed(self):
         pace = pace_of()
-        teach(pace, SLOW, 2.0, 30)
-        teach(pace, SLOW, 1.0, 30, start=3.0 + HALF_LIFE)
+        add_samples(pace, SLOW, 2.0, 30)
+        add_samples(pace, SLOW, 1.0, 30, start=3.0 + HALF_LIFE)
         self.assertLess(factors(pace, SLOW, 6.0 + HALF_LIFE).pause, 1.3)
 
-    def test_one_dark_sample_changes_nothing(self):
+    def test_one_outlier_has_no_effect(self):
         pace = pace_of()
         for life in (SLOW, *OTHERS):
-            teach(pace, life, 1.0, 20)
+            add_samples(pace, life, 1.0, 20)
         pace.observe(SLOW, PaceMetric.FIRST, 30.0, 0.05, 2.0)
         self.assertIs(factors(pace, SLOW, 2.0), UNIFORM)
 
-    def test_each_change_is_told_once(self):
+    def test_each_change_is_returned_once(self):
         pace = pace_of()
-        teach(pace, SLOW, 2.0, 20)
+        add_samples(pace, SLOW, 2.0, 20)
         changes = pace.update(2.0)
         self.assertEqual([(one.life, one.differs) for one in changes], [(SLOW, True)])
         self.assertEqual(pace.update(2.1), [])
@@ -150,109 +150,109 @@
 
 
 class PeersTest(unittest.TestCase):
-    def told(self, pace, now, sources=1):
-        teller = PacePartWriter()
-        tell(teller, PaceEstimator(), now - 1.0, sources)
-        return unpack_pace_part(tell(teller, pace, now, sources), now).lives
-
-    def hear_all(self, pace, peer, lives):
-        for life, shown in lives:
-            pace.receive_samples(peer, life, shown)
-
-    def test_a_node_that_starts_knows_by_its_peers(self):
-        teacher, newcomer = pace_of(), pace_of()
-        teach(teacher, SLOW, 2.0, 20)
-        self.hear_all(newcomer, "n1", self.told(teacher, 2.0))
+    def sent_samples(self, pace, now, sources=1):
+        writer = PacePartWriter()
+        next_part_of(writer, PaceEstimator(), now - 1.0, sources)
+        return unpack_pace_part(next_part_of(writer, pace, now, sources), now).lives
+
+    def receive_all(self, pace, peer, lives):
+        for life, observed in lives:
+            pace.receive_samples(peer, life, observed)
+
+    def test_starting_node_learns_from_peers(self):
+        peer, newcomer = pace_of(), pace_of()
+        add_samples(peer, SLOW, 2.0, 20)
+        self.receive_all(newcomer, "n1", self.sent_samples(peer, 2.0))
         self.assertAlmostEqual(factors(newcomer, SLOW, 2.0).pause, 2.0, delta=0.2)
 
-    def test_what_many_saw_a_little_of_is_seen_by_all(self):
+    def test_few_samples_from_many_nodes_add_up(self):
         """No node alone has enough samples of an engine that it sends little to."""
-        hearer = pace_of()
+        receiver = pace_of()
         for number in range(8):
             peer = pace_of()
-            teach(peer, SLOW, 2.0, 1)
+            add_samples(peer, SLOW, 2.0, 1)
             self.assertIs(factors(peer, SLOW, 0.1), UNIFORM)
-            self.hear_all(hearer, f"n{number}", self.told(peer, 0.1))
-        self.assertGreater(factors(hearer, SLOW, 0.1).pause, 1.5)
+            self.receive_all(receiver, f"n{number}", self.sent_samples(peer, 0.1))
+        self.assertGreater(factors(receiver, SLOW, 0.1).pause, 1.5)
 
-    def test_what_is_told_twice_counts_once(self):
-        hearer, peer = pace_of(), pace_of()
-        teach(peer, SLOW, 2.0, 1)
+    def test_repeated_samples_count_once(self):
+        receiver, peer = pace_of(), pace_of()
+        add_samples(peer, SLOW, 2.0, 1)
         for _ in range(20):
-            self.hear_all(hearer, "n1", self.told(peer, 0.1))
-        self.assertIs(factors(hearer, SLOW, 0.1), UNIFORM)
+            self.receive_all(receiver, "n1", self.sent_samples(peer, 0.1))
+        self.assertIs(factors(receiver, SLOW, 0.1), UNIFORM)
 
-    def test_nothing_heard_is_told_on(self):
-        hearer, peer = pace_of(), pace_of()
-        teach(peer, SLOW, 2.0, 20)
-        self.hear_all(hearer, "n1", self.told(peer, 2.0))
+    def test_samples_of_peers_are_not_forwarded(self):
+        receiver, peer = pace_of(), pace_of()
+        add_samples(peer, SLOW, 2.0, 20)
+        self.receive_all(receiver, "n1", self.sent_samples(peer, 2.0))
         life = engine_hash(SLOW)
-        self.assertEqual(list(hearer.own_sample_times()), [])
-        self.assertEqual(hearer.own_samples(life, 2.0).weight, 0.0)
-        self.assertGreater(hearer.samples_of(life, {"n1"}, 2.0).weight, 10.0)
-        self.assertEqual(hearer.samples_of(life, {"n2"}, 2.0).weight, 0.0)
-
-    def test_what_is_old_fades(self):
-        hearer, peer = pace_of(), pace_of()
-        teach(peer, SLOW, 2.0, 20)
-        self.hear_all(hearer, "n1", self.told(peer, 2.0))
-        self.assertIs(factors(hearer, SLOW, 2.0 + 8 * HALF_LIFE), UNIFORM)
-
-    def test_a_peer_that_is_wrong_is_outweighed_and_bounded(self):
-        hearer = pace_of()
+        self.assertEqual(list(receiver.own_sample_times()), [])
+        self.assertEqual(receiver.own_samples(life, 2.0).weight, 0.0)
+        self.assertGreater(receiver.samples_of(life, {"n1"}, 2.0).weight, 10.0)
+        self.assertEqual(receiver.samples_of(life, {"n2"}, 2.0).weight, 0.0)
+
+    def test_old_samples_decay(self):
+        receiver, peer = pace_of(), pace_of()
+        add_samples(peer, SLOW, 2.0, 20)
+        self.receive_all(receiver, "n1", self.sent_samples(peer, 2.0))
+        self.assertIs(factors(receiver, SLOW, 2.0 + 8 * HALF_LIFE), UNIFORM)
+
+    def test_wrong_peer_is_outweighed_and_bounded(self):
+        receiver = pace_of()
         for number in range(6):
             peer = pace_of()
             for life in (SLOW, *OTHERS):
-                teach(peer, life, 1.0, 20)
-            self.hear_all(hearer, f"n{number}", self.told(peer, 2.0))
-        liar = pace_of()
-        teach(liar, SLOW, 1e9, 20)
-        self.hear_all(hearer, "liar", self.told(liar, 2.0))
-        self.assertLess(factors(hearer, SLOW, 2.0).pause, 1.4)
+                add_samples(peer, life, 1.0, 20)
+            self.receive_all(receiver, f"n{number}", self.sent_samples(peer, 2.0))
+        wrong_peer = pace_of()
+        add_samples(wrong_peer, SLOW, 1e9, 20)
+        self.receive_all(receiver, "liar", self.sent_samples(wrong_peer, 2.0))
+        self.assertLess(factors(receiver, SLOW, 2.0).pause, 1.4)
 
     @given(st.integers(1, 400), st.integers(1, 200))
-    def test_a_part_is_bounded_and_comes_whole(self, count, sources):
+    def test_parts_are_bounded_and_cover_all_engines(self, count, sources):
         lives = [EngineLife.of(f"x{number}", 1) for number in range(count)]
         pace = pace_of(*lives)
         for life in lives:
-            teach(pace, life, 2.0, 1)
-        teller = PacePartWriter()
-        heard = set()
-        for number in range(2 * TOLD_SECONDS):
-            part = tell(teller, pace, number * 0.5, sources)
+            add_samples(pace, life, 2.0, 1)
+        writer = PacePartWriter()
+        received = set()
+        for number in range(2 * RUN_SECONDS):
+            part = next_part_of(writer, pace, number * 0.5, sources)
             self.assertLessEqual(len(part), MAX_PACE_PART_BYTES)
             if part:
-                heard |= {life for life, _ in unpack_pace_part(part, number * 0.5).lives}
+                received |= {life for life, _ in unpack_pace_part(part, number * 0.5).lives}
         # Half of the rate is for lives; each may need a part of its own.
-        if count * LIFE_BYTES <= (TOLD_SECONDS - 1) * MAX_RECEIVE_RATE / 2 / sources:
-            self.assertEqual(len(heard), count)
+        if count * LIFE_BYTES <= (RUN_SECONDS - 1) * MAX_RECEIVE_RATE / 2 / sources:
+            self.assertEqual(len(received), count)
 
     @given(st.binary(max_size=200))
-    def test_bytes_that_are_none_do_no_harm(self, data):
+    def test_malformed_bytes_do_no_harm(self, data):
         try:
-            told = unpack_pace_part(data, 1.0)
+            sent_samples = unpack_pace_part(data, 1.0)
         except struct.error:
             return
         pace = pace_of()
-        self.hear_all(pace, "n1", told.lives)
+        self.receive_all(pace, "n1", sent_samples.lives)
         pace.update(1.0)
 
 
 class AttemptTimesTest(unittest.TestCase):
-    def test_the_mean_pause(self):
+    def test_mean_pause(self):
         times = AttemptTimes(1.0)
         for number in range(MIN_PAUSES + 1):
             times.record_event(1.2 + number * 0.04)
         self.assertAlmostEqual(times.first_event, 0.2)
         self.assertAlmostEqual(times.mean_pause, 0.04)
 
-    def test_too_few_events_tell_nothing(self):
+    def test_too_few_pauses_give_no_mean(self):
         times = AttemptTimes(1.0)
         times.record_event(1.1)
         times.record_event(1.2)
         self.assertEqual(times.mean_pause, 0.0)
 
-    def test_a_reader_that_lags_shows_no_pause(self):
+    def test_lagging_reader_measures_no_pause(self):
         """Its events lay in a buffer, and it asked late for each."""
         times = AttemptTimes(1.0)
         for number in range(20):
--- a/tests/test_latency_estimate.py
+++ b/tests/test_latency_estimate.py
@@ -46,7 +46,7 @@
 loads = st.tuples(st.integers(1, 12), st.integers(0, 20), st.integers(0, 20), st.integers(0, 9_000))
 
 
-def learnt(first=0.06, held=0.8, pause=0.04, longest=0.1):
+def make_latency(first=0.06, held=0.8, pause=0.04, longest=0.1):
     pace = ServiceLatency()
     for number in range(40):
         pace.observe_first_event(100 + number * 30, first + number * 0.001)
@@ -96,8 +96,8 @@
 
 class EvenEnginesTest(unittest.TestCase):
     @given(st.lists(loads, max_size=6), st.integers(0, 3_000), st.floats(0, 2), st.booleans())
-    def test_what_is_expected_is_as_before(self, drawn, tokens, now, known):
-        pace = learnt() if known else ServiceLatency()
+    def test_estimates_equal_former_formulas(self, drawn, tokens, now, known):
+        pace = make_latency() if known else ServiceLatency()
         rooms = [EngineOccupancy(*one, pause_aim=0.001) for one in drawn]
         req = PendingRequest(0.0, 0.3, 5.0, tokens, True)
         self.assertEqual(
@@ -112,7 +112,7 @@
 
     @given(st.lists(st.tuples(loads, st.booleans(), st.booleans()), min_size=1, max_size=12),
            st.integers(0, 1_000))  # fmt: skip
-    def test_the_choice_is_as_before(self, drawn, seed):
+    def test_choice_equals_former_formula(self, drawn, seed):
         options = [
             EngineOption(EngineLife.of(f"e{n}"), "near" if near else "far", slots,
                          online + batch, batch, unread, cold)
@@ -128,8 +128,8 @@
 
 
 class UnevenEnginesTest(unittest.TestCase):
-    def test_a_slow_engine_takes_longer_in_every_part(self):
-        pace = learnt()
+    def test_slow_engine_is_estimated_slower_at_any_load(self):
+        pace = make_latency()
         for online in (0, SLOTS, SLOTS + 3):
             even = EngineOccupancy(SLOTS, online, 0, 0)
             slow = EngineOccupancy(SLOTS, online, 0, 0, SLOW)
@@ -137,34 +137,34 @@
             self.assertAlmostEqual(ratio, 2.0)
             self.assertGreater(queue_penalty(slow, 100, pace), 0.0)
 
-    def test_a_fast_engine_is_worth_less_than_nothing_more(self):
+    def test_fast_engine_has_negative_queue_penalty(self):
         fast = EngineOccupancy(SLOTS, 0, 0, 0, PaceFactors(0.5, 0.5, 0.5))
-        self.assertLess(queue_penalty(fast, 100, learnt()), 0.0)
+        self.assertLess(queue_penalty(fast, 100, make_latency()), 0.0)
 
-    def test_places_follow_from_the_pauses_that_callers_bear(self):
-        pace = learnt(longest=0.4)
+    def test_capacity_follows_from_the_pause_aim(self):
+        pace = make_latency(longest=0.4)
         self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW).capacity(pace), SLOTS)
         self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 0.8).capacity(pace), SLOTS)
         self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 0.41).capacity(pace), SLOTS // 2)
 
-    def test_the_least_full_engine_is_so_by_its_places(self):
-        pace = learnt(longest=0.4)
+    def test_least_loaded_engine_is_relative_to_capacity(self):
+        pace = make_latency(longest=0.4)
         slow = EngineOccupancy(SLOTS, 3, 0, 0, SLOW, 0.41)
         even = EngineOccupancy(SLOTS, 5, 0, 0)
         self.assertIs(least_loaded([slow, even], pace), even)
 
-    def test_a_slow_one_still_gets_something(self):
-        self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 1e-6).capacity(learnt()), 1)
+    def test_slow_engine_keeps_capacity_for_one_request(self):
+        self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 1e-6).capacity(make_latency()), 1)
 
-    def test_nothing_known_of_pauses_bounds_nothing(self):
+    def test_unknown_pauses_do_not_limit_capacity(self):
         self.assertEqual(capacity_within(SLOTS, ServiceLatency(), 4.0, 0.001), SLOTS)
 
     @given(st.integers(1, 64), st.floats(0.25, 4.0), st.floats(0.001, 5.0))
-    def test_places_are_within_slots(self, slots, factor, aim):
-        self.assertTrue(1 <= capacity_within(slots, learnt(), factor, aim) <= slots)
+    def test_capacity_is_within_slots(self, slots, factor, aim):
+        self.assertTrue(1 <= capacity_within(slots, make_latency(), factor, aim) <= slots)
 
-    def test_who_waits_and_who_is_in_time_take_the_same_answer(self):
-        pace = learnt()
+    def test_admission_and_expected_time_agree(self):
+        pace = make_latency()
         req = PendingRequest(0.0, 0.3, 5.0, 100, True)
         for factors in (SLOW, PaceFactors(0.5, 0.5, 0.5)):
             for online in range(SLOTS, SLOTS + 5):
@@ -185,16 +185,16 @@
             EngineEntry(life, SERVICE, f"{life}:1", "z", SLOTS, EngineState.READY)
             for life in self.lives
         )
-        self.fleet.paces._services[SERVICE] = learnt()
-        self.tell_pace()
+        self.fleet.paces._services[SERVICE] = make_latency()
+        self.report_usual_pace()
 
-    def tell_pace(self):
+    def report_usual_pace(self):
         """Engines tell how fast they are, all as usual."""
         signal = self.fleet.paces._signals[SERVICE] = PaceReadings()
         for life in self.lives:
             signal.record(engine_hash(life), 1.0, 100.0)
 
-    def show(self, life, factor):
+    def observe_factor(self, life, factor):
         for _ in range(20):
             for aspect in PaceMetric:
                 self.fleet.paces.learnt.observe(life, aspect, 0.05 * factor, 0.05, 100.0)
@@ -205,24 +205,24 @@
         terms = RequestTerms("r", None, None, "", 0, 100, 10)
         return self.fleet.place_online(SERVICE, terms, (), 0.3)
 
-    def test_a_slow_engine_gets_less_while_others_have_room(self):
-        self.show(self.lives[0], 2.5)
+    def test_slow_engine_gets_less_while_others_have_capacity(self):
+        self.observe_factor(self.lives[0], 2.5)
         placed = [self.place() for _ in range(16)]
         counts = {life: sum(one.engine.life == life for one in placed) for life in self.lives}
         self.assertLess(counts[self.lives[0]], 2)
         self.assertTrue(all(counts[life] >= 3 for life in self.lives[1:]))
 
-    def test_it_still_takes_what_the_others_have_no_slots_for(self):
-        self.show(self.lives[0], 2.5)
+    def test_slow_engine_takes_what_others_have_no_slots_for(self):
+        self.observe_factor(self.lives[0], 2.5)
         placed = [self.place() for _ in range(4 * SLOTS)]
         counts = {life: sum(one.engine.life == life for one in placed) for life in self.lives}
         self.assertGreaterEqual(counts[self.lives[0]], SLOTS // 2)
 
-    def test_the_line_grants_no_more_than_there_are_places(self):
+    def test_zone_queue_grants_no_more_than_the_capacity(self):
         """What it grants goes to an engine at once, whether `has_room` says so or not."""
         self.fleet.pause_aim = lambda service: 0.15
         for life in self.lives:
-            self.show(life, 2.5)
+            self.observe_factor(life, 2.5)
         identity = mock.Mock(zone="z")
         line = SharedZoneQueue(mock.Mock(fleet=self.fleet, identity=identity, clock=self.clock))
         while self.fleet.has_room(SERVICE):
@@ -231,7 +231,7 @@
         self.assertLess(online, len(self.lives) * SLOTS)
         self.assertLessEqual(line._free_slots(SERVICE), len(self.lives) * MAX_ENGINE_QUEUE)
 
-    def test_what_comes_late_of_an_engine_that_is_gone_teaches_nothing(self):
+    def test_late_reports_of_a_removed_engine_are_ignored(self):
         self.fleet.paces._signals.clear()
         placement = self.place()
         others = [life for life in self.lives if life != placement.engine.life]
@@ -244,33 +244,33 @@
         self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
         self.assertEqual(self.log.written[-1][0].name, "ENGINE_GONE")
 
-    def test_one_that_is_said_to_differ_is_logged_once(self):
-        self.show(self.lives[0], 2.5)
-        self.show(self.lives[0], 2.5)
+    def test_differing_engine_is_logged_once(self):
+        self.observe_factor(self.lives[0], 2.5)
+        self.observe_factor(self.lives[0], 2.5)
         told = [fields["engine"] for event, fields in self.log.written if "DIFFERS" in event.name]
         self.assertEqual(told, [self.lives[0]])
 
-    def test_engines_that_tell_no_pace_tell_peers_nothing(self):
+    def test_engines_without_reported_pace_are_not_sent_to_peers(self):
         """However they differ by what they showed."""
         self.fleet.paces._signals.clear()
         for factor in (1.0, 1.0, 2.5):
             self.clock.monotonic.return_value += 1.0
             self.assertEqual(self.fleet.paces.pack_report(20), b"")
             for life in self.lives:
-                self.show(life, factor)
+                self.observe_factor(life, factor)
         self.assertEqual(self.fleet.paces.pack_report(20), b"")
         self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
         self.assertIs(self.fleet._rooms_of(SERVICE), UNIFORM_CAPACITY)
         self.assertEqual(self.log.written[len(self.lives) :], [])
 
-    def test_what_a_peer_tells_wrongly_is_left_out(self):
+    def test_malformed_peer_message_is_ignored(self):
         self.fleet.paces._signals.clear()
         self.fleet.paces.receive("n1", b"\x09cut")
         self.assertIn("PEER_MESSAGE_INVALID", [event.name for event, _ in self.log.written])
         self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
 
-    def test_a_replaced_engine_begins_as_the_others(self):
-        self.show(self.lives[0], 2.5)
+    def test_replaced_engine_starts_without_factors(self):
+        self.observe_factor(self.lives[0], 2.5)
         again = EngineLife.of("e0", 2)
         self.fleet.update(
             EngineEntry(life, SERVICE, f"{life}:1", "z", SLOTS, EngineState.READY)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -40,15 +40,15 @@
 from postvalve.gateway.serving.admission_queue import AdmissionQueue
 from postvalve.gateway.serving.peer_queue_heads import MAX_REPORT_AGE
 from tests.gateway_support import RecordingEventLog
-from tests.test_fair_share import heaps, skewed
+from tests.test_fair_share import bursts, skewed
 from tests.test_holding import AIM, DEADLINE, learnt, request, room
-from tests.test_latency_estimate import learnt as learnt_by_pauses
+from tests.test_latency_estimate import make_latency
 
-ENGINES, SLOTS, HELD = 5, 8, 0.8
-CAPACITY = ENGINES * SLOTS / HELD
+ENGINES, SLOTS, SLOT_TIME = 5, 8, 0.8
+CAPACITY = ENGINES * SLOTS / SLOT_TIME
 """Requests a second."""
 STEP = 0.005
-PRESENT = 0.08
+FIRST_EVENT_TIME = 0.08
 """Seconds from a start to its first event."""
 
 
@@ -56,40 +56,40 @@
     def decide(self, occupancies, ahead=0, now=0.0, **terms):
         return decide_in_order(request(**terms), occupancies, learnt(), now, ahead)
 
-    def test_the_first_in_order_get_as_many_slots_as_there_are(self):
+    def test_requests_start_while_there_is_capacity(self):
         occupancies = [room(8 + MAX_ENGINE_QUEUE), room(6)]
         places = free_capacity(occupancies, learnt())
         self.assertIs(self.decide(occupancies, ahead=places - 1), AdmissionAction.START)
         self.assertIs(self.decide(occupancies, ahead=places), AdmissionAction.HOLD)
 
-    def test_an_engine_takes_no_more_than_its_places(self):
+    def test_engine_takes_no_more_than_its_capacity(self):
         """Those that would make its streams pause longer than callers bear wait in order."""
         slow = EngineOccupancy(SLOTS, 0, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
-        pace = learnt_by_pauses(longest=0.4)
+        pace = make_latency(longest=0.4)
         self.assertEqual(slow.capacity(pace), SLOTS // 2)
         slow.online = SLOTS // 2 + MAX_ENGINE_QUEUE
         self.assertIs(decide_in_order(request(), [slow], pace, 0.0, 0), AdmissionAction.HOLD)
         slow.online -= 1
         self.assertIs(decide_in_order(request(), [slow], pace, 0.0, 0), AdmissionAction.START)
 
-    def test_who_stands_too_far_behind_hears_it_at_once(self):
+    def test_request_too_far_behind_is_refused_at_once(self):
         self.assertIs(self.decide([room(9)], ahead=50, may_retry=True), AdmissionAction.REFUSE)
         self.assertIs(self.decide([room(9)], ahead=50), AdmissionAction.HOLD)
 
-    def test_the_first_is_held_where_it_can_be_in_time(self):
+    def test_first_request_is_held_while_it_can_be_in_time(self):
         for now in (0.0, 0.05):
             self.assertIs(self.decide([room(9)], now=now, may_retry=True), AdmissionAction.HOLD)
 
-    def test_nobody_is_held_longer_than_without_shares(self):
+    def test_hold_limit_equals_that_without_shares(self):
         for now in [number / 100 for number in range(100)]:
             ruling = self.decide([room(30)], 500, now)
             self.assertIs(ruling is AdmissionAction.START, now >= AIM * HOLD_SHARE, now)
 
-    def test_no_time_told_is_below_nothing(self):
+    def test_retry_after_is_not_negative(self):
         for left in (-2.0, 0.0, 0.1):
             self.assertGreaterEqual(retry_after_seconds(1.0, left, 0.5), 0.0)
 
-    def test_the_time_told_follows_the_line_and_fits_the_client(self):
+    def test_retry_after_follows_the_queue_and_the_client_deadline(self):
         self.assertEqual(retry_after_seconds(0.0, 60.0, 0.0), MIN_RETRY_AFTER)
         self.assertEqual(retry_after_seconds(2.0, 60.0, 0.0), 2.0)
         self.assertEqual(retry_after_seconds(20.0, 10.0, 1.0), 10.0 * RETRY_AFTER_SHARE)
@@ -98,7 +98,7 @@
 class Replay:
     """A pool of engines, one order, and what would have become of those turned away."""
 
-    def __init__(self, rates, burst, seed, *, by_age=False, returns=False):
+    def __init__(self, rates, burst, seed, *, by_arrival=False, retries=False):
         """Set up; `by_age` plays the way without shares, `returns` lets clients come back once."""
         self.random = draw = random.Random(seed)
         self.arrivals = []
@@ -108,14 +108,14 @@
                 now += draw.expovariate(rate * 2)
                 if draw.random() * 2 < burst(now):
                     self.arrivals.append((now, tenant, now))
-        self.asked = len(self.arrivals)
-        self.by_age, self.returns = by_age, returns
+        self.requested = len(self.arrivals)
+        self.by_arrival, self.retries = by_arrival, retries
         self.clock = ShareClock()
         self.book = TagAssigner(self.clock)
-        self.pace = learnt(PRESENT, HELD)
+        self.pace = learnt(FIRST_EVENT_TIME, SLOT_TIME)
         self.episode = OverloadEpisodes()
-        self.ends, self.waiting, self.ghosts = [], [], []
-        self.refused = self.wrongly = 0
+        self.ends, self.waiting, self.refused_requests = [], [], []
+        self.refused = self.wrongly_refused = 0
         self.in_time = [0] * len(rates)
 
     def run(self):
@@ -126,11 +126,11 @@
             self.arrivals.sort(reverse=True)
             while self.arrivals and self.arrivals[-1][0] <= now:
                 at, tenant, first = self.arrivals.pop()
-                tag = self.book.assign_tag(str(tenant), 1.0, Work(HELD))
-                self.waiting.append((at if self.by_age else tag, at, tenant, first))
-            self._look(now)
+                tag = self.book.assign_tag(str(tenant), 1.0, Work(SLOT_TIME))
+                self.waiting.append((at if self.by_arrival else tag, at, tenant, first))
+            self._evaluate(now)
 
-    def _look(self, now):
+    def _evaluate(self, now):
         self.waiting.sort()
         held = 0
         for one in list(self.waiting):
@@ -150,7 +150,7 @@
         terms = PendingRequest(at, AIM, first + DEADLINE, 450, at == first)
         if not finds_room(terms, occupancies, self.pace, now):
             self.episode.record_full(now)
-        if self.by_age:
+        if self.by_arrival:
             persistent = self.episode.persistent(now)
             return decide(terms, occupancies, self.pace, now, persistent=persistent)
         return decide_in_order(terms, occupancies, self.pace, now, held)
@@ -158,9 +158,9 @@
     def _refuse(self, one, occupancies, now, held):
         _, at, tenant, first = one
         self.refused += 1
-        self.ghosts.append(one)
-        self.book.assign_tag(str(tenant), 1.0, Work(0.0, -HELD))
-        if self.returns:
+        self.refused_requests.append(one)
+        self.book.assign_tag(str(tenant), 1.0, Work(0.0, -SLOT_TIME))
+        if self.retries:
             wait = zone_queue_wait(held, occupancies, self.pace)
             left = first + DEADLINE - now
             seconds = retry_after_seconds(
@@ -178,58 +178,68 @@
         self.clock.record_served(tag, min((other[0] for other in self.waiting), default=None))
         queued = max(0, len(self.ends) - ENGINES * SLOTS + 1)
         begins = now if not queued else sorted(self.ends)[queued - 1]
-        self.ends.append(begins + HELD)
-        self.in_time[tenant] += begins + PRESENT <= at + AIM
-        self.ghosts = [ghost for ghost in self.ghosts if begins + PRESENT <= ghost[1] + AIM]
-        before = [ghost for ghost in self.ghosts if ghost < one]
+        self.ends.append(begins + SLOT_TIME)
+        self.in_time[tenant] += begins + FIRST_EVENT_TIME <= at + AIM
+        self.refused_requests = [
+            refused_request
+            for refused_request in self.refused_requests
+            if begins + FIRST_EVENT_TIME <= refused_request[1] + AIM
+        ]
+        before = [
+            refused_request for refused_request in self.refused_requests if refused_request < one
+        ]
         if before and in_turn:
-            self.wrongly += 1
-            self.ghosts.remove(min(before))
+            self.wrongly_refused += 1
+            self.refused_requests.remove(min(before))
 
 
 class ReplayTest(unittest.TestCase):
-    WRONGLY = 0.02
+    MAX_WRONG_SHARE = 0.02
     """Of those turned away, that a slot would have come for in time."""
     LOADS = {
-        "heaps": ([CAPACITY * 0.09] * 10, heaps),
+        "heaps": ([CAPACITY * 0.09] * 10, bursts),
         "one at ten times its usual": ([CAPACITY * 0.06] * 9 + [CAPACITY * 0.6], lambda now: 1.0),
-        "75 tenants in heaps": (skewed(75, CAPACITY * 0.9), heaps),
+        "75 tenants in heaps": (skewed(75, CAPACITY * 0.9), bursts),
     }
 
-    def test_hardly_anybody_is_turned_away_who_could_have_been_served(self):
-        for (name, (rates, burst)), returns in itertools.product(self.LOADS.items(), (False, True)):
-            replays = [Replay(rates, burst, seed, returns=returns) for seed in range(4)]
+    def test_few_refused_requests_could_have_been_served(self):
+        for (name, (rates, burst)), retries in itertools.product(self.LOADS.items(), (False, True)):
+            replays = [Replay(rates, burst, seed, retries=retries) for seed in range(4)]
             for one in replays:
                 one.run()
             refused = sum(one.refused for one in replays)
-            wrongly = sum(one.wrongly for one in replays)
-            with self.subTest(name, returns=returns, refused=refused, wrongly=wrongly):
+            wrongly_refused = sum(one.wrongly_refused for one in replays)
+            with self.subTest(
+                name, retries=retries, refused=refused, wrongly_refused=wrongly_refused
+            ):
                 self.assertGreater(refused, 0)
-                self.assertLessEqual(wrongly, self.WRONGLY * refused)
+                self.assertLessEqual(wrongly_refused, self.MAX_WRONG_SHARE * refused)
 
-    def test_an_overload_that_lasts_is_answered_in_order_too(self):
+    def test_lasting_overload_is_served_in_order(self):
         """Clients come back once; by age engines would serve first come, first served then."""
-        lasting = {
+        lasting_loads = {
             "one at 16 times its usual": (
                 [CAPACITY * 0.06] * 9 + [CAPACITY * 0.96],
                 lambda now: 1.0,
             ),
             "75 tenants at 1.3 of the room": (skewed(75, CAPACITY * 1.3), lambda now: 1.0),
         }
-        for name, (rates, burst) in (self.LOADS | lasting).items():
+        for name, (rates, burst) in (self.LOADS | lasting_loads).items():
             hot = rates.index(max(rates))
             others = {}
-            for by_age in (True, False):
-                replays = [Replay(rates, burst, n, by_age=by_age, returns=True) for n in range(3)]
+            for by_arrival in (True, False):
+                replays = [
+                    Replay(rates, burst, n, by_arrival=by_arrival, retries=True) for n in range(3)
+                ]
                 for one in replays:
                     one.run()
-                others[by_age] = sum(sum(one.in_time) - one.in_time[hot] for one in replays)
+                others[by_arrival] = sum(sum(one.in_time) - one.in_time[hot] for one in replays)
             with self.subTest(name, others=others):
                 self.assertGreater(others[False], others[True])
 
 
 class NewsTest(unittest.TestCase):
-    def test_it_comes_as_it_was_sent_and_zones_tell_the_first(self):
+    def test_update_round_trip_and_merge(self):
         key = service_hash("s")
         one = ShareUpdate(5.0, {key: QueuePosition((0, 1), 7.0)})
         other = ShareUpdate(9.0, {key: QueuePosition((0, 1), 6.0), 3: QueuePosition((1, 1), 2.0)})
@@ -238,7 +248,7 @@
         self.assertEqual(merged, ShareUpdate(9.0, other.queue_heads))
         self.assertEqual(merge_share_updates([b"", b""]), b"")
 
-    def test_what_is_no_news_is_passed_over(self):
+    def test_malformed_updates_are_ignored(self):
         good = ShareUpdate(5.0, {1: QueuePosition((0, 0), 1.0)}).pack()
         for data in (b"", good[:-1], ShareUpdate(float("nan"), {}).pack()):
             self.assertIsNone(unpack_share_update(data))
@@ -282,22 +292,22 @@
         gevent.spawn(admit)
         gevent.sleep(0)
 
-    def look(self, now=None):
+    def evaluate(self, now=None):
         self.now = self.now if now is None else now
         self.room._reevaluate()
         for _ in range(3):
             gevent.sleep(0)
 
-    def news(self, tag, peer="p"):
+    def receive_queue_head(self, tag, peer="p"):
         self.room.peer_queue_heads.update(
             peer, ShareUpdate(1.0, {service_hash("s"): QueuePosition((0, 0), tag)})
         )
 
 
 class TurnTest(RoomCase):
-    def test_slots_beyond_its_places_are_nobodys_turn(self):
+    def test_slots_beyond_capacity_are_not_drawn_for(self):
         """Else nodes would draw for slots that no request may have."""
-        self.pace = learnt_by_pauses(longest=0.4)
+        self.pace = make_latency(longest=0.4)
         slow = EngineOccupancy(SLOTS, SLOTS // 2, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
         self.room.nodes = lambda: 100
         entry = mock.Mock(service="s")
@@ -305,28 +315,28 @@
 
 
 class OrderTest(RoomCase):
-    def test_priority_goes_before_share_and_share_before_time_left(self):
+    def test_priority_then_share_then_time_left(self):
         self.send("late", 5.0)
         self.send("share", 3.0, age=0.0)
         self.send("older", 3.0, age=0.05)
         self.send("urgent", 9.0, rank=(-1, 0))
         for _ in range(4):
             self.online = 8
-            self.look()
+            self.evaluate()
         self.assertEqual(self.started, ["urgent", "older", "share", "late"])
 
-    def test_one_in_front_is_passed_no_longer_than_any_request_is_held(self):
+    def test_request_is_passed_no_longer_than_the_hold_limit(self):
         self.send("least", 50.0, rank=(9, 0))
         for number in range(40):
             self.now = number * 0.01
             self.online = 8
             self.send(f"u{number}", 1.0, rank=(0, 0))
-            self.look()
+            self.evaluate()
             if "least" in self.started:
                 break
         self.assertLessEqual(self.now, AIM * HOLD_SHARE + 0.011)
 
-    def test_a_newcomer_does_not_pass_who_waits_here_or_elsewhere(self):
+    def test_new_request_does_not_pass_waiting_ones(self):
         self.send("waits", 3.0)
         self.online = 7
         self.send("behind", 8.0)
@@ -335,31 +345,31 @@
         self.send("before", 1.0)
         self.assertEqual(self.started, ["before"])
 
-    def test_who_waits_at_a_peer_goes_first_until_that_is_old(self):
-        self.news(3.0)
+    def test_queue_head_of_a_peer_goes_first_until_it_expires(self):
+        self.receive_queue_head(3.0)
         self.online = 7
         self.send("behind", 8.0)
         self.assertEqual(self.started, [])
         self.now = MAX_REPORT_AGE + 0.01
         self.send("newer", 9.0)
         self.assertEqual(self.started, [])  # one that waits here goes before it
-        self.look()
+        self.evaluate()
         self.assertEqual(self.started[0], "behind")
 
-    def test_those_that_start_move_the_clock_no_further_than_the_first_that_waits(self):
+    def test_started_requests_report_the_first_waiting_tag(self):
         served = []
         self.room.on_started = lambda tag, first: served.append((tag, first))
-        self.news(4.0)
+        self.receive_queue_head(4.0)
         self.send("a", 3.0)
         self.send("b", 6.0)
         self.online = 8
-        self.look()
+        self.evaluate()
         self.assertEqual(served, [(3.0, 4.0)])
 
-    def test_the_last_in_order_is_turned_away(self):
+    def test_last_requests_in_order_are_refused(self):
         for number in range(12):
             self.send(f"r{number}", float(number), allowed=DEADLINE)
-        self.look()
+        self.evaluate()
         kept = [f"r{number}" for number in range(12 - len(self.refused))]
         self.assertGreater(len(self.refused), 0)
         self.assertGreater(len(kept), 0)
@@ -367,15 +377,15 @@
 
 
 class LookerTest(RoomCase):
-    def test_one_that_comes_while_the_line_is_told_that_nobody_waits_is_looked_at(self):
+    def test_request_that_arrives_while_the_evaluator_ends_is_evaluated(self):
         """A datagram may wait for room in the socket, and others go on meanwhile."""
         self.room._evaluator = None
-        told = []
+        updates = []
 
-        def show(waiting):
-            told.append(waiting)
+        def update_waiting(waiting):
+            updates.append(waiting)
             # The look that finds nobody, then that the looker ends.
-            if told[-2:] == [{}, {}] and self.started == ["first"]:
+            if updates[-2:] == [{}, {}] and self.started == ["first"]:
                 self.online = 9
                 self.send("second", 2.0)
                 self.online = 7
@@ -384,7 +394,7 @@
             is_coordinated=lambda service: False,
             is_granted=lambda service, number: False,
             requests_ahead=lambda service, number: None,
-            update_waiting=show,
+            update_waiting=update_waiting,
         )
         self.send("first", 1.0)
         self.online = 7
@@ -398,8 +408,8 @@
     def plain(self, held, occupancies, draws):
         """What becomes of waiting requests `(rank, arrived at, may return)` at one look."""
         started, refused = [], []
-        for name, (_, at, back) in sorted(held.items(), key=lambda one: one[1][:2]):
-            terms = PendingRequest(at, AIM, at + DEADLINE, 450, back)
+        for name, (_, at, can_retry) in sorted(held.items(), key=lambda one: one[1][:2]):
+            terms = PendingRequest(at, AIM, at + DEADLINE, 450, can_retry)
             ruling = decide(terms, occupancies, self.pace, self.now)
             free = sum(max(0, one.slots - one.online) for one in occupancies)
             if ruling is AdmissionAction.START and not (
@@ -413,7 +423,7 @@
                 refused.append(name)
         return started, refused
 
-    def test_decisions_are_those_of_priority_age_and_draw(self):
+    def test_decisions_without_shares_equal_plain_copy(self):
         for seed in range(30):
             self.setUp()
             self.room.nodes = lambda: 5
@@ -423,21 +433,21 @@
                 self.now += draw.uniform(0, 0.01)
                 self.online = 30
                 rank = (draw.randrange(2), draw.randrange(2))
-                back = draw.random() < 0.5
-                self.send(f"r{number}", None, rank, DEADLINE if back else None)
-                held[f"r{number}"] = (rank, self.now, back)
+                can_retry = draw.random() < 0.5
+                self.send(f"r{number}", None, rank, DEADLINE if can_retry else None)
+                held[f"r{number}"] = (rank, self.now, can_retry)
             self.assertEqual((self.started, self.refused), ([], []))
             self.now = draw.uniform(0.12, 0.3)
             self.online = draw.choice((6, 7, 8, 9, 30))
             draws = random.Random(1)
             expected = self.plain(held, [room(self.online)], draws)
-            self.look()
+            self.evaluate()
             self.assertEqual(sorted(self.started), sorted(expected[0]))
             self.assertEqual(sorted(self.refused), sorted(expected[1]))
 
 
 class HeldTest(unittest.TestCase):
-    def test_the_longest_time_is_the_one_without_shares(self):
+    def test_hold_limit(self):
         self.assertFalse(hold_expired(request(), AIM * HOLD_SHARE - 0.001))
         self.assertTrue(hold_expired(request(), AIM * HOLD_SHARE))
 
--- a/tests/test_pace_reports.py
+++ b/tests/test_pace_reports.py
@@ -16,65 +16,65 @@
 
 
 class TurnsTest(FleetCase):
-    def begin(self, zones, nodes_each):
+    def start_fleet(self, zones, nodes_each):
         self.start(zones, nodes_each)
-        self.heard = {}
+        self.received = {}
         for node in self.nodes:
             paces = EnginePaces(self.clock, RecordingEventLog())
             paces.retain({SLOW: SERVICE, OTHER: SERVICE})
-            told = EngineLoad(self.clock.now, 0, 0, 8, 1.0)
+            reported = EngineLoad(self.clock.now, 0, 0, 8, 1.0)
             for life in (SLOW, OTHER):
-                paces.record_load(mock.Mock(engine=mock.Mock(life=life, service=SERVICE)), told)
+                paces.record_load(mock.Mock(engine=mock.Mock(life=life, service=SERVICE)), reported)
             node.reports._fleet.paces = paces
-            heard = self.heard[node.name] = set()
+            received = self.received[node.name] = set()
             paces.receive = mock.Mock(
-                side_effect=lambda _, data, heard=heard: self.take(data, heard)
+                side_effect=lambda _, data, received=received: self.receive_part(data, received)
             )
             node.reports.enable_pace_reports()
         self.play(2.0)
 
-    def take(self, data, heard):
+    def receive_part(self, data, received):
         if data:
-            heard |= {life for life, _ in unpack_pace_part(data, 0.0).lives}
+            received |= {life for life, _ in unpack_pace_part(data, 0.0).lives}
 
-    def show(self, node):
+    def make_slow(self, node):
         paces = node.reports._fleet.paces
         for _ in range(20):
             paces.learnt.observe(SLOW, PaceMetric.PAUSE, 0.1, 0.05, self.clock.now)
         paces.learnt.update(self.clock.now)
         self.assertTrue(paces.reports_pace(SERVICE))
 
-    def check_all_heard(self, teller):
+    def check_all_received(self, sender):
         for node in self.nodes:
-            if node is not teller:
-                self.assertIn(engine_hash(SLOW), self.heard[node.name])
+            if node is not sender:
+                self.assertIn(engine_hash(SLOW), self.received[node.name])
 
-    def test_a_report_out_of_turn_takes_nothing_from_the_others(self):
+    def test_report_out_of_turn_does_not_consume_pace_parts(self):
         """Those who watch over an engine, and who keeps a line, get one with each request."""
-        self.begin(1, 4)
-        teller = self.nodes[0]
-        self.show(teller)
+        self.start_fleet(1, 4)
+        sender = self.nodes[0]
+        self.make_slow(sender)
         for _ in range(3):
-            teller.reports.next_report()
-        teller.reports.schedule_report()
+            sender.reports.next_report()
+        sender.reports.schedule_report()
         self.play(RESEND_INTERVAL / 2)
-        self.check_all_heard(teller)
+        self.check_all_received(sender)
 
-    def test_nor_does_what_a_digest_is_made_of(self):
-        self.begin(1, 4)
-        teller = self.nodes[0]
-        self.show(teller)
-        teller.reports.zones.own_report()
-        teller.reports.schedule_report()
+    def test_own_part_of_a_digest_does_not_consume_pace_parts(self):
+        self.start_fleet(1, 4)
+        sender = self.nodes[0]
+        self.make_slow(sender)
+        sender.reports.zones.own_report()
+        sender.reports.schedule_report()
         self.play(RESEND_INTERVAL / 2)
-        self.check_all_heard(teller)
+        self.check_all_received(sender)
 
-    def test_peers_of_other_zones_hear_as_those_of_the_own(self):
-        self.begin(2, 3)
-        teller = self.nodes[0]
+    def test_other_zones_receive_pace_too(self):
+        self.start_fleet(2, 3)
+        sender = self.nodes[0]
         for _ in range(6):
-            self.show(teller)
-            teller.reports.schedule_report()
+            self.make_slow(sender)
+            sender.reports.schedule_report()
             self.play(0.5)
         self.play(RESEND_INTERVAL / 2)
-        self.check_all_heard(teller)
+        self.check_all_received(sender)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -30,19 +30,19 @@
 
 
 class PlanTest(unittest.TestCase):
-    def test_at_most_max_unavailable_change_at_once(self):
+    def test_at_most_max_unavailable_engines_change_at_once(self):
         orders = plan_orders(configuration(max_unavailable=2), views([{"m": "1"}] * 5))
         self.assertEqual([order.engine_id for order in orders], ["e0", "e1"])
 
-    def test_the_last_engine_of_a_model_is_not_taken(self):
+    def test_last_engine_of_a_model_is_kept(self):
         self.assertEqual(plan_orders(configuration(), views([{"m": "1"}])), [])
         self.assertEqual(plan_orders(configuration(), views([{"m": "1"}, {}]))[0].engine_id, "e1")
 
-    def test_an_empty_engine_loads_at_once(self):
+    def test_empty_engine_loads_at_once(self):
         orders = plan_orders(configuration(), views([{}]))
         self.assertEqual([(order.action, order.version) for order in orders], [("load", "2")])
 
-    def test_what_is_not_wanted_is_unloaded(self):
+    def test_undesired_models_are_unloaded(self):
         orders = plan_orders(configuration(), views([{"m": "2", "old": "1"}, {"old": "1"}]))
         self.assertIn(("e0", "unload", "old"), [(o.engine_id, o.action, o.model) for o in orders])
 
@@ -51,7 +51,7 @@
         st.lists(st.dictionaries(st.sampled_from("mn"), st.sampled_from("12")), max_size=6),
         st.integers(1, 3),
     )
-    def test_a_rollout_ends_and_never_takes_the_last(self, held, max_unavailable):
+    def test_rollout_completes_and_keeps_the_last_engine(self, held, max_unavailable):
         wanted = configuration(max_unavailable=max_unavailable, models=("m", "n"))
         engines = [dict(models) for models in held]
         for _ in range(20):
@@ -71,7 +71,7 @@
 
 
 class RolloutTest(unittest.TestCase):
-    def test_a_new_version_is_rolled_out_under_load(self):
+    def test_new_version_is_rolled_out_under_load(self):
         def run(loop):
             fleet = VirtualFleet(loop, FleetShape(engines=4))
             fleet.start()
@@ -95,7 +95,7 @@
         self.assertEqual(orders, [["load m=2"]] * 4)
         self.assertEqual({answer.status for answer in answers}, {200})
 
-    def test_an_older_fencing_token_is_refused(self):
+    def test_older_fencing_token_is_rejected(self):
         def run(loop):
             fleet = VirtualFleet(loop, FleetShape())
             engine = fleet.engines["engine-0"]
--- a/tests/test_resumed_streams.py
+++ b/tests/test_resumed_streams.py
@@ -20,7 +20,7 @@
             engine.plan = plan
         return fleet.request("n0", STREAM_PATH + "x")
 
-    def test_a_stream_that_no_engine_goes_on_with_looks_cut(self):
+    def test_failed_resumption_looks_truncated(self):
         for max_attempts in (2, 3):
             for status in (500, 422):
                 with self.subTest(max_attempts=max_attempts, status=status):
@@ -28,5 +28,5 @@
                     self.assertEqual(answer.status, 200)
                     self.assertFalse(answer.whole)
 
-    def test_a_failure_before_the_head_reaches_the_client(self):
+    def test_failure_before_the_head_reaches_the_client(self):
         self.assertEqual(self.answer(-1, 500, 2).status, 500)
--- a/tests/test_stale_counts.py
+++ b/tests/test_stale_counts.py
@@ -16,13 +16,13 @@
 NODES, ENGINES, SLOTS = 20, 24, 6
 REPORT_AGE = 0.13
 """Seconds after which a request of another node is known: half a report's interval and a gather."""
-HELD = 0.8
+SLOT_TIME = 0.8
 """Seconds that a request holds its slot, in the mean."""
-CALM, HEAP = 60.0, 150.0
+BASE_RATE, BURST_RATE = 60.0, 150.0
 """Requests a second, all nodes together; the slots serve 180."""
-HEAP_EVERY, HEAP_TIME = 6.0, 2.4
+BURST_INTERVAL, BURST_SECONDS = 6.0, 2.4
 """Seconds."""
-DAY = 40.0
+RUN_SECONDS = 40.0
 
 
 class Zone:
@@ -32,77 +32,78 @@
         self.random = random.Random(seed)
         self.engines = [f"e{number}" for number in range(ENGINES)]
         nodes = [f"n{number}" for number in range(NODES)]
-        watcher = {engine: preferred_owner(engine, nodes) for engine in self.engines}
+        watcher_of = {engine: preferred_owner(engine, nodes) for engine in self.engines}
         self.watched = {
-            node: [engine for engine in self.engines if watcher[engine] == node] for node in nodes
+            node: [engine for engine in self.engines if watcher_of[engine] == node]
+            for node in nodes
         }
         self.own_first = own_first
         # Clients keep few connections: a node has up to ten times what another one has.
         self.weights = {node: self.random.uniform(0.2, 2.0) for node in nodes}
         self.chooser = EngineChooser("near", self.random)
-        self.now_at = collections.Counter()
-        self.told = collections.Counter()
+        self.actual = collections.Counter()
+        self.reported = collections.Counter()
         """What reports have told, by engine; all nodes have the same ones."""
-        self.untold = collections.Counter()
+        self.unreported = collections.Counter()
         """By node and engine: its own requests that no report has told yet."""
-        self.due = []
+        self.scheduled = []
         """Changes to come: time, order, what."""
         self.order = 0
         self.waited = self.placed = self.elsewhere = 0
 
-    def at(self, time, act, *arguments):
+    def schedule(self, time, action, *arguments):
         self.order += 1
-        heapq.heappush(self.due, (time, self.order, act, arguments))
+        heapq.heappush(self.scheduled, (time, self.order, action, arguments))
 
     def count(self, node, engine, change, time):
-        self.now_at[engine] += change
-        self.untold[node, engine] += change
-        self.at(time + REPORT_AGE, self.tell, node, engine, change)
+        self.actual[engine] += change
+        self.unreported[node, engine] += change
+        self.schedule(time + REPORT_AGE, self.report, node, engine, change)
 
-    def tell(self, _time, node, engine, change):
-        self.told[engine] += change
-        self.untold[node, engine] -= change
+    def report(self, _time, node, engine, change):
+        self.reported[engine] += change
+        self.unreported[node, engine] -= change
 
     def leave(self, time, node, engine):
         self.count(node, engine, -1, time)
 
-    def seen(self, node, engine):
+    def known_count(self, node, engine):
         if engine in self.watched[node]:
-            return self.now_at[engine]
-        return self.told[engine] + self.untold[node, engine]
+            return self.actual[engine]
+        return self.reported[engine] + self.unreported[node, engine]
 
     def place(self, time, node):
         options = [
-            EngineOption(engine, "near", SLOTS, max(0, self.seen(node, engine)))
+            EngineOption(engine, "near", SLOTS, max(0, self.known_count(node, engine)))
             for engine in self.engines
         ]
         own = self.watched[node] if self.own_first else ()
         engine = self.chooser.choose(options, "", 0, own).life
         self.placed += 1
-        self.waited += self.now_at[engine] >= SLOTS
+        self.waited += self.actual[engine] >= SLOTS
         self.elsewhere += engine not in self.watched[node]
         self.count(node, engine, 1, time)
-        self.at(time + self.random.expovariate(1 / HELD), self.leave, node, engine)
+        self.schedule(time + self.random.expovariate(1 / SLOT_TIME), self.leave, node, engine)
 
     def arrive(self, time):
         names = list(self.weights)
         node = self.random.choices(names, [self.weights[name] for name in names])[0]
         self.place(time, node)
-        rate = HEAP if time % HEAP_EVERY < HEAP_TIME else CALM
-        self.at(time + self.random.expovariate(rate), self.arrive)
-
-    def play(self):
-        self.at(0.0, self.arrive)
-        while self.due[0][0] < DAY:
-            time, _, act, arguments = heapq.heappop(self.due)
-            act(time, *arguments)
+        rate = BURST_RATE if time % BURST_INTERVAL < BURST_SECONDS else BASE_RATE
+        self.schedule(time + self.random.expovariate(rate), self.arrive)
+
+    def run(self):
+        self.schedule(0.0, self.arrive)
+        while self.scheduled[0][0] < RUN_SECONDS:
+            time, _, action, arguments = heapq.heappop(self.scheduled)
+            action(time, *arguments)
         return self
 
 
 class OwnFirstTest(unittest.TestCase):
-    def test_fewer_requests_wait_for_a_slot_and_fewer_are_told_out_of_turn(self):
-        former = [Zone(seed, own_first=False).play() for seed in range(4)]
-        now = [Zone(seed, own_first=True).play() for seed in range(4)]
+    def test_own_engine_bonus_reduces_waiting_and_remote_placement(self):
+        former = [Zone(seed, own_first=False).run() for seed in range(4)]
+        now = [Zone(seed, own_first=True).run() for seed in range(4)]
         for name, most in (("waited", 0.8), ("elsewhere", 0.6)):
             before = sum(getattr(zone, name) for zone in former) / sum(z.placed for z in former)
             after = sum(getattr(zone, name) for zone in now) / sum(z.placed for z in now)
@@ -111,7 +112,7 @@
 
 if __name__ == "__main__":
     for own_first in (False, True):
-        zones = [Zone(seed, own_first=own_first).play() for seed in range(6)]
+        zones = [Zone(seed, own_first=own_first).run() for seed in range(6)]
         placed = sum(zone.placed for zone in zones)
         for name in ("waited", "elsewhere"):
             print(own_first, name, round(sum(getattr(one, name) for one in zones) / placed, 4))
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -28,10 +28,10 @@
 STEP = 0.04
 """Seconds between events at an engine of speed 1."""
 NODES = 5
-REPORTS = 0.1
+REPORT_INTERVAL = 0.1
 """Seconds between two reports of a node."""
 SPEEDS = (0.55, 1.2, 1.2, 1.2) * 2
-EVEN_SPEEDS = (sum(SPEEDS) / len(SPEEDS),) * len(SPEEDS)
+UNIFORM_SPEEDS = (sum(SPEEDS) / len(SPEEDS),) * len(SPEEDS)
 CAPACITY = SLOTS * sum(SPEEDS) / (EVENTS * STEP)
 """Requests a second that all engines bear."""
 LOW, HIGH = (3.4, 0.3), (2.4, 0.95)
@@ -41,7 +41,7 @@
 SECONDS = 50.0
 SEEDS = (1, 2, 3)
 NOISE = EngineNoise(0.15, 2.5, 0.6)
-AIM = 0.3
+TARGET_LATENCY = 0.3
 BOUND = 1.15
 """By how much the first event's p99 may be worse than at even engines of the same sum."""
 
@@ -52,7 +52,7 @@
 
     speeds: tuple
     noise: EngineNoise = EngineNoise()
-    tells: bool = True
+    report_pace: bool = True
     """Whether engines tell their pace."""
     learns: bool = True
     seed: int = 1
@@ -104,7 +104,7 @@
 
     def report(self, name, fleet):
         while True:
-            gevent.sleep(REPORTS)
+            gevent.sleep(REPORT_INTERVAL)
             use, pace = fleet.use.report(), fleet.paces.pack_report(NODES - 1)
             for other in self.nodes:
                 if other is not fleet:
@@ -115,7 +115,7 @@
     def request(self, fleet):
         started = self.loop.now()
         terms = RequestTerms("r", None, None, "", 0, 100, EVENTS)
-        placement = fleet.place_online(SERVICE, terms, (), AIM)
+        placement = fleet.place_online(SERVICE, terms, (), TARGET_LATENCY)
         engine = self.engines[placement.engine.life]
         times = AttemptTimes(started)
         body = b'{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":%d}' % EVENTS
@@ -138,10 +138,10 @@
             self.firsts.append(seconds)
             self.placed[placement.engine.life] += 1
         fleet.record_prompt_read(placement)
-        if self.load.tells:
+        if self.load.report_pace:
             load = engine.model.load()
-            told = EngineLoad(now, load.running, load.waiting, SLOTS, engine.pace())
-            fleet.paces.record_load(placement, told)
+            reported = EngineLoad(now, load.running, load.waiting, SLOTS, engine.pace())
+            fleet.paces.record_load(placement, reported)
         fleet.paces.record_first_event(placement, seconds)
         if placement.found_slot:
             fleet.pace(SERVICE).observe_first_event(placement.to_read, seconds)
@@ -159,16 +159,16 @@
 
 class UnevenEnginesTest(unittest.TestCase):
     def check(self, noise):
-        even, uneven = p99(EVEN_SPEEDS, noise), p99(SPEEDS, noise)
+        even, uneven = p99(UNIFORM_SPEEDS, noise), p99(SPEEDS, noise)
         self.assertLessEqual(uneven, BOUND * even)
 
-    def test_first_events_come_as_at_even_engines_of_the_same_sum(self):
+    def test_first_events_as_fast_as_at_uniform_engines(self):
         self.check(EngineNoise())
 
-    def test_likewise_where_engines_turn_slow_for_moments(self):
+    def test_first_events_with_transient_slowness(self):
         self.check(NOISE)
 
-    def test_each_engine_gets_what_it_can_bear(self):
+    def test_load_follows_engine_speed(self):
         """No herd at the fast ones, and the slow ones are not left without work."""
         placed = play(SPEEDS, EngineNoise()).placed
         share = [count / sum(placed.values()) for count in placed.values()]
@@ -176,9 +176,9 @@
             fair = speed / sum(SPEEDS)
             self.assertTrue(fair * 0.6 <= one <= fair * 1.3, (speed, one, fair))
 
-    def test_engines_that_tell_no_pace_are_taken_for_alike(self):
+    def test_engines_without_reported_pace_count_as_uniform(self):
         """What attempts show in heaps makes equal engines look as if they differed."""
-        session = play(EVEN_SPEEDS, NOISE, tells=False)
+        session = play(UNIFORM_SPEEDS, NOISE, report_pace=False)
         for fleet in session.nodes:
             self.assertFalse(fleet.paces.reports_pace(SERVICE))
             self.assertEqual(fleet.paces.pack_report(NODES - 1), b"")
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -7,10 +7,10 @@
 
 
 class WeightTest(unittest.TestCase):
-    def test_rates_weigh_where_every_tenant_has_one(self):
+    def test_rates_are_the_weights_if_every_tenant_has_one(self):
         tenants = (RoutedTenant(name="a", rate=4.0), RoutedTenant(name="b", rate=1.0))
         self.assertEqual(tenant_weights(tenants), {"a": 4.0, "b": 1.0})
 
-    def test_all_count_alike_where_one_has_none(self):
+    def test_weights_are_equal_if_a_tenant_has_no_rate(self):
         tenants = (RoutedTenant(name="a", rate=4.0), RoutedTenant(name="b"))
         self.assertEqual(tenant_weights(tenants), {"a": 1.0, "b": 1.0})
