--- a/tests/share_model.py
+++ b/tests/share_model.py
@@ -1,6 +1,7 @@
-"""Tenants that compete for slots under virtual time: nodes, one pool of slots, an order of service.
+"""Model of tenants that compete for one pool of slots, in virtual time.
 
-An order takes the nodes' queues and says who gets a slot that came free: `(node, request)`.
+An order of service takes the nodes' queues and returns which request gets a free slot, as `(node,
+request)`.
 """
 
 import heapq
@@ -10,9 +11,9 @@
 from postvalve.core.scheduling.fair_share import ShareClock, TagAssigner, Work
 
 SLOT_TIME = 0.8
-"""Seconds that a request holds its slot."""
+"""Seconds for which a request occupies its slot."""
 MAX_WAIT = 0.6
-"""Seconds after which a request that has no slot is late."""
+"""Seconds after which a request without a slot is late."""
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +26,7 @@
 
 
 class Model:
-    """`rates` are requests a second of each tenant; all have the same weight."""
+    """`rates` holds the requests per second of each tenant; all tenants have the same weight."""
 
     def __init__(self, order, rates, slots, nodes=13, seed=1, burst=None):
         self.order, self.slots, self.random, self.now = order, slots, random.Random(seed), 0.0
@@ -49,7 +50,7 @@
         return times
 
     def run(self):
-        """Play all arrivals; returns the share of each tenant's requests that was in time."""
+        """Play all arrivals; return the share of each tenant's requests that was in time."""
         ends, arrivals = [], list(reversed(self.arrivals))
         while arrivals:
             arriving = not ends or arrivals[-1][0] <= ends[0]
@@ -76,7 +77,7 @@
         for queue in self.queues:
             for request in [one for one in queue if one.at + MAX_WAIT < now]:
                 queue.remove(request)
-                # Nothing was run for it: its tenant gets it back with the next ask.
+                # The request did not run, so its cost is returned with the tenant's next one.
                 self.book.assign_tag(str(request.tenant), 1.0, Work(0.0, -SLOT_TIME))
 
     def _serve(self, request):
@@ -86,25 +87,25 @@
 
 
 def random_busy_node(model):
-    """A node that has somebody waiting; None without one."""
+    """Return a random node that has waiting requests, or None."""
     busy = [node for node, queue in enumerate(model.queues) if queue]
     return model.random.choice(busy) if busy else None
 
 
 def oldest_by_draw(model):
-    """Today's way: each slot is drawn for, and the node's oldest gets it."""
+    """The order without shares: nodes draw for each slot, and the node's oldest request gets it."""
     node = random_busy_node(model)
     return None if node is None else (node, min(model.queues[node], key=lambda one: one.at))
 
 
 def tag_by_draw(model):
-    """Tags without the line: each slot is drawn for, and the node's lowest tag gets it."""
+    """Tags without a shared queue: nodes draw for each slot, and the node's lowest tag gets it."""
     node = random_busy_node(model)
     return None if node is None else (node, min(model.queues[node], key=lambda one: one.tag))
 
 
 def tag_in_shared_queue(model):
-    """Tags in one line over all nodes."""
+    """Tags in one queue over all nodes."""
     waiting = [(one.tag, one.at, node, one) for node, q in enumerate(model.queues) for one in q]
     if not waiting:
         return None
@@ -113,22 +114,22 @@
 
 
 class DeficitRoundRobin:
-    """The other way: each node takes its tenants in turn, by what digests tell that each got.
+    """The alternative: each node serves its tenants in turn, by the counts that digests report.
 
-    With equal requests the deficit is a count. A tenant that was idle starts where the one is that
-    got the least of those that wait.
+    With equal requests the deficit is a count. A tenant that was idle starts at the count of the
+    waiting tenant that was served least.
     """
 
     MAX_CREDIT = 25
-    """Requests that a tenant may get at once after it was idle."""
+    """Requests that a tenant may get in a row after it was idle."""
     DIGEST = 0.25
-    """Seconds after which nodes know what others served."""
+    """Seconds after which nodes know what others have served."""
 
     def __init__(self):
         self.shared_counts, self.shared_at = {}, 0.0
-        """What each tenant got, as all nodes know."""
+        """Requests served by tenant, as all nodes know."""
         self.local_counts = {}
-        """By node and tenant: what it got since then."""
+        """Requests served since then, by node and tenant."""
 
     def __call__(self, model):
         node = random_busy_node(model)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""What tenants got: sums that hold whatever is folded, and accounts of bounded number."""
+"""Usage accounts of tenants: exact totals after merging, and a bounded number of accounts."""
 
 import unittest
 
@@ -33,7 +33,7 @@
 
 
 def add_tenants(node_accounts, count, now, prefix="c"):
-    """Requests of so many tenants, one each."""
+    """Record one request of each of `count` tenants."""
     for number in range(count):
         node_accounts.record_request(f"{prefix}{number:04}", End.IN_TIME, now)
 
@@ -82,7 +82,7 @@
                 self.assertLessEqual(set(top_tenants(before, order, TOP_TENANTS)), after)
 
     def test_rank_in_one_order_is_enough_to_keep_an_account(self):
-        """A tenant that is first in one order only, and among the last in the others."""
+        """Each of three tenants is first in one order only, and last in the others."""
         node_accounts = Accounts()
         for number in range(TOP_TENANTS):
             node_accounts.record_request(f"a{number}", End.IN_TIME, 0.0, engine_seconds=0.2)
@@ -141,7 +141,7 @@
         self.assertEqual((counts.eligible, counts.in_time_share, counts.refused), (1, 1.0, 5))
 
     def test_slices_are_bounded_without_reads(self):
-        """Slices of the sum of the others, too, are kept no longer than the window."""
+        """Slices of the common account must be dropped after the window, too."""
         node_accounts = Accounts()
         for number in range(200):
             add_tenants(node_accounts, MAX_ACCOUNTS, number * SLICE_SECONDS, f"n{number}-")
--- a/tests/test_competing_tenants.py
+++ b/tests/test_competing_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants that compete at nodes that run: order over all nodes, and what operators see."""
+"""Tenants that compete at running nodes: order over all nodes, and the status for operators."""
 
 import unittest
 
@@ -17,18 +17,18 @@
 ]
 SLOT_TIME = 0.4
 HOT_REQUESTS = 30
-"""Requests: they hold four slots for three seconds."""
+"""Requests of the large tenant; they occupy four slots for three seconds."""
 
 
 CAPACITY = 4 + MAX_ENGINE_QUEUE
-"""Requests that the engine takes while others wait."""
+"""Requests that the engine accepts while others wait."""
 
 
 class CompetingCase(unittest.TestCase):
     tenants = TENANTS
 
     def setUp(self):
-        # The longest that a request is held is 8 s: nobody starts by that here.
+        # The longest hold is 8 s, so no request starts because of it here.
         self.fleet = GatewayFleet(
             nodes=3, engines=1, tenants=self.tenants, targetLatencyMs=10_000, timeoutMs=15_000
         )
@@ -36,7 +36,8 @@
         self.nodes = list(self.fleet.nodes.values())
         wait_until(lambda: all(len(one.peers.all()) == 2 for one in self.nodes))
         self.fleet.engines[0].usual = Behaviour(events=1, thinks=SLOT_TIME)
-        # Lenders begin with empty buckets, a keeper listens first, and a line needs all nodes.
+        # Lenders start with empty buckets, a coordinator listens first, and a queue needs all
+        # nodes.
         wait_until(lambda: all(one.peers.features() & Feature.LINE for one in self.nodes))
         self.sent = 0
 
@@ -49,10 +50,10 @@
         )
 
     def compete(self):
-        """One tenant fills all nodes, another one comes a little later.
+        """Let one tenant fill all nodes, and another one come a little later.
 
         Returns:
-            The runs' ids, and how many were at the engine when the other one came.
+            The request ids in order of start, and how many had started when the other tenant came.
         """
         sent = [self.send(f"n{number % 3}", "hot") for number in range(HOT_REQUESTS)]
         gevent.sleep(0.5)
@@ -66,7 +67,7 @@
     def test_small_tenant_passes_backlog_of_large_tenant(self):
         runs, before = self.compete()
         positions = [number for number, name in enumerate(runs) if name.startswith("small")]
-        # A turn of the other's for each of its own, and what was granted when it came.
+        # At most one request of the large tenant for each of the small one's, and earlier grants.
         self.assertLess(max(positions), before + 2 * 3 + CAPACITY)
         silent = [self.fleet.events(name, Event.LINE_SILENT) for name in self.fleet.nodes]
         granted = [self.fleet.events(name, Event.LINE_GRANTED) for name in self.fleet.nodes]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: accepted is in force everywhere within seconds and never reverts."""
+"""Configuration: an accepted revision is in force everywhere within seconds and never reverts."""
 
 import unittest
 
@@ -27,11 +27,11 @@
 from postvalve.settings.validation import InvalidSettingsGroup
 
 PROPAGATION_TIME = 16.0
-"""Seconds in which an accepted revision is in force everywhere."""
+"""Seconds within which an accepted revision must be in force everywhere."""
 
 
 def operator(fleet, name):
-    """An operator's access to the log."""
+    """Return an operator's access to the log."""
     place = Place(f"operator-{name}", "operator")
     log = VirtualLog(fleet.log, place)
     clock = VirtualClock(fleet.loop)
@@ -44,14 +44,14 @@
 
 
 def changed(store, tenant):
-    """The configuration in force with one label changed."""
+    """Return the configuration in force with one label changed."""
     configuration = store.newest_configuration()
     tenants = [one.model_copy(update={"labels": {"mark": tenant}}) for one in configuration.tenants]
     return configuration.model_copy(update={"tenants": tenants})
 
 
 def revisions(fleet):
-    """Revision in force at each running node."""
+    """Return the revision in force at each running node."""
     return {
         node_id: node.node.status_document()["configuration_revision"]
         for node_id, node in fleet.nodes.items()
@@ -112,7 +112,7 @@
             self.assertEqual(caught.exception.verdict, "may_have_run")
             fleet.log.model.faults.fault = LogFault.NONE
             gevent.sleep(2)
-            # It took effect, once, though it was appended more than once.
+            # The change took effect once, though it was appended more than once.
             outcomes = [entry.outcome for entry in store.history()]
             self.assertEqual(outcomes.count(ChangeOutcome.ACCEPTED), 2)
             self.assertEqual(len(set(revisions(fleet).values())), 1)
@@ -210,7 +210,7 @@
         in_force, seen = NO_REVISION, set()
         for offset, (record, base) in enumerate(changes):
             outcome = history.observe(offset, self.change(str(record), base))
-            # The naive version: one variable, and the ids seen so far.
+            # Naive implementation: one variable, and the ids seen so far.
             accepted = record not in seen and base == in_force
             seen.add(record)
             in_force = offset if accepted else in_force
--- a/tests/test_engine_load.py
+++ b/tests/test_engine_load.py
@@ -1,4 +1,4 @@
-"""What engines tell of their load: read at the border, believed by its age."""
+"""Load figures from engines: parsing at the boundary, and confidence by age."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 LIFE = 7
 PERIOD = 0.6
-"""Seconds for which an engine of these tests keeps a pace."""
+"""Seconds for which an engine of these tests keeps its pace."""
 
 
 def read(value, now=1.0):
@@ -25,7 +25,7 @@
 
 
 def record_varying_pace(signal, lives=20, seconds=60.0, every=0.15, share=0.15, seed=1):
-    """Each engine is 2.5 times as slow for some of the times of `STEADY` seconds."""
+    """Record readings of engines that are 2.5 times as slow in some periods of `PERIOD` seconds."""
     draw = random.Random(seed)
     slow = {}
     now = 0.0
@@ -84,7 +84,8 @@
         self.assertLess(max(signal.confidence(age) for age in (0.0, 0.1, 0.5)), 0.25)
 
     def test_constant_reading_has_no_effect(self):
-        """Its usual pace is what its attempts show, and must not count twice."""
+        """An engine's lasting pace is part of the samples of its attempts, and must not count
+        twice."""
         signal = PaceReadings()
         for number in range(400):
             for life, pace in ((1, 1.0), (2, 1.8)):
@@ -134,7 +135,7 @@
         self.assertEqual(counts.requests(LIFE, 1.0 + CORRECTION_TIME + 0.01), 0)
 
     def test_lower_count_from_an_engine_is_ignored(self):
-        """Requests that are on their way to it are not in its figures."""
+        """Requests on their way to the engine are not in its count yet."""
         counts = CountCorrection()
         counts.record(LIFE, 7, 4, 1.0)
         counts.record(LIFE, 2, 4, 1.1)
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -1,4 +1,4 @@
-"""What lives of engines showed: learnt, told, merged, forgotten."""
+"""Engine pace: estimation from samples, exchange with peers, and decay."""
 
 import math
 import random
@@ -30,10 +30,10 @@
 SLOW = EngineLife.of("slow", 5)
 OTHERS = [EngineLife.of(f"e{number}", 5) for number in range(3)]
 LIFE_BYTES = 12
-"""Of a part that tells of one life."""
+"""Bytes of a part for the samples of one engine."""
 RUN_SECONDS = 20
 CONVERGED_AFTER = 12
-"""Samples of a life after which its factor is within a fifth of the true one."""
+"""Samples of an engine after which its factor is within 20% of the true one."""
 
 times = st.floats(min_value=-1e6, max_value=1e6, allow_nan=False)
 samples = st.lists(
@@ -95,7 +95,8 @@
 
     @given(st.integers(0, 10_000))
     def test_uniform_engines_rarely_differ(self, seed):
-        """Three errors: of lives that are alike one in some hundred may, and then by little."""
+        """At three standard errors, one in some hundred uniform engines may differ, and only
+        slightly."""
         draw = random.Random(seed)
         pace = pace_of()
         for life in (SLOW, *OTHERS):
@@ -166,7 +167,7 @@
         self.assertAlmostEqual(factors(newcomer, SLOW, 2.0).pause, 2.0, delta=0.2)
 
     def test_few_samples_from_many_nodes_add_up(self):
-        """No node alone has enough samples of an engine that it sends little to."""
+        """No single node has enough samples of an engine to which it sends little."""
         receiver = pace_of()
         for number in range(8):
             peer = pace_of()
@@ -207,7 +208,7 @@
             self.receive_all(receiver, f"n{number}", self.sent_samples(peer, 2.0))
         wrong_peer = pace_of()
         add_samples(wrong_peer, SLOW, 1e9, 20)
-        self.receive_all(receiver, "liar", self.sent_samples(wrong_peer, 2.0))
+        self.receive_all(receiver, "wrong", self.sent_samples(wrong_peer, 2.0))
         self.assertLess(factors(receiver, SLOW, 2.0).pause, 1.4)
 
     @given(st.integers(1, 400), st.integers(1, 200))
@@ -223,7 +224,7 @@
             self.assertLessEqual(len(part), MAX_PACE_PART_BYTES)
             if part:
                 received |= {life for life, _ in unpack_pace_part(part, number * 0.5).lives}
-        # Half of the rate is for lives; each may need a part of its own.
+        # Half of the byte rate is for samples; each engine may need a part of its own.
         if count * LIFE_BYTES <= (RUN_SECONDS - 1) * MAX_RECEIVE_RATE / 2 / sources:
             self.assertEqual(len(received), count)
 
@@ -253,7 +254,7 @@
         self.assertEqual(times.mean_pause, 0.0)
 
     def test_lagging_reader_measures_no_pause(self):
-        """Its events lay in a buffer, and it asked late for each."""
+        """The reader requests each event late, so all of them are in a buffer already."""
         times = AttemptTimes(1.0)
         for number in range(20):
             times.requested_at = 1.2 + number * 2.0
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Fair shares: how far tenants get apart, and what tags do under load against other orders."""
+"""Fair shares: difference between tenants, and service by start tags compared with other orders."""
 
 import math
 import random
@@ -28,7 +28,7 @@
 
 SLOTS = 40
 CAPACITY = SLOTS / SLOT_TIME
-"""Requests a second."""
+"""Requests per second."""
 SEEDS = range(4)
 QUEUE = 4
 """Requests that each tenant has waiting in the property test."""
@@ -43,12 +43,12 @@
 
 
 def bursts(now):
-    """2.4 s at 1.87 times the mean, then a pause."""
+    """Return the load factor at `now`: 2.4 s at 1.87 times the mean, then a pause."""
     return 1.87 if now % 5 < 2.4 else 0.2
 
 
 def served(make_order, rates, burst=None):
-    """Share in time by tenant, of those that asked at least ten times, and of all."""
+    """Return the share of requests in time, by tenant (None below ten requests) and in total."""
     done, requested = [0] * len(rates), [0] * len(rates)
     for seed in SEEDS:
         model = Model(make_order(), rates, SLOTS, seed=seed, burst=burst)
@@ -62,31 +62,31 @@
 
 
 class LoadTest(unittest.TestCase):
-    """Orders of service on the same arrivals; bounds are what callers are promised."""
+    """Orders of service with the same arrivals; the bounds are those promised to callers."""
 
-    USUAL = CAPACITY * 0.06
-    """Requests a second of a tenant that uses six tenths of its share."""
-    LEAST_SHARE = 0.85
-    """Of what all get, that the worst tenant within its share gets."""
+    USUAL_RATE = CAPACITY * 0.06
+    """Requests per second of a tenant that uses 60% of its share."""
+    MIN_SHARE = 0.85
+    """Lower bound of the in-time share of any tenant within its share."""
 
-    def worst_of_others(self, make_order, rates, burst=None):
+    def shares_of_others(self, make_order, rates, burst=None):
         by_tenant, total = served(make_order, rates, burst)
         hot = rates.index(max(rates))
         others = [one for n, one in enumerate(by_tenant) if n != hot and one is not None]
         return min(others), sum(others) / len(others), total
 
     def test_overloading_tenant_does_not_affect_others(self):
-        rates = [self.USUAL] * 9 + [10 * self.USUAL]
-        worst, mean, total = self.worst_of_others(lambda: tag_in_shared_queue, rates)
-        _, by_age, _ = self.worst_of_others(lambda: oldest_by_draw, rates)
-        self.assertGreaterEqual(worst, self.LEAST_SHARE)
+        rates = [self.USUAL_RATE] * 9 + [10 * self.USUAL_RATE]
+        worst, mean, total = self.shares_of_others(lambda: tag_in_shared_queue, rates)
+        _, by_age, _ = self.shares_of_others(lambda: oldest_by_draw, rates)
+        self.assertGreaterEqual(worst, self.MIN_SHARE)
         self.assertGreater(mean, by_age)
         self.assertGreater(total, 0.5)
 
     def test_bursts_of_75_tenants_cost_the_largest_ones(self):
         rates = skewed(75, CAPACITY * 0.9)
         results = {
-            name: self.worst_of_others(make, rates, bursts)
+            name: self.shares_of_others(make, rates, bursts)
             for name, make in (
                 ("age", lambda: oldest_by_draw),
                 ("draw", lambda: tag_by_draw),
@@ -96,18 +96,19 @@
         means = {name: mean for name, (_, mean, _) in results.items()}
         self.assertGreater(means["line"], means["draw"])
         self.assertGreater(means["draw"], means["age"])
-        # Order moves who is served, and costs hardly anybody's service.
+        # The order changes which requests are served, hardly how many.
         self.assertGreater(results["line"][2], results["age"][2] - 0.03)
 
     def test_tags_in_a_shared_queue_are_fairer_than_round_robin_per_node(self):
-        for rates in ([self.USUAL] * 9 + [10 * self.USUAL], skewed(75, CAPACITY * 1.3)):
-            _, in_line, _ = self.worst_of_others(lambda: tag_in_shared_queue, rates)
-            _, in_rounds, _ = self.worst_of_others(DeficitRoundRobin, rates)
+        for rates in ([self.USUAL_RATE] * 9 + [10 * self.USUAL_RATE], skewed(75, CAPACITY * 1.3)):
+            _, in_line, _ = self.shares_of_others(lambda: tag_in_shared_queue, rates)
+            _, in_rounds, _ = self.shares_of_others(DeficitRoundRobin, rates)
             self.assertGreater(in_line, in_rounds)
 
     def test_shares_hold_on_one_side_of_a_partition(self):
-        """Each side of a cut has its own line over half of the slots, and its own lenders."""
-        rates = [self.USUAL / 2] * 9 + [5 * self.USUAL]
+        """Each side of a partition has its own queue over half of the slots, and its own
+        lenders."""
+        rates = [self.USUAL_RATE / 2] * 9 + [5 * self.USUAL_RATE]
         done, requested = [0] * 10, [0] * 10
         for seed in SEEDS:
             model = Model(tag_in_shared_queue, rates, SLOTS // 2, nodes=6, seed=seed)
@@ -115,11 +116,12 @@
             done = [one + more for one, more in zip(done, model.in_time, strict=True)]
             requested = [one + more for one, more in zip(requested, model.requested, strict=True)]
         shares = [one / all_ for one, all_ in zip(done, requested, strict=True)]
-        self.assertGreaterEqual(min(shares[:9]), self.LEAST_SHARE)
+        self.assertGreaterEqual(min(shares[:9]), self.MIN_SHARE)
 
 
 class Competition:
-    """Tenants that always wait, one line, several nodes that stamp, and what befalls tags."""
+    """Tenants that always have requests waiting in one queue, nodes that assign tags, and
+    faults."""
 
     def __init__(self):
         self.clocks = {name: ShareClock() for name in NODES}
@@ -128,7 +130,7 @@
         self.waiting = []
         self.received = dict.fromkeys(WEIGHTS, 0.0)
         self.fault_work = dict.fromkeys(WEIGHTS, 0.0)
-        """Work by weight by which faults may have moved a tenant."""
+        """Work divided by weight by which faults may have shifted a tenant."""
         self.previous = {}
         self.fill_queues()
 
@@ -144,7 +146,8 @@
         self.waiting.append((tag, tenant))
 
     def serve(self, node, urgent):
-        """Serve the first in line, or one of the urgent tenant before its turn."""
+        """Serve the first request in the queue, or the first of the urgent tenant before its
+        turn."""
         chosen = min(one for one in self.waiting if not urgent or one[1] == "urgent")
         self.waiting.remove(chosen)
         tag, tenant = chosen
@@ -157,19 +160,19 @@
         self.clocks[receiver].merge(self.clocks[sender].now)
 
     def lose_tag(self, tenant, node):
-        """Nobody told the tag: a node stamps itself."""
+        """The lender's tag did not arrive, so the node assigns one itself."""
         if node != self.lender[tenant]:
             tag = self.books[node].assign_tag(tenant, WEIGHTS[tenant], Work(COST))
             self.fault_work[tenant] += COST / WEIGHTS[tenant]
             self.add_request(tenant, tag)
 
     def repeat_tag(self, tenant):
-        """A tag that was told for another request comes again."""
+        """A tag assigned to an earlier request is delivered again."""
         self.fault_work[tenant] += COST / WEIGHTS[tenant]
         self.add_request(tenant, self.previous[tenant])
 
     def move_lender(self, tenant, node):
-        """Another node lends, and knows nothing of what waits."""
+        """Another node becomes the lender, without knowledge of waiting requests."""
         if node != self.lender[tenant]:
             self.books[node].reset()
             for other, lender in self.lender.items():
@@ -188,7 +191,8 @@
         self.fault_work[tenant] += waits * COST / WEIGHTS[tenant]
 
     def excess_difference(self, one, other):
-        """Work by weight that two tenants of one priority are apart beyond what is allowed."""
+        """Return the difference in weighted work between two tenants of equal priority, less the
+        allowed one."""
         return abs(self.received[one] - self.received[other]) - self.allowed_difference(one, other)
 
     def allowed_difference(self, one, other):
@@ -237,7 +241,7 @@
 
 
 class CorrectionsTest(unittest.TestCase):
-    """What a node tells of a tenant's former requests, however many ended at once."""
+    """Corrections that a node reports for a tenant's former requests, however many end at once."""
 
     def setUp(self):
         tenants = [mock.Mock(rate=0.0), mock.Mock(rate=0.0)]
@@ -296,7 +300,7 @@
     def test_correction_moves_the_next_tag(self):
         self.book.assign_tag("t", 2.0, Work(1.0))
         self.assertEqual(self.book.assign_tag("t", 2.0, Work(1.0, 3.0)), INITIAL_TIME + 2.0)
-        # What a refused request had cost comes back: the next one has its place.
+        # The refused request's cost is returned, so the next one takes its position.
         self.assertEqual(self.book.assign_tag("t", 2.0, Work(1.0, -1.0)), INITIAL_TIME + 2.0)
 
     def test_corrections_give_no_tag_before_the_clock(self):
--- a/tests/test_latency_estimate.py
+++ b/tests/test_latency_estimate.py
@@ -1,4 +1,4 @@
-"""One answer for all who ask what an engine takes; even engines are taken as they were before."""
+"""Latency estimates of engines; for uniform engines they must equal the former formulas."""
 
 import random
 import unittest
@@ -57,7 +57,7 @@
 
 
 def former_queue_wait(room, pace):
-    """As it was before engines had factors."""
+    """Queue wait as computed before engines had pace factors."""
     total = room.online + room.batch
     if total < room.slots:
         return 0.0
@@ -174,7 +174,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """The shell: one node's choice among engines that showed to differ."""
+    """One node's choice among engines that differ in speed."""
 
     def setUp(self):
         self.clock = mock.Mock(**{"monotonic.return_value": 100.0})
@@ -189,7 +189,7 @@
         self.report_usual_pace()
 
     def report_usual_pace(self):
-        """Engines tell how fast they are, all as usual."""
+        """All engines report their usual pace."""
         signal = self.fleet.paces._signals[SERVICE] = PaceReadings()
         for life in self.lives:
             signal.record(engine_hash(life), 1.0, 100.0)
@@ -219,7 +219,7 @@
         self.assertGreaterEqual(counts[self.lives[0]], SLOTS // 2)
 
     def test_zone_queue_grants_no_more_than_the_capacity(self):
-        """What it grants goes to an engine at once, whether `has_room` says so or not."""
+        """A grant goes to an engine at once, whether or not `has_room` is true."""
         self.fleet.pause_aim = lambda service: 0.15
         for life in self.lives:
             self.observe_factor(life, 2.5)
@@ -251,7 +251,7 @@
         self.assertEqual(told, [self.lives[0]])
 
     def test_engines_without_reported_pace_are_not_sent_to_peers(self):
-        """However they differ by what they showed."""
+        """This holds even if the samples of their attempts differ."""
         self.fleet.paces._signals.clear()
         for factor in (1.0, 1.0, 2.5):
             self.clock.monotonic.return_value += 1.0
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -1,4 +1,5 @@
-"""Requests wait in order, start and are turned away: the rule, replays, the waiting room."""
+"""Order, start and refusal of waiting requests: the decision, replays of load, the admission
+queue."""
 
 import itertools
 import random
@@ -46,10 +47,10 @@
 
 ENGINES, SLOTS, SLOT_TIME = 5, 8, 0.8
 CAPACITY = ENGINES * SLOTS / SLOT_TIME
-"""Requests a second."""
+"""Requests per second."""
 STEP = 0.005
 FIRST_EVENT_TIME = 0.08
-"""Seconds from a start to its first event."""
+"""Seconds from the start of a request to its first event."""
 
 
 class RuleTest(unittest.TestCase):
@@ -63,7 +64,8 @@
         self.assertIs(self.decide(occupancies, ahead=places), AdmissionAction.HOLD)
 
     def test_engine_takes_no_more_than_its_capacity(self):
-        """Those that would make its streams pause longer than callers bear wait in order."""
+        """Requests beyond it would lengthen pauses above what callers accept, so they wait in
+        order."""
         slow = EngineOccupancy(SLOTS, 0, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
         pace = make_latency(longest=0.4)
         self.assertEqual(slow.capacity(pace), SLOTS // 2)
@@ -96,10 +98,11 @@
 
 
 class Replay:
-    """A pool of engines, one order, and what would have become of those turned away."""
+    """Replays load on a pool of engines in one order, and tracks what refused requests missed."""
 
     def __init__(self, rates, burst, seed, *, by_arrival=False, retries=False):
-        """Set up; `by_age` plays the way without shares, `returns` lets clients come back once."""
+        """Set up a run; `by_arrival` uses the decision without shares, with `retries` clients retry
+        once."""
         self.random = draw = random.Random(seed)
         self.arrivals = []
         for tenant, rate in enumerate(rates):
@@ -169,9 +172,10 @@
             self.arrivals.append((now + seconds, tenant, first))
 
     def _start(self, one, now):
-        """A slot goes to `one`; the first of those turned away may have had it.
+        """Give a slot to `one`, and count the first refused request that would have got it instead.
 
-        Not where `one` was held for as long as any: it goes to an engine then whoever waits.
+        It is not counted if `one` was held for the longest time allowed: then it starts in any
+        case.
         """
         tag, at, tenant, _ = one
         in_turn = now - at < AIM * HOLD_SHARE
@@ -195,11 +199,14 @@
 
 class ReplayTest(unittest.TestCase):
     MAX_WRONG_SHARE = 0.02
-    """Of those turned away, that a slot would have come for in time."""
+    """Upper bound of the share of refused requests that would have got a slot in time."""
     LOADS = {
-        "heaps": ([CAPACITY * 0.09] * 10, bursts),
-        "one at ten times its usual": ([CAPACITY * 0.06] * 9 + [CAPACITY * 0.6], lambda now: 1.0),
-        "75 tenants in heaps": (skewed(75, CAPACITY * 0.9), bursts),
+        "bursts": ([CAPACITY * 0.09] * 10, bursts),
+        "one tenant at ten times its usual load": (
+            [CAPACITY * 0.06] * 9 + [CAPACITY * 0.6],
+            lambda now: 1.0,
+        ),
+        "75 tenants in bursts": (skewed(75, CAPACITY * 0.9), bursts),
     }
 
     def test_few_refused_requests_could_have_been_served(self):
@@ -216,13 +223,14 @@
                 self.assertLessEqual(wrongly_refused, self.MAX_WRONG_SHARE * refused)
 
     def test_lasting_overload_is_served_in_order(self):
-        """Clients come back once; by age engines would serve first come, first served then."""
+        """Clients retry once. In order of arrival, engines would then serve first come, first
+        served."""
         lasting_loads = {
-            "one at 16 times its usual": (
+            "one tenant at 16 times its usual load": (
                 [CAPACITY * 0.06] * 9 + [CAPACITY * 0.96],
                 lambda now: 1.0,
             ),
-            "75 tenants at 1.3 of the room": (skewed(75, CAPACITY * 1.3), lambda now: 1.0),
+            "75 tenants at 1.3 of the capacity": (skewed(75, CAPACITY * 1.3), lambda now: 1.0),
         }
         for name, (rates, burst) in (self.LOADS | lasting_loads).items():
             hot = rates.index(max(rates))
@@ -255,7 +263,8 @@
 
 
 class RoomCase(unittest.TestCase):
-    """A waiting room with engines that a test fills and frees, and a clock that it moves."""
+    """An admission queue, with engines that a test fills and frees, and a clock that it
+    advances."""
 
     def setUp(self):
         self.now = 0.0
@@ -271,7 +280,7 @@
         self.room = AdmissionQueue(
             self.clock, RecordingEventLog(), self.fleet, random.Random(1), mock.Mock()
         )
-        # Looks are taken by hand.
+        # Tests trigger evaluations themselves.
         self.room._evaluator = mock.Mock()
 
     def send(self, name, tag=None, rank=(0, 0), allowed=None, age=0.0):
@@ -306,7 +315,7 @@
 
 class TurnTest(RoomCase):
     def test_slots_beyond_capacity_are_not_drawn_for(self):
-        """Else nodes would draw for slots that no request may have."""
+        """Otherwise nodes would draw for slots that no request may use."""
         self.pace = make_latency(longest=0.4)
         slow = EngineOccupancy(SLOTS, SLOTS // 2, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
         self.room.nodes = lambda: 100
@@ -352,7 +361,7 @@
         self.assertEqual(self.started, [])
         self.now = MAX_REPORT_AGE + 0.01
         self.send("newer", 9.0)
-        self.assertEqual(self.started, [])  # one that waits here goes before it
+        self.assertEqual(self.started, [])  # a request that waits here goes before it
         self.evaluate()
         self.assertEqual(self.started[0], "behind")
 
@@ -378,13 +387,13 @@
 
 class LookerTest(RoomCase):
     def test_request_that_arrives_while_the_evaluator_ends_is_evaluated(self):
-        """A datagram may wait for room in the socket, and others go on meanwhile."""
+        """An update may block on a full socket buffer, while other greenlets go on."""
         self.room._evaluator = None
         updates = []
 
         def update_waiting(waiting):
             updates.append(waiting)
-            # The look that finds nobody, then that the looker ends.
+            # The first empty update comes from the evaluation, the second as the evaluator ends.
             if updates[-2:] == [{}, {}] and self.started == ["first"]:
                 self.online = 9
                 self.send("second", 2.0)
@@ -403,10 +412,11 @@
 
 
 class WithoutSharesTest(RoomCase):
-    """Without tags the way is by priority, age, rule and draw: a plain copy of it decides alike."""
+    """Without tags the order is by priority and arrival, with draws; a plain copy must decide
+    alike."""
 
     def plain(self, held, occupancies, draws):
-        """What becomes of waiting requests `(rank, arrived at, may return)` at one look."""
+        """Return which requests `(rank, arrived at, can retry)` start and which are refused."""
         started, refused = [], []
         for name, (_, at, can_retry) in sorted(held.items(), key=lambda one: one[1][:2]):
             terms = PendingRequest(at, AIM, at + DEADLINE, 450, can_retry)
--- a/tests/test_pace_reports.py
+++ b/tests/test_pace_reports.py
@@ -1,4 +1,4 @@
-"""What is told of engines' pace in turns comes to all peers, whatever else is sent to some."""
+"""Parts with engine pace, sent in turn, must reach all peers, whatever other reports go to some."""
 
 from unittest import mock
 
@@ -50,7 +50,7 @@
                 self.assertIn(engine_hash(SLOW), self.received[node.name])
 
     def test_report_out_of_turn_does_not_consume_pace_parts(self):
-        """Those who watch over an engine, and who keeps a line, get one with each request."""
+        """Nodes that watch an engine or coordinate a queue get a report with each request."""
         self.start_fleet(1, 4)
         sender = self.nodes[0]
         self.make_slow(sender)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which engine holds which model: the plan, and its orders."""
+"""Placement of models: the plan and its orders."""
 
 import unittest
 
@@ -65,7 +65,7 @@
                     self.assertTrue(set(served) - lost)
             for order in orders:
                 engines[int(order.engine_id[1:])][order.model] = order.version
-        # One engine alone keeps what it serves; any other number ends the rollout.
+        # A single engine keeps the models that it serves; with more engines the rollout completes.
         if len(engines) > 1:
             self.assertTrue(all(models == {"m": "2", "n": "2"} for models in engines))
 
--- a/tests/test_resumed_streams.py
+++ b/tests/test_resumed_streams.py
@@ -1,8 +1,9 @@
-"""Streams that go on at another engine, which answers with a failure.
+"""Streams that are resumed at another engine, which then answers with an error.
 
-Once its client has the head, only the rest of the stream may follow. The failure had no body, so it
-was read as the end of the stream: the client got a short answer that looked whole. On five days on
-which half of the engines failed many requests and some ended, it was one or two answers a day.
+Once the client has received the response head, only the rest of the stream may follow. The error
+had no body, so it was read as the end of the stream, and the client got a truncated answer that
+looked complete. On five days on which half of the engines failed many requests, and some ended,
+this happened to one or two answers a day.
 """
 
 import unittest
--- a/tests/test_stale_counts.py
+++ b/tests/test_stale_counts.py
@@ -1,8 +1,8 @@
-"""Nodes that place requests by counts of each other which are some tenths of a second old.
+"""Placement by nodes whose counts of each other's requests are some tenths of a second old.
 
-Twenty nodes of a zone share 24 engines of six slots. Requests come in heaps, more at some nodes
-than at others, and each node knows at once what it sent itself, and what anybody sent to the
-engines that it watches over. The rest it knows a report later.
+Twenty nodes of a zone share 24 engines of six slots. Requests come in bursts, more at some nodes
+than at others. Each node knows at once what it sent itself, and what any node sent to the engines
+that it watches; it learns of all other requests one report later.
 """
 
 import collections
@@ -15,18 +15,18 @@
 
 NODES, ENGINES, SLOTS = 20, 24, 6
 REPORT_AGE = 0.13
-"""Seconds after which a request of another node is known: half a report's interval and a gather."""
+"""Seconds until a request of another node is known: half a report interval and the gather time."""
 SLOT_TIME = 0.8
-"""Seconds that a request holds its slot, in the mean."""
+"""Mean seconds for which a request occupies its slot."""
 BASE_RATE, BURST_RATE = 60.0, 150.0
-"""Requests a second, all nodes together; the slots serve 180."""
+"""Requests per second of all nodes together; the slots can serve 180."""
 BURST_INTERVAL, BURST_SECONDS = 6.0, 2.4
 """Seconds."""
 RUN_SECONDS = 40.0
 
 
 class Zone:
-    """Counts of requests at engines, and what each node knows of them."""
+    """Request counts of engines, and what each node knows of them."""
 
     def __init__(self, seed, *, own_first):
         self.random = random.Random(seed)
@@ -38,16 +38,16 @@
             for node in nodes
         }
         self.own_first = own_first
-        # Clients keep few connections: a node has up to ten times what another one has.
+        # Clients keep few connections, so a node has up to ten times the load of another one.
         self.weights = {node: self.random.uniform(0.2, 2.0) for node in nodes}
         self.chooser = EngineChooser("near", self.random)
         self.actual = collections.Counter()
         self.reported = collections.Counter()
-        """What reports have told, by engine; all nodes have the same ones."""
+        """Counts by engine from reports; they are the same at all nodes."""
         self.unreported = collections.Counter()
-        """By node and engine: its own requests that no report has told yet."""
+        """By node and engine: the node's own requests that no report includes yet."""
         self.scheduled = []
-        """Changes to come: time, order, what."""
+        """Future events: time, sequence number, action, arguments."""
         self.order = 0
         self.waited = self.placed = self.elsewhere = 0
 
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -1,6 +1,7 @@
-"""Engines of several speeds in heaps of requests, under virtual time, placed by several nodes.
+"""Engines of different speed under bursts of requests, placed by several nodes in virtual time.
 
-Beside each bound stands what the choice gives that takes all engines of a service for alike.
+Bounds are relative to engines of equal speed with the same total. `Load.learns` turns off what the
+choice learns of engines, for comparison with one that treats all engines of a service alike.
 """
 
 import itertools
@@ -33,33 +34,33 @@
 SPEEDS = (0.55, 1.2, 1.2, 1.2) * 2
 UNIFORM_SPEEDS = (sum(SPEEDS) / len(SPEEDS),) * len(SPEEDS)
 CAPACITY = SLOTS * sum(SPEEDS) / (EVENTS * STEP)
-"""Requests a second that all engines bear."""
+"""Requests per second that all engines together can serve."""
 LOW, HIGH = (3.4, 0.3), (2.4, 0.95)
-"""Seconds of each part of the rhythm, and its share of the capacity."""
+"""Seconds of the low and the high phase, and the load as a fraction of the capacity."""
 WARM_UP = 12.0
-"""Seconds until engines have shown what they are."""
+"""Seconds until there are enough samples of each engine."""
 SECONDS = 50.0
 SEEDS = (1, 2, 3)
 NOISE = EngineNoise(0.15, 2.5, 0.6)
 TARGET_LATENCY = 0.3
 BOUND = 1.15
-"""By how much the first event's p99 may be worse than at even engines of the same sum."""
+"""Upper bound of the first event's p99, relative to uniform engines of the same total speed."""
 
 
 @dataclass
 class Load:
-    """One run."""
+    """Parameters of one run."""
 
     speeds: tuple
     noise: EngineNoise = EngineNoise()
     report_pace: bool = True
-    """Whether engines tell their pace."""
+    """Whether engines report their pace."""
     learns: bool = True
     seed: int = 1
 
 
 class Session:
-    """Nodes and engines."""
+    """Nodes and engines of one run."""
 
     def __init__(self, loop, load):
         self.loop, self.load = loop, load
@@ -152,7 +153,7 @@
 
 
 def p99(speeds, noise, **changes):
-    """Of the first events of all seeds together."""
+    """Return the p99 of the first events of all seeds together."""
     firsts = sorted(one for seed in SEEDS for one in play(speeds, noise, seed, **changes).firsts)
     return firsts[int(len(firsts) * 0.99)]
 
@@ -169,7 +170,7 @@
         self.check(NOISE)
 
     def test_load_follows_engine_speed(self):
-        """No herd at the fast ones, and the slow ones are not left without work."""
+        """Requests must not crowd at the fast engines, and the slow ones must get some too."""
         placed = play(SPEEDS, EngineNoise()).placed
         share = [count / sum(placed.values()) for count in placed.values()]
         for speed, one in zip(SPEEDS, share, strict=True):
@@ -177,7 +178,7 @@
             self.assertTrue(fair * 0.6 <= one <= fair * 1.3, (speed, one, fair))
 
     def test_engines_without_reported_pace_count_as_uniform(self):
-        """What attempts show in heaps makes equal engines look as if they differed."""
+        """In bursts, the samples of attempts make uniform engines look as if they differed."""
         session = play(UNIFORM_SPEEDS, NOISE, report_pace=False)
         for fleet in session.nodes:
             self.assertFalse(fleet.paces.reports_pace(SERVICE))
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -1,4 +1,4 @@
-"""What tenants are entitled to."""
+"""Weights of tenants from their rates."""
 
 import unittest
 
