--- a/postvalve/core/scheduling/weights.py
+++ b/postvalve/core/scheduling/weights.py
@@ -17,5 +17,5 @@
     A tenant without a rate cannot be compared with one that has a rate; then all weights are equal.
     """
     known = list(tenants)
-    rated = all(one.rate > 0 for one in known)
-    return {one.name: one.rate if rated else DEFAULT_WEIGHT for one in known}
+    rated = all(tenant.rate > 0 for tenant in known)
+    return {tenant.name: tenant.rate if rated else DEFAULT_WEIGHT for tenant in known}
--- a/tests/share_model.py
+++ b/tests/share_model.py
@@ -31,7 +31,7 @@
     def __init__(self, order, rates, slots, nodes=13, seed=1, burst=None):
         self.order, self.slots, self.random, self.now = order, slots, random.Random(seed), 0.0
         self.clock = ShareClock()
-        self.book = TagAssigner(self.clock)
+        self.assigner = TagAssigner(self.clock)
         self.queues = [[] for _ in range(nodes)]
         self.in_time = [0] * len(rates)
         self.requested = [0] * len(rates)
@@ -69,19 +69,19 @@
         ]
 
     def _arrive(self, now, tenant):
-        tag = self.book.assign_tag(str(tenant), 1.0, Work(SLOT_TIME))
+        tag = self.assigner.assign_tag(str(tenant), 1.0, Work(SLOT_TIME))
         self.requested[tenant] += 1
         self.random.choice(self.queues).append(Request(tenant, now, tag))
 
     def _drop_late(self, now):
         for queue in self.queues:
-            for request in [one for one in queue if one.at + MAX_WAIT < now]:
+            for request in [queued for queued in queue if queued.at + MAX_WAIT < now]:
                 queue.remove(request)
                 # The request did not run, so its cost is returned with the tenant's next one.
-                self.book.assign_tag(str(request.tenant), 1.0, Work(0.0, -SLOT_TIME))
+                self.assigner.assign_tag(str(request.tenant), 1.0, Work(0.0, -SLOT_TIME))
 
     def _serve(self, request):
-        waiting = [one.tag for queue in self.queues for one in queue]
+        waiting = [queued.tag for queue in self.queues for queued in queue]
         self.clock.record_served(request.tag, min(waiting, default=None))
         self.in_time[request.tenant] += 1
 
@@ -95,21 +95,23 @@
 def oldest_by_draw(model):
     """The order without shares: nodes draw for each slot, and the node's oldest request gets it."""
     node = random_busy_node(model)
-    return None if node is None else (node, min(model.queues[node], key=lambda one: one.at))
+    return None if node is None else (node, min(model.queues[node], key=lambda queued: queued.at))
 
 
 def tag_by_draw(model):
     """Tags without a shared queue: nodes draw for each slot, and the node's lowest tag gets it."""
     node = random_busy_node(model)
-    return None if node is None else (node, min(model.queues[node], key=lambda one: one.tag))
+    return None if node is None else (node, min(model.queues[node], key=lambda queued: queued.tag))
 
 
 def tag_in_shared_queue(model):
     """Tags in one queue over all nodes."""
-    waiting = [(one.tag, one.at, node, one) for node, q in enumerate(model.queues) for one in q]
+    waiting = [
+        (queued.tag, queued.at, node, queued) for node, q in enumerate(model.queues) for queued in q
+    ]
     if not waiting:
         return None
-    first = min(waiting, key=lambda one: one[:3])
+    first = min(waiting, key=lambda entry: entry[:3])
     return first[2], first[3]
 
 
@@ -138,8 +140,8 @@
         if model.now - self.shared_at > self.DIGEST:
             self._share_counts(model.now)
         queue = model.queues[node]
-        least = min((self._served(node, one.tenant) for one in queue), default=0)
-        first = min(queue, key=lambda one: (self._served(node, one.tenant), one.at))
+        least = min((self._served(node, queued.tenant) for queued in queue), default=0)
+        first = min(queue, key=lambda queued: (self._served(node, queued.tenant), queued.at))
         floor = max(0, least - self.shared_counts.get(first.tenant, 0))
         local_counts = self.local_counts.setdefault(node, {})
         local_counts[first.tenant] = max(local_counts.get(first.tenant, 0), floor) + 1
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -56,7 +56,9 @@
         self.assertEqual(total.asked, len(sent))
         self.assertEqual(total.asked, sum(total.ends.values()))
         for end in End:
-            self.assertEqual(total.ends.get(end, 0), sum(one == end for _, one, _ in sent))
+            self.assertEqual(
+                total.ends.get(end, 0), sum(sent_end == end for _, sent_end, _ in sent)
+            )
         self.assertAlmostEqual(total.waited, sum(waited for *_, waited in sent))
         self.assertEqual(total.worst_wait, max((waited for *_, waited in sent), default=0.0))
         lately = total_of(row.recent for row in node_accounts.rows(now))
@@ -93,7 +95,7 @@
         node_accounts.record_request("starves", End.NO_ROOM, 0.0)
         add_tenants(node_accounts, MAX_ACCOUNTS, 0.0)
         rows = {row.tenant: row.total.asked for row in node_accounts.rows(0.0)}
-        self.assertEqual([rows.get(one) for one in ("asks", "holds", "starves")], [3, 1, 1])
+        self.assertEqual([rows.get(tenant) for tenant in ("asks", "holds", "starves")], [3, 1, 1])
 
     def test_large_and_badly_served_tenants_keep_accounts_among_thousands(self):
         node_accounts = Accounts()
@@ -125,7 +127,7 @@
         self.assertEqual(node_accounts.holders(9), {"c": 3, "b": 2})
         node_accounts.record_request("c", End.IN_TIME, 0.0)
         self.assertEqual(
-            [(one.tenant, one.running) for one in node_accounts.rows(0.0)], [("c", 3), (OTHERS, 2)]
+            [(row.tenant, row.running) for row in node_accounts.rows(0.0)], [("c", 3), (OTHERS, 2)]
         )
 
     def test_one_refusal_ranks_behind_many_refusals(self):
--- a/tests/test_competing_tenants.py
+++ b/tests/test_competing_tenants.py
@@ -34,11 +34,11 @@
         )
         self.addCleanup(self.fleet.stop)
         self.nodes = list(self.fleet.nodes.values())
-        wait_until(lambda: all(len(one.peers.all()) == 2 for one in self.nodes))
+        wait_until(lambda: all(len(node.peers.all()) == 2 for node in self.nodes))
         self.fleet.engines[0].usual = Behaviour(events=1, thinks=SLOT_TIME)
         # Lenders start with empty buckets, a coordinator listens first, and a queue needs all
         # nodes.
-        wait_until(lambda: all(one.peers.features() & Feature.LINE for one in self.nodes))
+        wait_until(lambda: all(node.peers.features() & Feature.LINE for node in self.nodes))
         self.sent = 0
 
     def send(self, node, tenant):
@@ -59,7 +59,7 @@
         gevent.sleep(0.5)
         before = len(self.fleet.engines[0].runs)
         sent += [self.send(f"n{number}", "small") for number in range(3)]
-        self.assertEqual({one.get().status for one in sent}, {200})
+        self.assertEqual({greenlet.get().status for greenlet in sent}, {200})
         return [run[0] for run in self.fleet.engines[0].runs], before
 
 
@@ -75,12 +75,12 @@
 
     def test_status_shows_clock_tags_and_zone_queue(self):
         waiting = [self.send(f"n{number % 3}", "hot") for number in range(HOT_REQUESTS)]
-        wait_until(lambda: any(one.status_document()["line"]["kept"] for one in self.nodes))
-        rows = [row for one in self.nodes for row in one.status_document()["line"]["tags"]]
+        wait_until(lambda: any(node.status_document()["line"]["kept"] for node in self.nodes))
+        rows = [row for node in self.nodes for row in node.status_document()["line"]["tags"]]
         self.assertIn("hot", {row["tenant"] for row in rows})
         gevent.joinall(waiting)
-        wait_until(lambda: all(one._shares.clock.now > 1.0 for one in self.nodes))
-        self.assertTrue(all(one.peers.features() & Feature.LINE for one in self.nodes))
+        wait_until(lambda: all(node._shares.clock.now > 1.0 for node in self.nodes))
+        self.assertTrue(all(node.peers.features() & Feature.LINE for node in self.nodes))
 
 
 class OneTenantTest(CompetingCase):
@@ -91,8 +91,8 @@
         for node in self.nodes:
             self.assertEqual(node._shares.pack(), b"")
             self.assertEqual(node.status_document()["line"]["tags"], [])
-            parts = [one.report.extensions for one in node.peers.all()]
-            self.assertFalse(any(Extension.SHARE_CLOCK in one for one in parts))
+            parts = [peer.report.extensions for peer in node.peers.all()]
+            self.assertFalse(any(Extension.SHARE_CLOCK in part for part in parts))
         granted = [self.fleet.events(name, Event.LINE_GRANTED) for name in self.fleet.nodes]
         self.assertFalse(any(granted))
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -46,7 +46,9 @@
 def changed(store, tenant):
     """Return the configuration in force with one label changed."""
     configuration = store.newest_configuration()
-    tenants = [one.model_copy(update={"labels": {"mark": tenant}}) for one in configuration.tenants]
+    tenants = [
+        spec.model_copy(update={"labels": {"mark": tenant}}) for spec in configuration.tenants
+    ]
     return configuration.model_copy(update={"tenants": tenants})
 
 
@@ -92,9 +94,9 @@
                 gevent.spawn(publish, first, "a"),
                 gevent.spawn(publish, second, "b"),
             ]
-            outcomes = [one.get() for one in both]
-            self.assertEqual(sum(one is None for one in outcomes), 1)
-            winner = next(one for one in outcomes if one is not None)
+            outcomes = [greenlet.get() for greenlet in both]
+            self.assertEqual(sum(outcome is None for outcome in outcomes), 1)
+            winner = next(outcome for outcome in outcomes if outcome is not None)
             gevent.sleep(1)
             self.assertEqual(set(revisions(fleet).values()), {winner})
             history = [entry.outcome for entry in first.history()]
@@ -272,7 +274,7 @@
             explained = explain(
                 configuration, configuration.tenants[0], configuration.workloads[0], {"zone": zone}
             )
-            pools = next(one for one in explained if one.kind == "pools")
+            pools = next(explanation for explanation in explained if explanation.kind == "pools")
             self.assertEqual(pools.matching, matching)
             self.assertEqual(pools.winner, matching[0])
 
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -75,9 +75,9 @@
             pace.observe(life, aspect, seconds, expected, number * 0.01)
         for life in (SLOW, *OTHERS):
             found = factors(pace, life, 1.0)
-            for one in (found.first, found.pause, found.held):
-                self.assertGreaterEqual(one, 1 / MAX_FACTOR - 1e-9)
-                self.assertLessEqual(one, MAX_FACTOR + 1e-9)
+            for value in (found.first, found.pause, found.held):
+                self.assertGreaterEqual(value, 1 / MAX_FACTOR - 1e-9)
+                self.assertLessEqual(value, MAX_FACTOR + 1e-9)
 
     @given(
         st.floats(0.4, 3.0),
@@ -90,8 +90,8 @@
             add_samples(pace, life, 1.0, 4 * CONVERGED_AFTER, spread=0.1, draw=draw)
         add_samples(pace, SLOW, factor, CONVERGED_AFTER, spread=0.1, draw=draw)
         found = factors(pace, SLOW, CONVERGED_AFTER * 0.1)
-        for one in (found.first, found.pause, found.held):
-            self.assertLess(abs(math.log(one / factor)), 0.2)
+        for estimate in (found.first, found.pause, found.held):
+            self.assertLess(abs(math.log(estimate / factor)), 0.2)
 
     @given(st.integers(0, 10_000))
     def test_uniform_engines_rarely_differ(self, seed):
@@ -145,9 +145,9 @@
         pace = pace_of()
         add_samples(pace, SLOW, 2.0, 20)
         changes = pace.update(2.0)
-        self.assertEqual([(one.life, one.differs) for one in changes], [(SLOW, True)])
+        self.assertEqual([(change.life, change.differs) for change in changes], [(SLOW, True)])
         self.assertEqual(pace.update(2.1), [])
-        self.assertEqual([one.differs for one in pace.update(2.0 + 8 * HALF_LIFE)], [False])
+        self.assertEqual([change.differs for change in pace.update(2.0 + 8 * HALF_LIFE)], [False])
 
 
 class PeersTest(unittest.TestCase):
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -53,10 +53,11 @@
     for seed in SEEDS:
         model = Model(make_order(), rates, SLOTS, seed=seed, burst=burst)
         model.run()
-        done = [one + more for one, more in zip(done, model.in_time, strict=True)]
-        requested = [one + more for one, more in zip(requested, model.requested, strict=True)]
+        done = [total + more for total, more in zip(done, model.in_time, strict=True)]
+        requested = [total + more for total, more in zip(requested, model.requested, strict=True)]
     by_tenant = [
-        one / all_ if all_ >= 10 else None for one, all_ in zip(done, requested, strict=True)
+        count / requested_count if requested_count >= 10 else None
+        for count, requested_count in zip(done, requested, strict=True)
     ]
     return by_tenant, sum(done) / sum(requested)
 
@@ -72,7 +73,7 @@
     def shares_of_others(self, make_order, rates, burst=None):
         by_tenant, total = served(make_order, rates, burst)
         hot = rates.index(max(rates))
-        others = [one for n, one in enumerate(by_tenant) if n != hot and one is not None]
+        others = [share for n, share in enumerate(by_tenant) if n != hot and share is not None]
         return min(others), sum(others) / len(others), total
 
     def test_overloading_tenant_does_not_affect_others(self):
@@ -113,9 +114,13 @@
         for seed in SEEDS:
             model = Model(tag_in_shared_queue, rates, SLOTS // 2, nodes=6, seed=seed)
             model.run()
-            done = [one + more for one, more in zip(done, model.in_time, strict=True)]
-            requested = [one + more for one, more in zip(requested, model.requested, strict=True)]
-        shares = [one / all_ for one, all_ in zip(done, requested, strict=True)]
+            done = [total + more for total, more in zip(done, model.in_time, strict=True)]
+            requested = [
+                total + more for total, more in zip(requested, model.requested, strict=True)
+            ]
+        shares = [
+            count / requested_count for count, requested_count in zip(done, requested, strict=True)
+        ]
         self.assertGreaterEqual(min(shares[:9]), self.MIN_SHARE)
 
 
@@ -125,7 +130,7 @@
 
     def __init__(self):
         self.clocks = {name: ShareClock() for name in NODES}
-        self.books = {name: TagAssigner(clock) for name, clock in self.clocks.items()}
+        self.assigners = {name: TagAssigner(clock) for name, clock in self.clocks.items()}
         self.lender = dict.fromkeys(WEIGHTS, "n0")
         self.waiting = []
         self.received = dict.fromkeys(WEIGHTS, 0.0)
@@ -136,23 +141,25 @@
 
     def fill_queues(self):
         for tenant in WEIGHTS:
-            while sum(one == tenant for _, one in self.waiting) < QUEUE:
+            while sum(waiting_tenant == tenant for _, waiting_tenant in self.waiting) < QUEUE:
                 self.add_request(tenant)
 
     def add_request(self, tenant, tag=None):
         if tag is None:
-            tag = self.books[self.lender[tenant]].assign_tag(tenant, WEIGHTS[tenant], Work(COST))
+            tag = self.assigners[self.lender[tenant]].assign_tag(
+                tenant, WEIGHTS[tenant], Work(COST)
+            )
             self.previous[tenant] = tag
         self.waiting.append((tag, tenant))
 
     def serve(self, node, urgent):
         """Serve the first request in the queue, or the first of the urgent tenant before its
         turn."""
-        chosen = min(one for one in self.waiting if not urgent or one[1] == "urgent")
+        chosen = min(entry for entry in self.waiting if not urgent or entry[1] == "urgent")
         self.waiting.remove(chosen)
         tag, tenant = chosen
         self.received[tenant] += COST / WEIGHTS[tenant]
-        lowest = min((one for one, _ in self.waiting), default=None)
+        lowest = min((tag for tag, _ in self.waiting), default=None)
         self.clocks[node].record_served(tag, lowest)
         self.fill_queues()
 
@@ -162,7 +169,7 @@
     def lose_tag(self, tenant, node):
         """The lender's tag did not arrive, so the node assigns one itself."""
         if node != self.lender[tenant]:
-            tag = self.books[node].assign_tag(tenant, WEIGHTS[tenant], Work(COST))
+            tag = self.assigners[node].assign_tag(tenant, WEIGHTS[tenant], Work(COST))
             self.fault_work[tenant] += COST / WEIGHTS[tenant]
             self.add_request(tenant, tag)
 
@@ -174,29 +181,31 @@
     def move_lender(self, tenant, node):
         """Another node becomes the lender, without knowledge of waiting requests."""
         if node != self.lender[tenant]:
-            self.books[node].reset()
+            self.assigners[node].reset()
             for other, lender in self.lender.items():
                 if other == tenant or lender == node:
                     self.restart_tenant(other)
             self.lender[tenant] = node
 
     def restart(self, node):
-        self.books[node].reset()
+        self.assigners[node].reset()
         for tenant, lender in self.lender.items():
             if lender == node:
                 self.restart_tenant(tenant)
 
     def restart_tenant(self, tenant):
-        waits = sum(one == tenant for _, one in self.waiting)
+        waits = sum(waiting_tenant == tenant for _, waiting_tenant in self.waiting)
         self.fault_work[tenant] += waits * COST / WEIGHTS[tenant]
 
-    def excess_difference(self, one, other):
+    def excess_difference(self, first, other):
         """Return the difference in weighted work between two tenants of equal priority, less the
         allowed one."""
-        return abs(self.received[one] - self.received[other]) - self.allowed_difference(one, other)
+        return abs(self.received[first] - self.received[other]) - self.allowed_difference(
+            first, other
+        )
 
-    def allowed_difference(self, one, other):
-        return sum(COST / WEIGHTS[name] + self.fault_work[name] for name in (one, other)) + 1e-6
+    def allowed_difference(self, first, other):
+        return sum(COST / WEIGHTS[name] + self.fault_work[name] for name in (first, other)) + 1e-6
 
 
 NODE = st.sampled_from(NODES)
@@ -220,8 +229,8 @@
         model = Competition()
         for name, *arguments in steps:
             getattr(model, name)(*arguments)
-            for one, other in (("a", "b"), ("a", "c"), ("b", "c")):
-                self.assertLessEqual(model.excess_difference(one, other), 0.0, (one, other))
+            for first, other in (("a", "b"), ("a", "c"), ("b", "c")):
+                self.assertLessEqual(model.excess_difference(first, other), 0.0, (first, other))
 
     @settings(max_examples=100, deadline=None)
     @given(SERVES)
@@ -289,36 +298,38 @@
 class BookTest(unittest.TestCase):
     def setUp(self):
         self.clock = ShareClock()
-        self.book = TagAssigner(self.clock)
+        self.assigner = TagAssigner(self.clock)
 
     def test_idle_tenant_starts_at_the_clock(self):
-        self.book.assign_tag("t", 1.0, Work(1.0))
+        self.assigner.assign_tag("t", 1.0, Work(1.0))
         self.clock.merge(50.0)
-        self.assertEqual(self.book.assign_tag("t", 1.0, Work(1.0)), 50.0)
-        self.assertEqual(self.book.assign_tag("t", 1.0, Work(1.0)), 51.0)
+        self.assertEqual(self.assigner.assign_tag("t", 1.0, Work(1.0)), 50.0)
+        self.assertEqual(self.assigner.assign_tag("t", 1.0, Work(1.0)), 51.0)
 
     def test_correction_moves_the_next_tag(self):
-        self.book.assign_tag("t", 2.0, Work(1.0))
-        self.assertEqual(self.book.assign_tag("t", 2.0, Work(1.0, 3.0)), INITIAL_TIME + 2.0)
+        self.assigner.assign_tag("t", 2.0, Work(1.0))
+        self.assertEqual(self.assigner.assign_tag("t", 2.0, Work(1.0, 3.0)), INITIAL_TIME + 2.0)
         # The refused request's cost is returned, so the next one takes its position.
-        self.assertEqual(self.book.assign_tag("t", 2.0, Work(1.0, -1.0)), INITIAL_TIME + 2.0)
+        self.assertEqual(self.assigner.assign_tag("t", 2.0, Work(1.0, -1.0)), INITIAL_TIME + 2.0)
 
     def test_corrections_give_no_tag_before_the_clock(self):
         self.clock.merge(5.0)
-        self.assertEqual(self.book.assign_tag("t", 1.0, Work(1.0, -1e9)), 5.0)
+        self.assertEqual(self.assigner.assign_tag("t", 1.0, Work(1.0, -1e9)), 5.0)
 
     def test_invalid_values_from_peers_are_bounded(self):
-        self.book.assign_tag("t", 1.0, Work(math.inf, math.inf))
-        self.assertLessEqual(self.book.assign_tag("t", 1.0, Work(1.0)), INITIAL_TIME + 2 * MAX_COST)
+        self.assigner.assign_tag("t", 1.0, Work(math.inf, math.inf))
+        self.assertLessEqual(
+            self.assigner.assign_tag("t", 1.0, Work(1.0)), INITIAL_TIME + 2 * MAX_COST
+        )
         for told in (math.nan, math.inf, -1.0):
             self.clock.merge(told)
         self.assertEqual(self.clock.now, INITIAL_TIME)
 
     def test_removed_tenants_are_dropped(self):
         for name in ("a", "b"):
-            self.book.assign_tag(name, 1.0, Work(1.0))
-        self.book.retain({"b": 1.0})
-        self.assertEqual(set(self.book.finish_tags()), {"b"})
+            self.assigner.assign_tag(name, 1.0, Work(1.0))
+        self.assigner.retain({"b": 1.0})
+        self.assertEqual(set(self.assigner.finish_tags()), {"b"})
 
     def test_weights_have_a_mean_of_one_and_a_lower_bound(self):
         weights = normalized_weights({"a": 1.0, "b": 3.0, "c": 1e-9})
@@ -327,10 +338,10 @@
         self.assertEqual(normalized_weights({}), {})
 
     def test_clock_is_monotonic(self):
-        draw = random.Random(1)
+        generator = random.Random(1)
         previous = 0.0
         for _ in range(100):
-            self.clock.merge(draw.uniform(-5, 100))
+            self.clock.merge(generator.uniform(-5, 100))
             self.assertGreaterEqual(self.clock.now, previous)
             previous = self.clock.now
 
--- a/tests/test_latency_estimate.py
+++ b/tests/test_latency_estimate.py
@@ -56,28 +56,28 @@
     return pace
 
 
-def former_queue_wait(room, pace):
+def former_queue_wait(engine, pace):
     """Queue wait as computed before engines had pace factors."""
-    total = room.online + room.batch
-    if total < room.slots:
+    total = engine.online + engine.batch
+    if total < engine.slots:
         return 0.0
-    by_slots = pace.queue_delay_per_place(room.slots)
-    if room.online < room.slots:
-        return min(PREEMPTION_TIME, (total - room.slots + 1) * by_slots)
-    return (room.online - room.slots + 1) * by_slots
+    by_slots = pace.queue_delay_per_place(engine.slots)
+    if engine.online < engine.slots:
+        return min(PREEMPTION_TIME, (total - engine.slots + 1) * by_slots)
+    return (engine.online - engine.slots + 1) * by_slots
 
 
-def former_expected_first(room, tokens, pace):
-    return former_queue_wait(room, pace) + pace.first_event(room.unread + tokens)
+def former_expected_first(engine, tokens, pace):
+    return former_queue_wait(engine, pace) + pace.first_event(engine.unread + tokens)
 
 
-def former_finds_room(req, rooms, pace, now):
-    if not rooms or any(room.online < room.slots for room in rooms):
+def former_finds_room(req, engines, pace, now):
+    if not engines or any(engine.online < engine.slots for engine in engines):
         return True
     if not pace.known:
-        return min(room.online - room.slots for room in rooms) < 1
+        return min(engine.online - engine.slots for engine in engines) < 1
     left = req.arrived_at + req.target_latency - now
-    first = min(former_expected_first(room, req.tokens, pace) for room in rooms)
+    first = min(former_expected_first(engine, req.tokens, pace) for engine in engines)
     return first + pace.margin <= left
 
 
@@ -98,17 +98,18 @@
     @given(st.lists(loads, max_size=6), st.integers(0, 3_000), st.floats(0, 2), st.booleans())
     def test_estimates_equal_former_formulas(self, drawn, tokens, now, known):
         pace = make_latency() if known else ServiceLatency()
-        rooms = [EngineOccupancy(*one, pause_aim=0.001) for one in drawn]
+        engines = [EngineOccupancy(*load, pause_aim=0.001) for load in drawn]
         req = PendingRequest(0.0, 0.3, 5.0, tokens, True)
         self.assertEqual(
-            finds_room(req, rooms, pace, now), former_finds_room(req, rooms, pace, now)
+            finds_room(req, engines, pace, now), former_finds_room(req, engines, pace, now)
         )
-        for room in rooms:
-            self.assertEqual(queue_wait(room, pace), former_queue_wait(room, pace))
+        for engine in engines:
+            self.assertEqual(queue_wait(engine, pace), former_queue_wait(engine, pace))
             self.assertEqual(
-                expected_first_event(room, tokens, pace), former_expected_first(room, tokens, pace)
+                expected_first_event(engine, tokens, pace),
+                former_expected_first(engine, tokens, pace),
             )
-            self.assertEqual(queue_penalty(room, tokens, pace), 0.0)
+            self.assertEqual(queue_penalty(engine, tokens, pace), 0.0)
 
     @given(st.lists(st.tuples(loads, st.booleans(), st.booleans()), min_size=1, max_size=12),
            st.integers(0, 1_000))  # fmt: skip
@@ -120,10 +121,10 @@
         ]  # fmt: skip
         choice = EngineChooser("near", random.Random(seed)).choose(options, "", 0)
         draw = random.Random(seed)
-        near = [one for one in options if one.zone == "near"]
-        far = [one for one in options if one.zone != "near"]
-        looked = [*draw.sample(near, min(2, len(near))), *draw.sample(far, min(2, len(far)))]
-        best = min(looked, key=lambda one: former_cost(one, "near"))
+        near = [option for option in options if option.zone == "near"]
+        far = [option for option in options if option.zone != "near"]
+        candidates = [*draw.sample(near, min(2, len(near))), *draw.sample(far, min(2, len(far)))]
+        best = min(candidates, key=lambda option: former_cost(option, "near"))
         self.assertEqual((choice.life, choice.cost), (best.life, former_cost(best, "near")))
 
 
@@ -131,9 +132,9 @@
     def test_slow_engine_is_estimated_slower_at_any_load(self):
         pace = make_latency()
         for online in (0, SLOTS, SLOTS + 3):
-            even = EngineOccupancy(SLOTS, online, 0, 0)
+            uniform = EngineOccupancy(SLOTS, online, 0, 0)
             slow = EngineOccupancy(SLOTS, online, 0, 0, SLOW)
-            ratio = expected_first_event(slow, 100, pace) / expected_first_event(even, 100, pace)
+            ratio = expected_first_event(slow, 100, pace) / expected_first_event(uniform, 100, pace)
             self.assertAlmostEqual(ratio, 2.0)
             self.assertGreater(queue_penalty(slow, 100, pace), 0.0)
 
@@ -150,8 +151,8 @@
     def test_least_loaded_engine_is_relative_to_capacity(self):
         pace = make_latency(longest=0.4)
         slow = EngineOccupancy(SLOTS, 3, 0, 0, SLOW, 0.41)
-        even = EngineOccupancy(SLOTS, 5, 0, 0)
-        self.assertIs(least_loaded([slow, even], pace), even)
+        uniform = EngineOccupancy(SLOTS, 5, 0, 0)
+        self.assertIs(least_loaded([slow, uniform], pace), uniform)
 
     def test_slow_engine_keeps_capacity_for_one_request(self):
         self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 1e-6).capacity(make_latency()), 1)
@@ -168,9 +169,9 @@
         req = PendingRequest(0.0, 0.3, 5.0, 100, True)
         for factors in (SLOW, PaceFactors(0.5, 0.5, 0.5)):
             for online in range(SLOTS, SLOTS + 5):
-                room = EngineOccupancy(SLOTS, online, 0, 0, factors)
-                in_time = expected_first_event(room, 100, pace) + pace.margin <= 0.3
-                self.assertEqual(finds_room(req, [room], pace, 0.0), in_time)
+                engine = EngineOccupancy(SLOTS, online, 0, 0, factors)
+                in_time = expected_first_event(engine, 100, pace) + pace.margin <= 0.3
+                self.assertEqual(finds_room(req, [engine], pace, 0.0), in_time)
 
 
 class FleetTest(unittest.TestCase):
@@ -208,14 +209,18 @@
     def test_slow_engine_gets_less_while_others_have_capacity(self):
         self.observe_factor(self.lives[0], 2.5)
         placed = [self.place() for _ in range(16)]
-        counts = {life: sum(one.engine.life == life for one in placed) for life in self.lives}
+        counts = {
+            life: sum(placement.engine.life == life for placement in placed) for life in self.lives
+        }
         self.assertLess(counts[self.lives[0]], 2)
         self.assertTrue(all(counts[life] >= 3 for life in self.lives[1:]))
 
     def test_slow_engine_takes_what_others_have_no_slots_for(self):
         self.observe_factor(self.lives[0], 2.5)
         placed = [self.place() for _ in range(4 * SLOTS)]
-        counts = {life: sum(one.engine.life == life for one in placed) for life in self.lives}
+        counts = {
+            life: sum(placement.engine.life == life for placement in placed) for life in self.lives
+        }
         self.assertGreaterEqual(counts[self.lives[0]], SLOTS // 2)
 
     def test_zone_queue_grants_no_more_than_the_capacity(self):
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -84,8 +84,8 @@
 
     def test_hold_limit_equals_that_without_shares(self):
         for now in [number / 100 for number in range(100)]:
-            ruling = self.decide([room(30)], 500, now)
-            self.assertIs(ruling is AdmissionAction.START, now >= AIM * HOLD_SHARE, now)
+            action = self.decide([room(30)], 500, now)
+            self.assertIs(action is AdmissionAction.START, now >= AIM * HOLD_SHARE, now)
 
     def test_retry_after_is_not_negative(self):
         for left in (-2.0, 0.0, 0.1):
@@ -114,7 +114,7 @@
         self.requested = len(self.arrivals)
         self.by_arrival, self.retries = by_arrival, retries
         self.clock = ShareClock()
-        self.book = TagAssigner(self.clock)
+        self.assigner = TagAssigner(self.clock)
         self.pace = learnt(FIRST_EVENT_TIME, SLOT_TIME)
         self.episode = OverloadEpisodes()
         self.ends, self.waiting, self.refused_requests = [], [], []
@@ -129,27 +129,27 @@
             self.arrivals.sort(reverse=True)
             while self.arrivals and self.arrivals[-1][0] <= now:
                 at, tenant, first = self.arrivals.pop()
-                tag = self.book.assign_tag(str(tenant), 1.0, Work(SLOT_TIME))
+                tag = self.assigner.assign_tag(str(tenant), 1.0, Work(SLOT_TIME))
                 self.waiting.append((at if self.by_arrival else tag, at, tenant, first))
             self._evaluate(now)
 
     def _evaluate(self, now):
         self.waiting.sort()
         held = 0
-        for one in list(self.waiting):
+        for entry in list(self.waiting):
             occupancies = [EngineOccupancy(ENGINES * SLOTS, len(self.ends), 0, 0)]
-            ruling = self._rule(one, occupancies, now, held)
-            held += ruling is AdmissionAction.HOLD
-            if ruling is AdmissionAction.HOLD:
+            action = self._decide(entry, occupancies, now, held)
+            held += action is AdmissionAction.HOLD
+            if action is AdmissionAction.HOLD:
                 continue
-            self.waiting.remove(one)
-            if ruling is AdmissionAction.REFUSE:
-                self._refuse(one, occupancies, now, held)
+            self.waiting.remove(entry)
+            if action is AdmissionAction.REFUSE:
+                self._refuse(entry, occupancies, now, held)
             else:
-                self._start(one, now)
+                self._start(entry, now)
 
-    def _rule(self, one, occupancies, now, held):
-        _, at, _, first = one
+    def _decide(self, entry, occupancies, now, held):
+        _, at, _, first = entry
         terms = PendingRequest(at, AIM, first + DEADLINE, 450, at == first)
         if not finds_room(terms, occupancies, self.pace, now):
             self.episode.record_full(now)
@@ -158,11 +158,11 @@
             return decide(terms, occupancies, self.pace, now, persistent=persistent)
         return decide_in_order(terms, occupancies, self.pace, now, held)
 
-    def _refuse(self, one, occupancies, now, held):
-        _, at, tenant, first = one
+    def _refuse(self, entry, occupancies, now, held):
+        _, at, tenant, first = entry
         self.refused += 1
-        self.refused_requests.append(one)
-        self.book.assign_tag(str(tenant), 1.0, Work(0.0, -SLOT_TIME))
+        self.refused_requests.append(entry)
+        self.assigner.assign_tag(str(tenant), 1.0, Work(0.0, -SLOT_TIME))
         if self.retries:
             wait = zone_queue_wait(held, occupancies, self.pace)
             left = first + DEADLINE - now
@@ -171,13 +171,13 @@
             )
             self.arrivals.append((now + seconds, tenant, first))
 
-    def _start(self, one, now):
-        """Give a slot to `one`, and count the first refused request that would have got it instead.
+    def _start(self, entry, now):
+        """Give `entry` a slot, and count the first refused request that would have got it instead.
 
-        It is not counted if `one` was held for the longest time allowed: then it starts in any
+        It is not counted if `entry` was held for the longest time allowed: then it starts in any
         case.
         """
-        tag, at, tenant, _ = one
+        tag, at, tenant, _ = entry
         in_turn = now - at < AIM * HOLD_SHARE
         self.clock.record_served(tag, min((other[0] for other in self.waiting), default=None))
         queued = max(0, len(self.ends) - ENGINES * SLOTS + 1)
@@ -190,7 +190,7 @@
             if begins + FIRST_EVENT_TIME <= refused_request[1] + AIM
         ]
         before = [
-            refused_request for refused_request in self.refused_requests if refused_request < one
+            refused_request for refused_request in self.refused_requests if refused_request < entry
         ]
         if before and in_turn:
             self.wrongly_refused += 1
@@ -212,10 +212,10 @@
     def test_few_refused_requests_could_have_been_served(self):
         for (name, (rates, burst)), retries in itertools.product(self.LOADS.items(), (False, True)):
             replays = [Replay(rates, burst, seed, retries=retries) for seed in range(4)]
-            for one in replays:
-                one.run()
-            refused = sum(one.refused for one in replays)
-            wrongly_refused = sum(one.wrongly_refused for one in replays)
+            for replay in replays:
+                replay.run()
+            refused = sum(replay.refused for replay in replays)
+            wrongly_refused = sum(replay.wrongly_refused for replay in replays)
             with self.subTest(
                 name, retries=retries, refused=refused, wrongly_refused=wrongly_refused
             ):
@@ -239,9 +239,11 @@
                 replays = [
                     Replay(rates, burst, n, by_arrival=by_arrival, retries=True) for n in range(3)
                 ]
-                for one in replays:
-                    one.run()
-                others[by_arrival] = sum(sum(one.in_time) - one.in_time[hot] for one in replays)
+                for replay in replays:
+                    replay.run()
+                others[by_arrival] = sum(
+                    sum(replay.in_time) - replay.in_time[hot] for replay in replays
+                )
             with self.subTest(name, others=others):
                 self.assertGreater(others[False], others[True])
 
@@ -249,10 +251,10 @@
 class NewsTest(unittest.TestCase):
     def test_update_round_trip_and_merge(self):
         key = service_hash("s")
-        one = ShareUpdate(5.0, {key: QueuePosition((0, 1), 7.0)})
+        update = ShareUpdate(5.0, {key: QueuePosition((0, 1), 7.0)})
         other = ShareUpdate(9.0, {key: QueuePosition((0, 1), 6.0), 3: QueuePosition((1, 1), 2.0)})
-        self.assertEqual(unpack_share_update(one.pack()), one)
-        merged = unpack_share_update(merge_share_updates([one.pack(), b"", b"xx", other.pack()]))
+        self.assertEqual(unpack_share_update(update.pack()), update)
+        merged = unpack_share_update(merge_share_updates([update.pack(), b"", b"xx", other.pack()]))
         self.assertEqual(merged, ShareUpdate(9.0, other.queue_heads))
         self.assertEqual(merge_share_updates([b"", b""]), b"")
 
@@ -418,18 +420,18 @@
     def plain(self, held, occupancies, draws):
         """Return which requests `(rank, arrived at, can retry)` start and which are refused."""
         started, refused = [], []
-        for name, (_, at, can_retry) in sorted(held.items(), key=lambda one: one[1][:2]):
+        for name, (_, at, can_retry) in sorted(held.items(), key=lambda item: item[1][:2]):
             terms = PendingRequest(at, AIM, at + DEADLINE, 450, can_retry)
-            ruling = decide(terms, occupancies, self.pace, self.now)
-            free = sum(max(0, one.slots - one.online) for one in occupancies)
-            if ruling is AdmissionAction.START and not (
+            action = decide(terms, occupancies, self.pace, self.now)
+            free = sum(max(0, engine.slots - engine.online) for engine in occupancies)
+            if action is AdmissionAction.START and not (
                 not free or free >= 5 or draws.uniform(0, 1) * 5 < free
             ):
                 continue
-            if ruling is AdmissionAction.START:
+            if action is AdmissionAction.START:
                 started.append(name)
                 occupancies[0].online += 1
-            if ruling is AdmissionAction.REFUSE:
+            if action is AdmissionAction.REFUSE:
                 refused.append(name)
         return started, refused
 
--- a/tests/test_stale_counts.py
+++ b/tests/test_stale_counts.py
@@ -115,4 +115,4 @@
         zones = [Zone(seed, own_first=own_first).run() for seed in range(6)]
         placed = sum(zone.placed for zone in zones)
         for name in ("waited", "elsewhere"):
-            print(own_first, name, round(sum(getattr(one, name) for one in zones) / placed, 4))
+            print(own_first, name, round(sum(getattr(zone, name) for zone in zones) / placed, 4))
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -154,7 +154,9 @@
 
 def p99(speeds, noise, **changes):
     """Return the p99 of the first events of all seeds together."""
-    firsts = sorted(one for seed in SEEDS for one in play(speeds, noise, seed, **changes).firsts)
+    firsts = sorted(
+        first for seed in SEEDS for first in play(speeds, noise, seed, **changes).firsts
+    )
     return firsts[int(len(firsts) * 0.99)]
 
 
@@ -173,9 +175,9 @@
         """Requests must not crowd at the fast engines, and the slow ones must get some too."""
         placed = play(SPEEDS, EngineNoise()).placed
         share = [count / sum(placed.values()) for count in placed.values()]
-        for speed, one in zip(SPEEDS, share, strict=True):
+        for speed, fraction in zip(SPEEDS, share, strict=True):
             fair = speed / sum(SPEEDS)
-            self.assertTrue(fair * 0.6 <= one <= fair * 1.3, (speed, one, fair))
+            self.assertTrue(fair * 0.6 <= fraction <= fair * 1.3, (speed, fraction, fair))
 
     def test_engines_without_reported_pace_count_as_uniform(self):
         """In bursts, the samples of attempts make uniform engines look as if they differed."""
@@ -183,7 +185,9 @@
         for fleet in session.nodes:
             self.assertFalse(fleet.paces.reports_pace(SERVICE))
             self.assertEqual(fleet.paces.pack_report(NODES - 1), b"")
-            self.assertFalse([one for one in fleet._events.written if "DIFFERS" in one[0].name])
+            self.assertFalse(
+                [entry for entry in fleet._events.written if "DIFFERS" in entry[0].name]
+            )
 
 
 if __name__ == "__main__":
