--- a/postvalve/core/routing/engine_load.py
+++ b/postvalve/core/routing/engine_load.py
@@ -146,8 +146,8 @@
         reading = self._readings.get(life)
         if reading is None:
             return 1.0
-        trust = self.confidence(now - reading.at)
-        return math.exp(trust * reading.deviation) if trust else 1.0
+        confidence = self.confidence(now - reading.at)
+        return math.exp(confidence * reading.deviation) if confidence else 1.0
 
     def retain(self, lives: Container[int]) -> None:
         """Drop the readings of engines that are not in `lives`."""
--- a/postvalve/core/routing/engine_pace.py
+++ b/postvalve/core/routing/engine_pace.py
@@ -51,7 +51,7 @@
 Each takes some 3 us for every node that has samples of it."""
 
 Kept = TypeVar("Kept")
-_LARGEST_LOG = math.log(MAX_FACTOR)
+_MAX_LOG = math.log(MAX_FACTOR)
 
 
 class PaceMetric(enum.IntEnum):
@@ -344,7 +344,7 @@
 
 
 def _clamp(value: float) -> float:
-    return min(_LARGEST_LOG, max(-_LARGEST_LOG, value))
+    return min(_MAX_LOG, max(-_MAX_LOG, value))
 
 
 def _restrict(by_life: dict[int, Kept], lives: Mapping[int, EngineLife]) -> dict[int, Kept]:
--- a/postvalve/core/scheduling/fair_share.py
+++ b/postvalve/core/scheduling/fair_share.py
@@ -73,8 +73,10 @@
 
 
 class TagAssigner:
-    """Assigns start tags to the tenants for which one node is the lender, and keeps their finish
-    tags."""
+    """Assigns start tags to requests of the tenants for which this node is the lender.
+
+    It keeps the finish tag of each tenant's last request.
+    """
 
     def __init__(self, clock: ShareClock) -> None:
         self._clock = clock
