--- a/postvalve/core/routing/engine_pace.py
+++ b/postvalve/core/routing/engine_pace.py
@@ -1,10 +1,12 @@
-"""How much slower or faster than its service each engine is, by its life.
-
-Each node keeps what its own attempts showed of a life: for each aspect the weight of the samples
-and the mean of their logarithms, each sample a time divided by what the service's pace made
-expected. Weights halve with time. Nodes tell each other their own, never what they heard, so what
-all saw is the sum, however often a report comes. A life counts as different once the sum differs by
-more than its error; until then, and after long silence, it is like all others.
+"""Estimates of how much slower or faster than its service each engine is.
+
+An engine is identified by its life, one run of its process. For each engine and metric, a node
+keeps the weight of the samples from its own attempts and the mean of their logarithms; a sample is
+a measured time divided by the time that the service's latency estimates predict. Weights decay with
+a half-life. Nodes send each other only their own samples, never those of others, so the sum over
+nodes counts each sample once, however often it is reported. An engine counts as different once the
+mean exceeds its standard error by a given factor. Until then, and after a long time without
+samples, it is treated like all others.
 """
 
 from __future__ import annotations
@@ -19,58 +21,60 @@
 from postvalve.core.membership.engine_life import EngineLife
 
 HALF_LIFE = 10.0
-"""Seconds after which a sample counts half: an engine that turned well again, and gets little work
-meanwhile, is like the others again within half a minute."""
+"""Half-life of samples in seconds, so that an engine that has recovered, and gets little work
+meanwhile, is treated like the others again within half a minute."""
 PRIOR_WEIGHT = 1.0
-"""Weight at which a life that nothing is known of is like the others."""
+"""Weight of the prior that an engine is like the others."""
 MIN_WEIGHT = 3.0
-"""Weight of samples from which a life may differ."""
+"""Weight of samples from which an engine may count as different."""
 ENTER_ERRORS = 3.0
-"""Errors of its mean by which a life must differ to be treated so."""
+"""Standard errors by which the mean must differ for an engine to become different."""
 EXIT_ERRORS = 1.5
-"""The same to stay so."""
+"""Standard errors by which the mean must differ for an engine to remain different."""
 MIN_DIFFERENCE = 0.1
-"""Of the logarithm: an engine that is slower by less is worse by less than one request more is."""
+"""Smallest difference of the logarithm that counts: an engine that is slower by less costs a
+request less than one more request in its queue."""
 INITIAL_DEVIATION = 0.5
-"""Standard deviation of a sample before any was seen."""
+"""Assumed standard deviation of samples before any were seen."""
 VARIANCE_WEIGHT = 0.05
-"""Weight of a new sample in the deviation."""
+"""Weight of a new sample in the moving variance."""
 MAX_FACTOR = 4.0
-"""Factors, and single samples, are at most this, and at least its inverse: a dark engine is for its
-standing to tell, and must not need hours to be forgiven."""
+"""Upper bound of factors and of single samples; the lower bound is its inverse. Detecting an
+unreachable engine is the task of health tracking; here a single time-out must not take hours to
+decay."""
 MAX_WEIGHT = 60.0
-"""What one node's samples may weigh: as much as a report can tell."""
+"""Upper bound of the weight of one node's samples, the largest that a report can hold."""
 NEGLIGIBLE_WEIGHT = 0.05
-"""Weight below which what a peer showed is forgotten."""
+"""Weight below which a peer's samples are dropped."""
 MAX_EVALUATED = 64
-"""Lives that one look judges; those of which something new was shown go first, then those that were
-judged longest ago. Each takes some 3 us for each node that showed something of it."""
+"""Engines evaluated per update: those with new samples first, then those evaluated longest ago.
+Each takes some 3 us for every node that has samples of it."""
 
 Kept = TypeVar("Kept")
-_LARGEST_LOG = math.log(MAX_FACTOR)
+_MAX_LOG = math.log(MAX_FACTOR)
 
 
 class PaceMetric(enum.IntEnum):
-    """What may differ."""
+    """Metric in which engines may differ."""
 
     FIRST = 0
-    """Time to the first event, where a slot was free."""
+    """Time to the first event, for requests that found a free slot."""
     PAUSE = 1
     """Time between events."""
     HELD = 2
-    """Time that a request holds its slot."""
+    """Time for which a request occupies its slot."""
 
 
 @dataclass(slots=True)
 class WeightedMean:
-    """Samples of one aspect."""
+    """Weight and mean of the samples of one metric."""
 
     weight: float = 0.0
     mean: float = 0.0
-    """Of the logarithms."""
+    """Mean of the logarithms of the samples."""
 
     def add(self, weight: float, mean: float) -> None:
-        """Take samples in; `weight` above 0."""
+        """Add samples of a given mean; `weight` must be above 0."""
         total = self.weight + weight
         self.mean += (mean - self.mean) * weight / total
         self.weight = total
@@ -78,42 +82,42 @@
 
 @dataclass(slots=True)
 class EngineSamples:
-    """Samples of one life by one node, or several."""
+    """Samples of one engine from one or several nodes."""
 
     at: float
-    """Monotonic seconds to which the weights are decayed."""
+    """Time to which the weights have been decayed, in monotonic seconds."""
     newest_at: float
-    """Monotonic seconds of the newest sample."""
+    """Time of the newest sample, in monotonic seconds."""
     metrics: tuple[WeightedMean, WeightedMean, WeightedMean] = field(
         default_factory=lambda: (WeightedMean(), WeightedMean(), WeightedMean())
     )
 
     def decay(self, now: float) -> None:
-        """Let the weights fall as time does."""
+        """Decay the weights to the time `now`."""
         if now > self.at:
-            left = 0.5 ** ((now - self.at) / HALF_LIFE)
-            for one in self.metrics:
-                one.weight *= left
+            remaining = 0.5 ** ((now - self.at) / HALF_LIFE)
+            for entry in self.metrics:
+                entry.weight *= remaining
             self.at = now
 
     @property
     def weight(self) -> float:
-        """Of the aspect that is known best."""
-        return max(one.weight for one in self.metrics)
+        """Weight of the metric with the most samples."""
+        return max(entry.weight for entry in self.metrics)
 
 
 @dataclass(frozen=True, slots=True)
 class PaceFactors:
-    """How many times as long as usual for its service an engine takes."""
+    """Times at an engine as multiples of the usual times of its service."""
 
     first: float = 1.0
     pause: float = 1.0
     held: float = 1.0
 
     def scaled(self, now: float) -> PaceFactors:
-        """With what the engine tells to be now.
+        """Return the factors multiplied by `now`, the pace that the engine reports at present.
 
-        That may be over before a request ends, so its slot is expected to be held as usual there.
+        The slot time is left as it is: the present pace may have changed before a request ends.
         """
         return PaceFactors(self.first * now, self.pause * now, self.held)
 
@@ -123,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceChange:
-    """A life that begins or ceases to differ."""
+    """An engine has become different from the others, or has ceased to be."""
 
     life: EngineLife
     differs: bool
@@ -134,207 +138,214 @@
 
 
 class PaceEstimator:
-    """What the lives of all services showed."""
+    """Estimates the pace of the engines of all services, from samples of this node and its
+    peers."""
 
     def __init__(self) -> None:
         self._lives: dict[int, EngineLife] = {}
         self._services: dict[int, str] = {}
-        self._own: dict[int, EngineSamples] = {}
-        self._peers: dict[int, dict[str, EngineSamples]] = {}
-        """What each peer told, by life and the peer's name."""
+        self._own_samples: dict[int, EngineSamples] = {}
+        self._peer_samples: dict[int, dict[str, EngineSamples]] = {}
+        """Samples received from peers, by life and the peer's name."""
         self._factors: dict[int, PaceFactors] = {}
-        """Of those that differ."""
-        self._newest: dict[int, float] = {}
-        """Monotonic seconds of the newest sample of each life, by anybody."""
-        self._judged: dict[int, float] = {}
-        """When each life was judged last."""
+        """Factors of the engines that differ from the others."""
+        self._newest_at: dict[int, float] = {}
+        """Time of the newest sample of each engine from any node, in monotonic seconds."""
+        self._evaluated_at: dict[int, float] = {}
+        """When each engine was last evaluated."""
         self._variance: dict[tuple[str, PaceMetric], float] = {}
         self._differing: set[str] = set()
-        """Services of which an engine differs."""
+        """Services with at least one engine that differs from the others."""
 
     def retain(self, services: Mapping[EngineLife, str]) -> None:
-        """Take the directory's present list in: what was shown of other lives is forgotten."""
+        """Set the engines that the directory lists now; samples of all other engines are
+        dropped."""
         self._lives = {engine_hash(life): life for life in services}
         self._services = {engine_hash(life): name for life, name in services.items()}
-        self._own = _only(self._own, self._lives)
-        self._peers = _only(self._peers, self._lives)
-        self._factors = _only(self._factors, self._lives)
-        self._newest = _only(self._newest, self._lives)
-        self._judged = _only(self._judged, self._lives)
-        self._note_services()
+        self._own_samples = _restrict(self._own_samples, self._lives)
+        self._peer_samples = _restrict(self._peer_samples, self._lives)
+        self._factors = _restrict(self._factors, self._lives)
+        self._newest_at = _restrict(self._newest_at, self._lives)
+        self._evaluated_at = _restrict(self._evaluated_at, self._lives)
+        self._update_services()
 
     def knows(self, life: int) -> bool:
-        """Whether the directory lists a life of this hash."""
+        """Return whether the directory lists an engine whose life has this hash."""
         return life in self._lives
 
     def service_of(self, life: int) -> str:
-        """The service of a life; empty where it is not listed."""
+        """Return the service of an engine; empty if the directory does not list it."""
         return self._services.get(life, "")
 
     def differs(self, service: str) -> bool:
-        """Whether any engine of a service differs from the others."""
+        """Return whether any engine of a service differs from the others."""
         return service in self._differing
 
     def factors(self, life: int) -> PaceFactors:
-        """Of a life; 1 where it doesn't differ."""
+        """Return the factors of an engine; UNIFORM if it does not differ."""
         return self._factors.get(life, UNIFORM)
 
     def observe(
-        self, life: EngineLife, aspect: PaceMetric, seconds: float, expected: float, now: float
+        self, life: EngineLife, metric: PaceMetric, seconds: float, expected: float, now: float
     ) -> None:
-        """Note what an attempt of this node showed.
+        """Add a sample from an attempt of this node.
 
         Args:
             life: The engine.
-            aspect: What was measured.
-            seconds: What it took.
-            expected: What it takes at the service's engines; nothing is learnt where this, or
-                the time itself, is not above 0.
+            metric: What was measured.
+            seconds: The measured time.
+            expected: The usual time at the service's engines. The sample is ignored unless both
+                times are above 0.
             now: Monotonic seconds.
         """
         key = engine_hash(life)
         if key not in self._lives or seconds <= 0 or expected <= 0:
             return
-        value = _bounded(math.log(seconds) - math.log(expected))
-        self._note_spread(key, aspect, value)
-        shown = self._own.get(key)
-        if shown is None:
-            shown = self._own[key] = EngineSamples(now, now)
-        shown.decay(now)
-        shown.newest_at = self._newest[key] = now
-        one = shown.metrics[aspect]
-        one.add(1.0, value)
-        one.weight = min(MAX_WEIGHT, one.weight)
-
-    def _note_spread(self, key: int, aspect: PaceMetric, value: float) -> None:
-        """Learn how much samples of one life differ from each other."""
-        known = self._own.get(key)
-        if known is None or known.metrics[aspect].weight <= 0:
+        value = _clamp(math.log(seconds) - math.log(expected))
+        self._update_variance(key, metric, value)
+        samples = self._own_samples.get(key)
+        if samples is None:
+            samples = self._own_samples[key] = EngineSamples(now, now)
+        samples.decay(now)
+        samples.newest_at = self._newest_at[key] = now
+        entry = samples.metrics[metric]
+        entry.add(1.0, value)
+        entry.weight = min(MAX_WEIGHT, entry.weight)
+
+    def _update_variance(self, key: int, metric: PaceMetric, value: float) -> None:
+        """Update the variance of the samples of single engines."""
+        known = self._own_samples.get(key)
+        if known is None or known.metrics[metric].weight <= 0:
             return
-        one = known.metrics[aspect]
-        # Both the sample and the mean that it is held against err.
-        square = (value - one.mean) ** 2 * one.weight / (one.weight + 1.0)
-        at = (self._services[key], aspect)
+        entry = known.metrics[metric]
+        # Corrects for the error of the mean, which adds to that of the sample.
+        square = (value - entry.mean) ** 2 * entry.weight / (entry.weight + 1.0)
+        at = (self._services[key], metric)
         variance = self._variance.get(at, INITIAL_DEVIATION**2)
         self._variance[at] = variance + VARIANCE_WEIGHT * (square - variance)
 
-    def error(self, service: str, aspect: PaceMetric, weight: float) -> float:
-        """Standard error of the mean of samples of so much weight."""
-        variance = self._variance.get((service, aspect), INITIAL_DEVIATION**2)
+    def error(self, service: str, metric: PaceMetric, weight: float) -> float:
+        """Return the standard error of the mean of samples of a given weight."""
+        variance = self._variance.get((service, metric), INITIAL_DEVIATION**2)
         return math.sqrt(variance / weight) if weight > 0 else math.inf
 
-    # What peers tell
+    # Samples from peers
 
-    def receive_samples(self, peer: str, life: int, shown: EngineSamples) -> None:
-        """Take in what a peer showed of a life, in place of what it told before."""
+    def receive_samples(self, peer: str, life: int, samples: EngineSamples) -> None:
+        """Replace a peer's samples of an engine by newer ones."""
         if life in self._lives:
-            self._peers.setdefault(life, {})[peer] = shown
-            self._newest[life] = max(shown.newest_at, self._newest.get(life, float("-inf")))
+            self._peer_samples.setdefault(life, {})[peer] = samples
+            self._newest_at[life] = max(samples.newest_at, self._newest_at.get(life, float("-inf")))
 
     def drop_peer(self, peer: str) -> None:
-        """What a peer told comes by another way now; of one that is gone it fades by itself."""
-        for shown in self._peers.values():
-            shown.pop(peer, None)
+        """Drop a peer's samples, because they now arrive in a zone digest. Those of a node that is
+        gone need no call, they decay."""
+        for samples in self._peer_samples.values():
+            samples.pop(peer, None)
 
     def own_sample_times(self) -> Iterator[tuple[int, float]]:
-        """Lives that this node's attempts showed something of, and the time of the newest."""
-        return ((life, shown.newest_at) for life, shown in self._own.items())
+        """Return the engines of which this node has samples, with the time of the newest."""
+        return ((life, samples.newest_at) for life, samples in self._own_samples.items())
 
     def sample_times(self) -> Iterator[tuple[int, float]]:
-        """Lives that anybody showed something of, and the time of the newest."""
-        return iter(self._newest.items())
+        """Return the engines of which any node has samples, with the time of the newest."""
+        return iter(self._newest_at.items())
 
     def own_samples(self, life: int, now: float) -> EngineSamples:
-        """What this node's attempts showed of a life."""
-        return self._total(life, now, set())
+        """Return the samples from this node's attempts at an engine."""
+        return self._sum(life, now, set())
 
     def samples_of(self, life: int, peers: set[str], now: float) -> EngineSamples:
-        """What this node and some of its peers showed of a life, together."""
-        return self._total(life, now, peers)
+        """Return the samples of an engine from this node and some of its peers."""
+        return self._sum(life, now, peers)
 
     def all_samples(self, life: int, now: float) -> EngineSamples:
-        """What all showed of a life."""
-        return self._total(life, now, None)
+        """Return the samples of an engine from all nodes."""
+        return self._sum(life, now, None)
 
-    def _total(self, life: int, now: float, names: set[str] | None) -> EngineSamples:
+    def _sum(self, life: int, now: float, names: set[str] | None) -> EngineSamples:
         total = EngineSamples(now, float("-inf"))
-        told = self._peers.get(life, {})
-        parts = [one for name, one in told.items() if names is None or name in names]
-        own = self._own.get(life)
+        by_peer = self._peer_samples.get(life, {})
+        parts = [entry for name, entry in by_peer.items() if names is None or name in names]
+        own = self._own_samples.get(life)
         for part in (*parts, own) if own is not None else parts:
             part.decay(now)
             total.newest_at = max(total.newest_at, part.newest_at)
-            for sums, one in zip(total.metrics, part.metrics, strict=True):
-                if one.weight > 0:
-                    sums.add(one.weight, one.mean)
+            for sums, entry in zip(total.metrics, part.metrics, strict=True):
+                if entry.weight > 0:
+                    sums.add(entry.weight, entry.mean)
         return total
 
-    # What follows
+    # Evaluation
 
     def update(self, now: float) -> list[PaceChange]:
-        """Work out which lives differ; returns those that begin or cease to."""
+        """Update which engines differ from the others; return those whose status changed."""
         changes = []
         for life in self._due():
-            self._judged[life] = now
-            self._drop_faded(life, now)
-            former = self._factors.get(life, UNIFORM)
+            self._evaluated_at[life] = now
+            self._drop_decayed(life, now)
+            previous = self._factors.get(life, UNIFORM)
             total = self.all_samples(life, now)
-            factors = self._judge(life, total, former)
+            factors = self._evaluate(life, total, previous)
             if factors == UNIFORM:
                 self._factors.pop(life, None)
             else:
                 self._factors[life] = factors
-            if (factors == UNIFORM) is not (former == UNIFORM):
+            if (factors == UNIFORM) is not (previous == UNIFORM):
                 age = max(0.0, now - total.newest_at)
                 name = self._lives[life]
                 changes.append(PaceChange(name, factors != UNIFORM, factors, total.weight, age))
-        self._note_services()
+        self._update_services()
         return changes
 
     def _due(self) -> list[int]:
-        """Lives to judge now."""
+        """Return the engines to evaluate now."""
         never = float("-inf")
         order = sorted(
-            (self._judged.get(life, never) >= newest, self._judged.get(life, never), life)
-            for life, newest in self._newest.items()
+            (
+                self._evaluated_at.get(life, never) >= newest,
+                self._evaluated_at.get(life, never),
+                life,
+            )
+            for life, newest in self._newest_at.items()
         )
         return [life for _, _, life in order[:MAX_EVALUATED]]
 
-    def _drop_faded(self, life: int, now: float) -> None:
-        told = self._peers.get(life, {})
-        for name, shown in list(told.items()):
-            shown.decay(now)
-            if shown.weight < NEGLIGIBLE_WEIGHT:
-                del told[name]
+    def _drop_decayed(self, life: int, now: float) -> None:
+        by_peer = self._peer_samples.get(life, {})
+        for name, samples in list(by_peer.items()):
+            samples.decay(now)
+            if samples.weight < NEGLIGIBLE_WEIGHT:
+                del by_peer[name]
 
-    def _judge(self, life: int, total: EngineSamples, former: PaceFactors) -> PaceFactors:
-        before = (former.first, former.pause, former.held)
+    def _evaluate(self, life: int, total: EngineSamples, previous: PaceFactors) -> PaceFactors:
+        before = (previous.first, previous.pause, previous.held)
         first, pause, held = (
-            self._factor(self._services[life], aspect, total.metrics[aspect], before[aspect])
-            for aspect in PaceMetric
+            self._factor(self._services[life], metric, total.metrics[metric], before[metric])
+            for metric in PaceMetric
         )
         return PaceFactors(first, pause, held)
 
     def _factor(
-        self, service: str, aspect: PaceMetric, shown: WeightedMean, before: float
+        self, service: str, metric: PaceMetric, samples: WeightedMean, before: float
     ) -> float:
-        differed = before != 1.0
-        if shown.weight < (PRIOR_WEIGHT if differed else MIN_WEIGHT):
+        was_different = before != 1.0
+        if samples.weight < (PRIOR_WEIGHT if was_different else MIN_WEIGHT):
             return 1.0
-        errors = EXIT_ERRORS if differed else ENTER_ERRORS
-        least = MIN_DIFFERENCE / 2 if differed else MIN_DIFFERENCE
-        error = self.error(service, aspect, shown.weight)
-        if abs(shown.mean) < max(least, errors * error):
+        errors = EXIT_ERRORS if was_different else ENTER_ERRORS
+        threshold = MIN_DIFFERENCE / 2 if was_different else MIN_DIFFERENCE
+        error = self.error(service, metric, samples.weight)
+        if abs(samples.mean) < max(threshold, errors * error):
             return 1.0
-        return math.exp(_bounded(shown.mean * shown.weight / (shown.weight + PRIOR_WEIGHT)))
+        return math.exp(_clamp(samples.mean * samples.weight / (samples.weight + PRIOR_WEIGHT)))
 
-    def _note_services(self) -> None:
+    def _update_services(self) -> None:
         self._differing = {self._services[life] for life in self._factors}
 
 
-def _bounded(value: float) -> float:
-    return min(_LARGEST_LOG, max(-_LARGEST_LOG, value))
+def _clamp(value: float) -> float:
+    return min(_MAX_LOG, max(-_MAX_LOG, value))
 
 
-def _only(by_life: dict[int, Kept], lives: Mapping[int, EngineLife]) -> dict[int, Kept]:
-    return {life: one for life, one in by_life.items() if life in lives}
+def _restrict(by_life: dict[int, Kept], lives: Mapping[int, EngineLife]) -> dict[int, Kept]:
+    return {life: entry for life, entry in by_life.items() if life in lives}
--- a/postvalve/core/routing/latency_estimate.py
+++ b/postvalve/core/routing/latency_estimate.py
@@ -1,8 +1,8 @@
-"""What an engine is expected to take for one more request: one answer, in seconds, for all who ask.
+"""Estimates of the time that one more request takes at an engine, in seconds.
 
-Whether there is room, whether a request will be in time, who waits and where it goes follow from
-the same sums: the service's pace, the engine's factors to it, and its load. An engine without
-factors is taken by the service's pace alone.
+Whether there is capacity, whether a request will be in time, which requests wait and where they go
+all follow from the same estimates, computed from the service's latencies, the engine's pace factors
+and its load. An engine without factors is estimated by its service's latencies alone.
 """
 
 from __future__ import annotations
@@ -14,43 +14,44 @@
 from postvalve.core.routing.engine_pace import UNIFORM, PaceFactors
 
 PREEMPTION_TIME = 0.15
-"""Seconds until batch items have left the slots that online work needs."""
+"""Seconds until preempted batch items have left their slots."""
 
 
 @dataclass(slots=True)
 class EngineOccupancy:
-    """An engine's load as this node sees it."""
+    """Slots and load of an engine as this node sees them."""
 
     slots: int
     online: int
     batch: int
     unread: int
-    """Prompt tokens that it must read before those of another request."""
+    """Prompt tokens that the engine must read before those of another request."""
     factors: PaceFactors = UNIFORM
-    """How much longer than usual for its service it takes now."""
+    """How much longer than usual for its service the engine takes now."""
     pause_aim: float | None = None
-    """Seconds between events that callers bear; None where nobody says."""
-    _places: int = -1
-    """Its places, once they were worked out."""
+    """Longest pause between events that callers accept, in seconds; None if no route sets one."""
+    _capacity: int = -1
+    """Cached capacity; -1 before it is computed."""
 
     def capacity(self, pace: ServiceLatency) -> int:
-        """Requests that may run there within the pauses that callers bear, one at least."""
+        """Return how many requests may run at once without exceeding the pause that callers accept;
+        at least one."""
         if self.factors is UNIFORM or self.pause_aim is None:
             return self.slots
-        if self._places < 0:
-            self._places = capacity_within(self.slots, pace, self.factors.pause, self.pause_aim)
-        return self._places
+        if self._capacity < 0:
+            self._capacity = capacity_within(self.slots, pace, self.factors.pause, self.pause_aim)
+        return self._capacity
 
     def has_capacity(self, pace: ServiceLatency) -> bool:
-        """Whether there is a place that no online work needs."""
+        """Return whether online work leaves capacity free."""
         return self.online < self.capacity(pace)
 
 
 def capacity_within(slots: int, pace: ServiceLatency, factor: float, pause_aim: float) -> int:
-    """Requests of which none is expected to see a pause above `pause_aim`; one at the least.
+    """Return the number of running requests up to which no pause above `pause_aim` is expected.
 
-    A slow engine takes what it can bear, so that it is never left without work, and is seen to be
-    well again.
+    It is at least one, so that a slow engine is never left without work, and its recovery is
+    noticed.
     """
     if pace.longest_pause(slots) * factor <= pause_aim:
         return slots
@@ -60,62 +61,68 @@
     return 1
 
 
-def queue_delay_per_place(room: EngineOccupancy, pace: ServiceLatency) -> float:
-    """Seconds for each place in an engine's queue."""
-    return pace.queue_delay_per_place(room.capacity(pace)) * room.factors.held
+def queue_delay_per_place(engine: EngineOccupancy, pace: ServiceLatency) -> float:
+    """Return the delay in seconds for each position in an engine's queue."""
+    return pace.queue_delay_per_place(engine.capacity(pace)) * engine.factors.held
 
 
-def queue_wait(room: EngineOccupancy, pace: ServiceLatency) -> float:
-    """Seconds until an engine has a slot for one more online request."""
-    total = room.online + room.batch
-    places = room.slots if room.pause_aim is None else room.capacity(pace)
-    if total < places:
+def queue_wait(engine: EngineOccupancy, pace: ServiceLatency) -> float:
+    """Return the seconds until an engine has a slot for one more online request."""
+    total = engine.online + engine.batch
+    capacity = engine.slots if engine.pause_aim is None else engine.capacity(pace)
+    if total < capacity:
         return 0.0
-    by_slots = queue_delay_per_place(room, pace)
-    if room.online < places:
-        return min(PREEMPTION_TIME, (total - places + 1) * by_slots)
-    return (room.online - places + 1) * by_slots
+    delay = queue_delay_per_place(engine, pace)
+    if engine.online < capacity:
+        return min(PREEMPTION_TIME, (total - capacity + 1) * delay)
+    return (engine.online - capacity + 1) * delay
 
 
-def expected_first_event(room: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
-    """Seconds to the first event of a request with so many prompt tokens."""
-    return queue_wait(room, pace) + pace.first_event(room.unread + tokens) * room.factors.first
+def expected_first_event(engine: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
+    """Return the seconds to the first event of a request with so many prompt tokens."""
+    return (
+        queue_wait(engine, pace) + pace.first_event(engine.unread + tokens) * engine.factors.first
+    )
 
 
 def expected_in_time(
-    rooms: Iterable[EngineOccupancy], tokens: int, pace: ServiceLatency, left: float
+    engines: Iterable[EngineOccupancy], tokens: int, pace: ServiceLatency, time_left: float
 ) -> Iterator[bool]:
-    """Whether a request's first event is expected within `left` seconds, for each engine."""
+    """Yield for each engine whether the first event is expected within `time_left` seconds."""
     known, margin = pace.known, pace.margin
-    return (known and expected_first_event(room, tokens, pace) + margin <= left for room in rooms)
+    return (
+        known and expected_first_event(engine, tokens, pace) + margin <= time_left
+        for engine in engines
+    )
 
 
-def any_has_capacity(rooms: Iterable[EngineOccupancy], pace: ServiceLatency) -> bool:
-    """Whether any engine has a place that no online work needs."""
-    return any(room.has_capacity(pace) for room in rooms)
+def any_has_capacity(engines: Iterable[EngineOccupancy], pace: ServiceLatency) -> bool:
+    """Return whether online work leaves capacity free at any engine."""
+    return any(engine.has_capacity(pace) for engine in engines)
 
 
-def least_loaded(rooms: Sequence[EngineOccupancy], pace: ServiceLatency) -> EngineOccupancy:
-    """The engine with the least online work for its places."""
-    return min(rooms, key=lambda room: room.online / max(1, room.capacity(pace)))
+def least_loaded(engines: Sequence[EngineOccupancy], pace: ServiceLatency) -> EngineOccupancy:
+    """Return the engine with the least online work relative to its capacity."""
+    return min(engines, key=lambda engine: engine.online / max(1, engine.capacity(pace)))
 
 
-def queue_penalty(room: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
-    """How much worse than an even engine of the same load one is, in places of a queue.
+def queue_penalty(engine: EngineOccupancy, tokens: int, pace: ServiceLatency) -> float:
+    """Return how much worse an engine is than a uniform one of the same load, in queue positions.
 
-    Counts what the request waits longer for its first event, and what the next one waits longer for
-    its slot, as likely as the engine is full. One place is what an engine of the service needs to
-    come free of one request, so this can be held against other reasons to go elsewhere; 0 for an
-    even engine, below 0 for one that is faster.
+    This adds up how much longer the request waits for its first event, and how much longer the next
+    request waits for its slot, weighted by how full the engine is. One queue position is the time
+    in which an engine of the service finishes one request, so the value can be weighed against
+    other reasons to choose another engine. It is 0 for a uniform engine, and negative for a faster
+    one.
     """
-    if room.factors is UNIFORM or not pace.known:
+    if engine.factors is UNIFORM or not pace.known:
         return 0.0
-    even = EngineOccupancy(room.slots, room.online, room.batch, room.unread)
-    step = pace.queue_delay_per_place(room.slots)
+    uniform = EngineOccupancy(engine.slots, engine.online, engine.batch, engine.unread)
+    step = pace.queue_delay_per_place(engine.slots)
     if step <= 0:
         return 0.0
-    own = (
-        expected_first_event(room, tokens, pace) - expected_first_event(even, tokens, pace)
+    extra = (
+        expected_first_event(engine, tokens, pace) - expected_first_event(uniform, tokens, pace)
     ) / step
-    load = min(1.0, (room.online + room.batch) / room.slots)
-    return own + (room.factors.held - 1.0) * load
+    load = min(1.0, (engine.online + engine.batch) / engine.slots)
+    return extra + (engine.factors.held - 1.0) * load
--- a/postvalve/core/scheduling/queue_order.py
+++ b/postvalve/core/scheduling/queue_order.py
@@ -1,8 +1,9 @@
-"""In which order requests wait, and what each node tells of the first that waits there.
+"""Order of waiting requests, and the message in which nodes report their share clock and queue
+heads.
 
-Priority goes before share, share before time left. A request may be passed by more urgent ones, and
-by tenants that got less, for as long as it is held at all: then an engine gets it in any case (see
-`core/admission/holding.HOLD_SHARE`).
+Priority comes before share, and share before time left. Requests of higher priority, and those of
+tenants that got less, may pass a request until it has been held for the longest time allowed; then
+it starts in any case (see `HOLD_SHARE` in `core/admission/online_admission`).
 """
 
 from __future__ import annotations
@@ -15,66 +16,74 @@
 import xxhash
 
 _CLOCK = struct.Struct("!d")
-_FIRST = struct.Struct("!IBBd")
-"""Hash of the service; rank; start tag."""
+_HEAD = struct.Struct("!IBBd")
+"""Hash of the service, rank, start tag."""
 MAX_RANK = 0xFF
 MAX_SERVICES = 32
-"""Services of which a node tells."""
+"""Upper bound of the services in one message."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuePosition:
-    """Where a request stands: the least goes first."""
+    """Position of a request in the queue; the lowest is served first."""
 
     rank: tuple[int, int]
-    """See `Caller.rank`."""
+    """Priority, see `Caller.rank`."""
     tag: float
-    """See `core/scheduling/fair_share`."""
+    """Start tag, see `core/scheduling/fair_share`."""
     deadline: float = math.inf
-    """Monotonic seconds of the node where it waits; of others, unknown."""
+    """Monotonic seconds of the node where the request waits; unknown to other nodes."""
 
 
 def service_hash(service: str) -> int:
-    """The 32 bits by which nodes name a service to each other."""
+    """Return the 32-bit hash by which nodes identify a service to each other."""
     return xxhash.xxh32_intdigest(service.encode())
 
 
 @dataclass(frozen=True, slots=True)
 class ShareUpdate:
-    """What a node tells of the fair shares."""
+    """Share clock and queue heads of a node."""
 
     clock: float
     queue_heads: Mapping[int, QueuePosition]
-    """The first that waits there, by the hash of its service."""
+    """Position of the first request that waits, by the hash of its service."""
 
     def pack(self) -> bytes:
-        """For the wire."""
-        told = sorted(self.queue_heads.items())[:MAX_SERVICES]
+        """Encode the message."""
+        reported = sorted(self.queue_heads.items())[:MAX_SERVICES]
         return _CLOCK.pack(self.clock) + b"".join(
-            _FIRST.pack(key, *(min(MAX_RANK, one) for one in place.rank), place.tag)
-            for key, place in told
+            _HEAD.pack(key, *(min(MAX_RANK, value) for value in position.rank), position.tag)
+            for key, position in reported
         )
 
 
 def unpack_share_update(data: bytes) -> ShareUpdate | None:
-    """Undo `ShareUpdate.pack`; None for bytes that are none."""
-    if len(data) < _CLOCK.size or (len(data) - _CLOCK.size) % _FIRST.size:
+    """Decode the bytes from `ShareUpdate.pack`; return None if they are malformed."""
+    if len(data) < _CLOCK.size or (len(data) - _CLOCK.size) % _HEAD.size:
         return None
     (clock,) = _CLOCK.unpack_from(data)
-    entries = _FIRST.iter_unpack(data[_CLOCK.size :])
-    first = {key: QueuePosition((own, route), tag) for key, own, route, tag in entries}
-    if not all(math.isfinite(one) for one in (clock, *(place.tag for place in first.values()))):
+    entries = _HEAD.iter_unpack(data[_CLOCK.size :])
+    heads = {
+        key: QueuePosition((tenant_rank, route_rank), tag)
+        for key, tenant_rank, route_rank, tag in entries
+    }
+    if not all(
+        math.isfinite(value) for value in (clock, *(position.tag for position in heads.values()))
+    ):
         return None
-    return ShareUpdate(clock, first)
+    return ShareUpdate(clock, heads)
 
 
 def merge_share_updates(parts: Iterable[bytes]) -> bytes:
-    """What a zone tells: the newest clock, and the first of all its nodes; empty for no news."""
-    known = [one for one in map(unpack_share_update, parts) if one is not None]
+    """Merge the messages of a zone's nodes: the latest clock and the first waiting requests.
+
+    Returns empty bytes if no part holds a message.
+    """
+    known = [value for value in map(unpack_share_update, parts) if value is not None]
     if not known:
         return b""
-    first: dict[int, QueuePosition] = {}
-    for news in known:
-        for key, place in news.queue_heads.items():
-            first[key] = min(place, first.get(key, place))
-    return ShareUpdate(max(one.clock for one in known), first).pack()
+    heads: dict[int, QueuePosition] = {}
+    for update in known:
+        for key, position in update.queue_heads.items():
+            heads[key] = min(position, heads.get(key, position))
+    return ShareUpdate(max(value.clock for value in known), heads).pack()
--- a/tests/test_competing_tenants.py
+++ b/tests/test_competing_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants that compete at nodes that run: order over all nodes, and what operators see."""
+"""Tenants that compete at running nodes: order over all nodes, and the status for operators."""
 
 import unittest
 
@@ -15,29 +15,30 @@
     {"name": "hot", "apiKeys": ["hot-key"]},
     {"name": "small", "apiKeys": ["small-key"], "ratePerS": 50, "burst": 50},
 ]
-HELD = 0.4
-HOT = 30
-"""Requests: they hold four slots for three seconds."""
+SLOT_TIME = 0.4
+HOT_REQUESTS = 30
+"""Requests of the large tenant; they occupy four slots for three seconds."""
 
 
-PLACES = 4 + MAX_ENGINE_QUEUE
-"""Requests that the engine takes while others wait."""
+CAPACITY = 4 + MAX_ENGINE_QUEUE
+"""Requests that the engine accepts while others wait."""
 
 
 class CompetingCase(unittest.TestCase):
     tenants = TENANTS
 
     def setUp(self):
-        # The longest that a request is held is 8 s: nobody starts by that here.
+        # The longest hold is 8 s, so no request starts because of it here.
         self.fleet = GatewayFleet(
             nodes=3, engines=1, tenants=self.tenants, targetLatencyMs=10_000, timeoutMs=15_000
         )
         self.addCleanup(self.fleet.stop)
         self.nodes = list(self.fleet.nodes.values())
-        wait_until(lambda: all(len(one.peers.all()) == 2 for one in self.nodes))
-        self.fleet.engines[0].usual = Behaviour(events=1, thinks=HELD)
-        # Lenders begin with empty buckets, a keeper listens first, and a line needs all nodes.
-        wait_until(lambda: all(one.peers.features() & Feature.LINE for one in self.nodes))
+        wait_until(lambda: all(len(node.peers.all()) == 2 for node in self.nodes))
+        self.fleet.engines[0].usual = Behaviour(events=1, thinks=SLOT_TIME)
+        # Lenders start with empty buckets, a coordinator listens first, and a queue needs all
+        # nodes.
+        wait_until(lambda: all(node.peers.features() & Feature.LINE for node in self.nodes))
         self.sent = 0
 
     def send(self, node, tenant):
@@ -49,49 +50,49 @@
         )
 
     def compete(self):
-        """One tenant fills all nodes, another one comes a little later.
+        """Let one tenant fill all nodes, and another one come a little later.
 
         Returns:
-            The runs' ids, and how many were at the engine when the other one came.
+            The request ids in order of start, and how many had started when the other tenant came.
         """
-        sent = [self.send(f"n{number % 3}", "hot") for number in range(HOT)]
+        sent = [self.send(f"n{number % 3}", "hot") for number in range(HOT_REQUESTS)]
         gevent.sleep(0.5)
         before = len(self.fleet.engines[0].runs)
         sent += [self.send(f"n{number}", "small") for number in range(3)]
-        self.assertEqual({one.get().status for one in sent}, {200})
+        self.assertEqual({greenlet.get().status for greenlet in sent}, {200})
         return [run[0] for run in self.fleet.engines[0].runs], before
 
 
 class SharesTest(CompetingCase):
-    def test_a_small_tenant_goes_before_what_a_large_one_has_waiting(self):
+    def test_small_tenant_passes_backlog_of_large_tenant(self):
         runs, before = self.compete()
-        places = [number for number, name in enumerate(runs) if name.startswith("small")]
-        # A turn of the other's for each of its own, and what was granted when it came.
-        self.assertLess(max(places), before + 2 * 3 + PLACES)
+        positions = [number for number, name in enumerate(runs) if name.startswith("small")]
+        # At most one request of the large tenant for each of the small one's, and earlier grants.
+        self.assertLess(max(positions), before + 2 * 3 + CAPACITY)
         silent = [self.fleet.events(name, Event.LINE_SILENT) for name in self.fleet.nodes]
         granted = [self.fleet.events(name, Event.LINE_GRANTED) for name in self.fleet.nodes]
         self.assertTrue(any(granted), silent)
 
-    def test_operators_see_clock_tags_and_line(self):
-        waiting = [self.send(f"n{number % 3}", "hot") for number in range(HOT)]
-        wait_until(lambda: any(one.status_document()["line"]["kept"] for one in self.nodes))
-        rows = [row for one in self.nodes for row in one.status_document()["line"]["tags"]]
+    def test_status_shows_clock_tags_and_zone_queue(self):
+        waiting = [self.send(f"n{number % 3}", "hot") for number in range(HOT_REQUESTS)]
+        wait_until(lambda: any(node.status_document()["line"]["kept"] for node in self.nodes))
+        rows = [row for node in self.nodes for row in node.status_document()["line"]["tags"]]
         self.assertIn("hot", {row["tenant"] for row in rows})
         gevent.joinall(waiting)
-        wait_until(lambda: all(one._shares.clock.now > 1.0 for one in self.nodes))
-        self.assertTrue(all(one.peers.features() & Feature.LINE for one in self.nodes))
+        wait_until(lambda: all(node._shares.clock.now > 1.0 for node in self.nodes))
+        self.assertTrue(all(node.peers.features() & Feature.LINE for node in self.nodes))
 
 
 class OneTenantTest(CompetingCase):
     tenants = [{"name": "hot", "apiKeys": ["hot-key", "small-key"]}]
 
-    def test_with_one_tenant_nothing_is_told_and_nobody_is_ordered(self):
+    def test_single_tenant_uses_no_shares_and_no_zone_queue(self):
         self.compete()
         for node in self.nodes:
             self.assertEqual(node._shares.pack(), b"")
             self.assertEqual(node.status_document()["line"]["tags"], [])
-            parts = [one.report.extensions for one in node.peers.all()]
-            self.assertFalse(any(Extension.SHARE_CLOCK in one for one in parts))
+            parts = [peer.report.extensions for peer in node.peers.all()]
+            self.assertFalse(any(Extension.SHARE_CLOCK in part for part in parts))
         granted = [self.fleet.events(name, Event.LINE_GRANTED) for name in self.fleet.nodes]
         self.assertFalse(any(granted))
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: accepted is in force everywhere within seconds and never reverts."""
+"""Configuration: an accepted revision is in force everywhere within seconds and never reverts."""
 
 import unittest
 
@@ -26,12 +26,12 @@
 from postvalve.settings.fleet import FleetConfiguration, parse_fleet_configuration
 from postvalve.settings.validation import InvalidSettingsGroup
 
-WITHIN = 16.0
-"""Seconds in which an accepted revision is in force everywhere."""
+PROPAGATION_TIME = 16.0
+"""Seconds within which an accepted revision must be in force everywhere."""
 
 
 def operator(fleet, name):
-    """An operator's access to the log."""
+    """Return an operator's access to the log."""
     place = Place(f"operator-{name}", "operator")
     log = VirtualLog(fleet.log, place)
     clock = VirtualClock(fleet.loop)
@@ -44,14 +44,16 @@
 
 
 def changed(store, tenant):
-    """The configuration in force with one label changed."""
+    """Return the configuration in force with one label changed."""
     configuration = store.newest_configuration()
-    tenants = [one.model_copy(update={"labels": {"mark": tenant}}) for one in configuration.tenants]
+    tenants = [
+        spec.model_copy(update={"labels": {"mark": tenant}}) for spec in configuration.tenants
+    ]
     return configuration.model_copy(update={"tenants": tenants})
 
 
 def revisions(fleet):
-    """Revision in force at each running node."""
+    """Return the revision in force at each running node."""
     return {
         node_id: node.node.status_document()["configuration_revision"]
         for node_id, node in fleet.nodes.items()
@@ -68,7 +70,7 @@
 
         return run_virtual(run)
 
-    def test_a_revision_is_in_force_everywhere_within_seconds(self):
+    def test_revision_propagates_within_seconds(self):
         def run(fleet):
             store = operator(fleet, "a")
             revision = store.publish(changed(store, "x"), None, "a")
@@ -92,9 +94,9 @@
                 gevent.spawn(publish, first, "a"),
                 gevent.spawn(publish, second, "b"),
             ]
-            outcomes = [one.get() for one in both]
-            self.assertEqual(sum(one is None for one in outcomes), 1)
-            winner = next(one for one in outcomes if one is not None)
+            outcomes = [greenlet.get() for greenlet in both]
+            self.assertEqual(sum(outcome is None for outcome in outcomes), 1)
+            winner = next(outcome for outcome in outcomes if outcome is not None)
             gevent.sleep(1)
             self.assertEqual(set(revisions(fleet).values()), {winner})
             history = [entry.outcome for entry in first.history()]
@@ -102,7 +104,7 @@
 
         self.session(run)
 
-    def test_the_answer_to_a_publication_is_lost(self):
+    def test_lost_answer_to_a_publication(self):
         def run(fleet):
             store = operator(fleet, "a")
             wanted = changed(store, "x")
@@ -112,25 +114,25 @@
             self.assertEqual(caught.exception.verdict, "may_have_run")
             fleet.log.model.faults.fault = LogFault.NONE
             gevent.sleep(2)
-            # It took effect, once, though it was appended more than once.
+            # The change took effect once, though it was appended more than once.
             outcomes = [entry.outcome for entry in store.history()]
             self.assertEqual(outcomes.count(ChangeOutcome.ACCEPTED), 2)
             self.assertEqual(len(set(revisions(fleet).values())), 1)
 
         self.session(run)
 
-    def test_a_zone_that_is_cut_off_from_the_log_gets_it_from_peers(self):
+    def test_zone_without_log_gets_revision_from_peers(self):
         def run(fleet):
             fleet.log.model.faults.cut_zones.add("zone-1")
             gevent.sleep(3)
             store = operator(fleet, "a")
             revision = store.publish(changed(store, "x"), None, "a")
-            gevent.sleep(WITHIN)
+            gevent.sleep(PROPAGATION_TIME)
             self.assertEqual(set(revisions(fleet).values()), {revision})
 
         self.session(run)
 
-    def test_a_zone_that_is_cut_off_from_its_peers_gets_it_from_the_log(self):
+    def test_zone_without_peers_gets_revision_from_log(self):
         def run(fleet):
             fleet.network.cut("zone-0", "zone-1")
             store = operator(fleet, "a")
@@ -140,14 +142,14 @@
 
         self.session(run)
 
-    def test_a_node_restarts_in_an_outage_of_the_log(self):
+    def test_node_restarts_during_log_outage(self):
         def run(fleet):
             fleet.log.model.faults.fault = LogFault.DOWN
             fleet.kill_node("node-0-0")
             fleet.restart_node("node-0-0")
             chat = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
             early = fleet.request("node-0-0", "POST", "/v1/chat/completions", document=chat)
-            gevent.sleep(WITHIN)
+            gevent.sleep(PROPAGATION_TIME)
             later = fleet.request("node-0-0", "POST", "/v1/chat/completions", document=chat)
             return early, later
 
@@ -156,7 +158,7 @@
         self.assertEqual(early.document["error"]["verdict"], "not_run")
         self.assertEqual(later.status, 200)
 
-    def test_revisions_never_go_back_under_cuts_and_restarts(self):
+    def test_revisions_never_go_back_during_partitions(self):
         def run(fleet):
             seen = dict.fromkeys(fleet.nodes, NO_REVISION)
             store = operator(fleet, "a")
@@ -175,7 +177,7 @@
                 store.publish(changed(store, f"x{number}"), None, "a")
                 gevent.sleep(4)
             fleet.log.model.faults.cut_zones = set()
-            gevent.sleep(WITHIN)
+            gevent.sleep(PROPAGATION_TIME)
             self.assertFalse(watcher.dead, watcher.exception)
             self.assertEqual(len(set(revisions(fleet).values())), 1)
 
@@ -187,14 +189,14 @@
         body = records.ConfigurationChange(base_revision=base, document=b"{}")
         return Record(record_id, body)
 
-    def test_an_old_revision_from_a_peer_changes_nothing(self):
+    def test_old_revision_from_a_peer_is_ignored(self):
         history = ConfigurationHistory()
         history.observe(0, self.change("a", NO_REVISION))
         history.observe(1, self.change("b", 0))
         self.assertFalse(history.adopt(Revision(0, b"old")))
         self.assertEqual(history.newest_number, 1)
 
-    def test_a_peer_revision_does_not_disturb_decisions(self):
+    def test_revision_from_a_peer_does_not_affect_decisions(self):
         ahead, plain = ConfigurationHistory(), ConfigurationHistory()
         ahead.adopt(Revision(2, b"{}"))
         for offset, record in enumerate(
@@ -205,12 +207,12 @@
 
     @settings(derandomize=True, max_examples=200)
     @given(st.lists(st.tuples(st.integers(0, 9), st.integers(-1, 12)), max_size=14))
-    def test_differs_from_the_naive_version_in_nothing(self, changes):
+    def test_equals_naive_implementation(self, changes):
         history = ConfigurationHistory()
         in_force, seen = NO_REVISION, set()
         for offset, (record, base) in enumerate(changes):
             outcome = history.observe(offset, self.change(str(record), base))
-            # The naive version: one variable, and the ids seen so far.
+            # Naive implementation: one variable, and the ids seen so far.
             accepted = record not in seen and base == in_force
             seen.add(record)
             in_force = offset if accepted else in_force
@@ -219,7 +221,7 @@
 
 
 class SchemaTest(unittest.TestCase):
-    def test_every_mistake_is_reported_at_once(self):
+    def test_all_errors_are_reported_together(self):
         document = b"""{"tenants": [{"name": "bad name", "api_key_sha256": ["x"]}],
             "pools": [{"name": "p", "models": [], "engines": "zone in a"}],
             "drains": [{"name": "d", "machines": ""}], "unknown": 1}"""
@@ -238,7 +240,7 @@
             },
         )
 
-    def test_references_and_repeated_names(self):
+    def test_dangling_references_and_duplicate_names(self):
         key = "0" * 64
         document = {
             "tenants": [
@@ -251,7 +253,7 @@
         with self.assertRaisesRegex(ValueError, "stands twice.*other.*shares a key"):
             FleetConfiguration.model_validate(document)
 
-    def test_the_highest_precedence_then_the_first_wins(self):
+    def test_highest_precedence_then_first_wins(self):
         configuration = FleetConfiguration.model_validate(
             {
                 "tenants": [{"name": "a", "labels": {"t": "g"}, "api_key_sha256": ["0" * 64]}],
@@ -272,7 +274,7 @@
             explained = explain(
                 configuration, configuration.tenants[0], configuration.workloads[0], {"zone": zone}
             )
-            pools = next(one for one in explained if one.kind == "pools")
+            pools = next(explanation for explanation in explained if explanation.kind == "pools")
             self.assertEqual(pools.matching, matching)
             self.assertEqual(pools.winner, matching[0])
 
--- a/tests/test_resumed_streams.py
+++ b/tests/test_resumed_streams.py
@@ -1,8 +1,9 @@
-"""Streams that go on at another engine, which answers with a failure.
+"""Streams that are resumed at another engine, which then answers with an error.
 
-Once its client has the head, only the rest of the stream may follow. The failure had no body, so it
-was read as the end of the stream: the client got a short answer that looked whole. On five days on
-which half of the engines failed many requests and some ended, it was one or two answers a day.
+Once the client has received the response head, only the rest of the stream may follow. The error
+had no body, so it was read as the end of the stream, and the client got a truncated answer that
+looked complete. On five days on which half of the engines failed many requests, and some ended,
+this happened to one or two answers a day.
 """
 
 import unittest
@@ -20,7 +21,7 @@
             engine.plan = plan
         return fleet.request("n0", STREAM_PATH + "x")
 
-    def test_a_stream_that_no_engine_goes_on_with_looks_cut(self):
+    def test_failed_resumption_looks_truncated(self):
         for max_attempts in (2, 3):
             for status in (500, 422):
                 with self.subTest(max_attempts=max_attempts, status=status):
@@ -28,5 +29,5 @@
                     self.assertEqual(answer.status, 200)
                     self.assertFalse(answer.whole)
 
-    def test_a_failure_before_the_head_reaches_the_client(self):
+    def test_failure_before_the_head_reaches_the_client(self):
         self.assertEqual(self.answer(-1, 500, 2).status, 500)
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -1,6 +1,7 @@
-"""Engines of several speeds in heaps of requests, under virtual time, placed by several nodes.
+"""Engines of different speed under bursts of requests, placed by several nodes in virtual time.
 
-Beside each bound stands what the choice gives that takes all engines of a service for alike.
+Bounds are relative to engines of equal speed with the same total. `Load.learns` turns off what the
+choice learns of engines, for comparison with one that treats all engines of a service alike.
 """
 
 import itertools
@@ -28,38 +29,38 @@
 STEP = 0.04
 """Seconds between events at an engine of speed 1."""
 NODES = 5
-REPORTS = 0.1
+REPORT_INTERVAL = 0.1
 """Seconds between two reports of a node."""
 SPEEDS = (0.55, 1.2, 1.2, 1.2) * 2
-EVEN_SPEEDS = (sum(SPEEDS) / len(SPEEDS),) * len(SPEEDS)
+UNIFORM_SPEEDS = (sum(SPEEDS) / len(SPEEDS),) * len(SPEEDS)
 CAPACITY = SLOTS * sum(SPEEDS) / (EVENTS * STEP)
-"""Requests a second that all engines bear."""
+"""Requests per second that all engines together can serve."""
 LOW, HIGH = (3.4, 0.3), (2.4, 0.95)
-"""Seconds of each part of the rhythm, and its share of the capacity."""
+"""Seconds of the low and the high phase, and the load as a fraction of the capacity."""
 WARM_UP = 12.0
-"""Seconds until engines have shown what they are."""
+"""Seconds until there are enough samples of each engine."""
 SECONDS = 50.0
 SEEDS = (1, 2, 3)
 NOISE = EngineNoise(0.15, 2.5, 0.6)
-AIM = 0.3
+TARGET_LATENCY = 0.3
 BOUND = 1.15
-"""By how much the first event's p99 may be worse than at even engines of the same sum."""
+"""Upper bound of the first event's p99, relative to uniform engines of the same total speed."""
 
 
 @dataclass
 class Load:
-    """One run."""
+    """Parameters of one run."""
 
     speeds: tuple
     noise: EngineNoise = EngineNoise()
-    tells: bool = True
-    """Whether engines tell their pace."""
+    report_pace: bool = True
+    """Whether engines report their pace."""
     learns: bool = True
     seed: int = 1
 
 
 class Session:
-    """Nodes and engines."""
+    """Nodes and engines of one run."""
 
     def __init__(self, loop, load):
         self.loop, self.load = loop, load
@@ -104,7 +105,7 @@
 
     def report(self, name, fleet):
         while True:
-            gevent.sleep(REPORTS)
+            gevent.sleep(REPORT_INTERVAL)
             use, pace = fleet.use.report(), fleet.paces.pack_report(NODES - 1)
             for other in self.nodes:
                 if other is not fleet:
@@ -115,7 +116,7 @@
     def request(self, fleet):
         started = self.loop.now()
         terms = RequestTerms("r", None, None, "", 0, 100, EVENTS)
-        placement = fleet.place_online(SERVICE, terms, (), AIM)
+        placement = fleet.place_online(SERVICE, terms, (), TARGET_LATENCY)
         engine = self.engines[placement.engine.life]
         times = AttemptTimes(started)
         body = b'{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":%d}' % EVENTS
@@ -138,10 +139,10 @@
             self.firsts.append(seconds)
             self.placed[placement.engine.life] += 1
         fleet.record_prompt_read(placement)
-        if self.load.tells:
+        if self.load.report_pace:
             load = engine.model.load()
-            told = EngineLoad(now, load.running, load.waiting, SLOTS, engine.pace())
-            fleet.paces.record_load(placement, told)
+            reported = EngineLoad(now, load.running, load.waiting, SLOTS, engine.pace())
+            fleet.paces.record_load(placement, reported)
         fleet.paces.record_first_event(placement, seconds)
         if placement.found_slot:
             fleet.pace(SERVICE).observe_first_event(placement.to_read, seconds)
@@ -152,37 +153,41 @@
 
 
 def p99(speeds, noise, **changes):
-    """Of the first events of all seeds together."""
-    firsts = sorted(one for seed in SEEDS for one in play(speeds, noise, seed, **changes).firsts)
+    """Return the p99 of the first events of all seeds together."""
+    firsts = sorted(
+        first for seed in SEEDS for first in play(speeds, noise, seed, **changes).firsts
+    )
     return firsts[int(len(firsts) * 0.99)]
 
 
 class UnevenEnginesTest(unittest.TestCase):
     def check(self, noise):
-        even, uneven = p99(EVEN_SPEEDS, noise), p99(SPEEDS, noise)
+        even, uneven = p99(UNIFORM_SPEEDS, noise), p99(SPEEDS, noise)
         self.assertLessEqual(uneven, BOUND * even)
 
-    def test_first_events_come_as_at_even_engines_of_the_same_sum(self):
+    def test_first_events_as_fast_as_at_uniform_engines(self):
         self.check(EngineNoise())
 
-    def test_likewise_where_engines_turn_slow_for_moments(self):
+    def test_first_events_with_transient_slowness(self):
         self.check(NOISE)
 
-    def test_each_engine_gets_what_it_can_bear(self):
-        """No herd at the fast ones, and the slow ones are not left without work."""
+    def test_load_follows_engine_speed(self):
+        """Requests must not crowd at the fast engines, and the slow ones must get some too."""
         placed = play(SPEEDS, EngineNoise()).placed
         share = [count / sum(placed.values()) for count in placed.values()]
-        for speed, one in zip(SPEEDS, share, strict=True):
+        for speed, fraction in zip(SPEEDS, share, strict=True):
             fair = speed / sum(SPEEDS)
-            self.assertTrue(fair * 0.6 <= one <= fair * 1.3, (speed, one, fair))
+            self.assertTrue(fair * 0.6 <= fraction <= fair * 1.3, (speed, fraction, fair))
 
-    def test_engines_that_tell_no_pace_are_taken_for_alike(self):
-        """What attempts show in heaps makes equal engines look as if they differed."""
-        session = play(EVEN_SPEEDS, NOISE, tells=False)
+    def test_engines_without_reported_pace_count_as_uniform(self):
+        """In bursts, the samples of attempts make uniform engines look as if they differed."""
+        session = play(UNIFORM_SPEEDS, NOISE, report_pace=False)
         for fleet in session.nodes:
             self.assertFalse(fleet.paces.reports_pace(SERVICE))
             self.assertEqual(fleet.paces.pack_report(NODES - 1), b"")
-            self.assertFalse([one for one in fleet._events.written if "DIFFERS" in one[0].name])
+            self.assertFalse(
+                [entry for entry in fleet._events.written if "DIFFERS" in entry[0].name]
+            )
 
 
 if __name__ == "__main__":
