--- a/postvalve/core/batch/giving_way.py
+++ b/postvalve/core/batch/giving_way.py
@@ -113,7 +113,7 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[int, list[tuple[float, tuple[int, str]]]] = {}
+        self._notified: dict[int, list[tuple[float, tuple[int, str]]]] = {}
         """When each item was told, by engine."""
 
     def choose(
@@ -128,14 +128,14 @@
             now: Monotonic seconds.
         """
         if excess <= 0:
-            self._told.pop(engine, None)
+            self._notified.pop(engine, None)
             return []
-        left = sorted(running, reverse=True)
-        waited_for = []
-        for told_at, item in self._told.get(engine, ()):
-            if now - told_at < TOLD_TIME and item in left:
-                left.remove(item)
-                waited_for.append((told_at, item))
-        chosen = left[: max(0, excess - len(waited_for))]
-        self._told[engine] = waited_for + [(now, item) for item in chosen]
+        candidates = sorted(running, reverse=True)
+        pending = []
+        for notified_at, item in self._notified.get(engine, ()):
+            if now - notified_at < TOLD_TIME and item in candidates:
+                candidates.remove(item)
+                pending.append((notified_at, item))
+        chosen = candidates[: max(0, excess - len(pending))]
+        self._notified[engine] = pending + [(now, item) for item in chosen]
         return chosen
--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -14,7 +14,7 @@
 
 _GROUP = struct.Struct("!QH")
 """Urgency in milliseconds of the epoch, number of items."""
-_PACE = struct.Struct("!I")
+_TOKEN_TIME = struct.Struct("!I")
 """Microseconds for each output token."""
 MICROSECONDS = 1_000_000
 """Of a second."""
@@ -50,55 +50,61 @@
     """How long items run, learnt from those that ended here, else from what peers tell."""
 
     def __init__(self) -> None:
-        self._own: float | None = None
+        self._measured: float | None = None
         """Seconds for each output token that an item could give at the most."""
-        self._told: float | None = None
+        self._reported: float | None = None
 
     def observe(self, seconds: float, output_tokens: int) -> None:
         """Note an item that ran whole; `output_tokens` is the most it could give."""
         sample = seconds / max(1, output_tokens)
-        known = self._own
+        known = self._measured
         if known is None:
-            self._own = sample
+            self._measured = sample
         else:
-            self._own = known + ESTIMATE_WEIGHT * (sample - known)
+            self._measured = known + ESTIMATE_WEIGHT * (sample - known)
 
     def hear(self, parts: Iterable[bytes]) -> None:
         """Take in what peers have learnt, as their `pack` gives it."""
-        paces = _read_paces(parts)
-        if paces:
-            self._told = median(paces) / MICROSECONDS
+        token_times = _decode_token_times(parts)
+        if token_times:
+            self._reported = median(token_times) / MICROSECONDS
 
     def pack(self) -> bytes:
         """What this node has learnt, for its peers; empty before an item ended here."""
-        if self._own is None:
+        if self._measured is None:
             return b""
-        return _PACE.pack(min(MAX_PACE, round(self._own * MICROSECONDS)))
+        return _TOKEN_TIME.pack(min(MAX_PACE, round(self._measured * MICROSECONDS)))
 
     def seconds_left(self, output_tokens: int, run_seconds: float) -> float:
         """Seconds that an item still needs; 0 while nothing is known."""
-        return max(self._whole(output_tokens) - run_seconds, self._least(output_tokens))
+        return max(
+            self._full_seconds(output_tokens) - run_seconds, self._minimum_seconds(output_tokens)
+        )
 
     def nearly_ended(self, output_tokens: int, run_seconds: float) -> bool:
         """Whether an item needs no more than the least that any is taken to need."""
-        return 0 < self.seconds_left(output_tokens, run_seconds) <= self._least(output_tokens)
+        return (
+            0
+            < self.seconds_left(output_tokens, run_seconds)
+            <= self._minimum_seconds(output_tokens)
+        )
 
-    def _least(self, output_tokens: int) -> float:
-        return self._whole(output_tokens) * LEAST_LEFT
+    def _minimum_seconds(self, output_tokens: int) -> float:
+        return self._full_seconds(output_tokens) * LEAST_LEFT
 
-    def _whole(self, output_tokens: int) -> float:
-        pace = self._own if self._own is not None else self._told
-        return (pace or 0.0) * output_tokens * ESTIMATE_MARGIN
+    def _full_seconds(self, output_tokens: int) -> float:
+        token_time = self._measured if self._measured is not None else self._reported
+        return (token_time or 0.0) * output_tokens * ESTIMATE_MARGIN
 
 
-def _read_paces(parts: Iterable[bytes]) -> list[int]:
-    return [_PACE.unpack(part)[0] for part in parts if len(part) == _PACE.size]
+def _decode_token_times(parts: Iterable[bytes]) -> list[int]:
+    return [_TOKEN_TIME.unpack(part)[0] for part in parts if len(part) == _TOKEN_TIME.size]
 
 
 def merge_paces(parts: Iterable[bytes]) -> bytes:
     """What the nodes of a zone have learnt, as one part for its digest."""
-    paces = _read_paces(parts)
-    return _PACE.pack(int(median(paces))) if paces else b""
+    token_times = _decode_token_times(parts)
+    return _TOKEN_TIME.pack(int(median(token_times))) if token_times else b""
 
 
 def urgency(due_at_ms: int, now_ms: int, seconds_left: float) -> int:
--- a/postvalve/core/batch/item_shares.py
+++ b/postvalve/core/batch/item_shares.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class _Line:
+class _TenantQueue:
     """Items of one tenant that have no result, in the order of their tags."""
 
     items: list[_Item] = field(default_factory=list)
@@ -72,8 +72,8 @@
 
     def __init__(self, weights: Mapping[str, float]) -> None:
         """Start with no items; weights by tenant, only their proportions matter."""
-        self._weights = _relative(weights)
-        self._lines: dict[str, _Line] = {}
+        self._weights = _normalized(weights)
+        self._queues: dict[str, _TenantQueue] = {}
         self._items: dict[tuple[str, int], _Item] = {}
         self._tenants: dict[str, str] = {}
         """Tenant by job."""
@@ -108,23 +108,23 @@
         """
         self._clock = max(self._clock, clock)
         self._tenants[job_id] = tenant
-        line = self._lines.setdefault(tenant, _Line())
-        in_order = not line.items or line.items[-1].due_at_ms <= due_at_ms
+        queue = self._queues.setdefault(tenant, _TenantQueue())
+        in_order = not queue.items or queue.items[-1].due_at_ms <= due_at_ms
         new = [_Item(job_id, index, due_at_ms, count, clock) for index, count in enumerate(tokens)]
         self._items.update((item.key, item) for item in new)
         for item in new:
             self._count(item, 1, 1)
         if in_order:
-            self._lay(tenant, line, new)
+            self._append_tagged(tenant, queue, new)
         else:
-            self._lay_by_due(tenant, line, new)
+            self._requeue_by_due(tenant, queue, new)
 
     def ended(self, job_id: str, index: int, *, ran: bool) -> None:
         """An item has a result; one that was given up says nothing of how far the fleet is."""
         item = self._items.pop((job_id, index), None)
         if item is None:
             return
-        self._lines[self._tenants[job_id]].items.remove(item)
+        self._queues[self._tenants[job_id]].items.remove(item)
         self._count(item, 0 if ran else -1, -1)
         if ran:
             self._clock = max(self._clock, item.tag)
@@ -134,25 +134,25 @@
         tenant = self._tenants.pop(job_id, None)
         if tenant is None:
             return
-        line = self._lines[tenant]
-        gone = [one for one in line.items if one.job_id == job_id]
-        if not gone:
+        queue = self._queues[tenant]
+        removed = [one for one in queue.items if one.job_id == job_id]
+        if not removed:
             return
-        for item in gone:
+        for item in removed:
             del self._items[item.key]
             self._count(item, -1, -1)
-        items = line.take_back()
-        self._lay(tenant, line, [one for one in items if one.job_id != job_id])
+        items = queue.take_back()
+        self._append_tagged(tenant, queue, [one for one in items if one.job_id != job_id])
 
     def reweigh(self, weights: Mapping[str, float]) -> None:
         """Weights have changed: tenants go on side by side from the clock."""
-        relative = _relative(weights)
-        if relative == self._weights:
+        normalized = _normalized(weights)
+        if normalized == self._weights:
             return
-        self._weights = relative
-        for tenant, line in self._lines.items():
-            items, line.items, line.end = line.items, [], self._clock
-            self._lay(tenant, line, items)
+        self._weights = normalized
+        for tenant, queue in self._queues.items():
+            items, queue.items, queue.end = queue.items, [], self._clock
+            self._append_tagged(tenant, queue, items)
 
     def forget_due(self, before: int) -> None:
         """Drop the counts of items that were due before a second of the epoch."""
@@ -168,22 +168,22 @@
             if done:
                 del self.due[min(done)]
 
-    def _lay_by_due(self, tenant: str, line: _Line, new: Sequence[_Item]) -> None:
+    def _requeue_by_due(self, tenant: str, queue: _TenantQueue, new: Sequence[_Item]) -> None:
         """Let all items of a tenant stand by due time; what it has been given stays."""
-        items = sorted([*line.take_back(), *new], key=lambda one: one.due_at_ms)
-        self._lay(tenant, line, items)
+        items = sorted([*queue.take_back(), *new], key=lambda one: one.due_at_ms)
+        self._append_tagged(tenant, queue, items)
 
-    def _lay(self, tenant: str, line: _Line, items: Sequence[_Item]) -> None:
+    def _append_tagged(self, tenant: str, queue: _TenantQueue, items: Sequence[_Item]) -> None:
         """Add items with tags one after the other, from the line's end on."""
         weight = self._weights.get(tenant, EQUAL_WEIGHT)
         for item in items:
             item.cost = item.tokens / weight
-            item.tag = max(line.end, item.clock)
-            line.end = item.tag + item.cost
-            line.items.append(item)
+            item.tag = max(queue.end, item.clock)
+            queue.end = item.tag + item.cost
+            queue.items.append(item)
 
 
-def _relative(weights: Mapping[str, float]) -> dict[str, float]:
+def _normalized(weights: Mapping[str, float]) -> dict[str, float]:
     """Weights whose mean is one, so that tags stay in tokens."""
     mean = sum(weights.values()) / len(weights) if weights else 0.0
     return {name: weight / mean for name, weight in weights.items()} if mean > 0 else {}
--- a/postvalve/core/batch/lateness.py
+++ b/postvalve/core/batch/lateness.py
@@ -25,9 +25,9 @@
     """Late items among those that were due lately."""
 
     def __init__(self) -> None:
-        self._seen: dict[int, tuple[int, int]] = {}
+        self._by_second: dict[int, tuple[int, int]] = {}
         """Items and late ones by the second in which they were due, as it passed."""
-        self._looked_at: int | None = None
+        self._updated_to: int | None = None
         self.items = 0
         """Due in the window."""
         self.late = 0
@@ -44,16 +44,16 @@
                 where it was.
         """
         second = int(now)
-        first = second if self._looked_at is None else max(self._looked_at, second - WINDOW)
+        first = second if self._updated_to is None else max(self._updated_to, second - WINDOW)
         for passed in range(first, second):
             count = due.get(passed)
             if count is not None:
-                self._seen[passed] = count.items, count.left
-        self._looked_at = max(second, first)
-        for old in [one for one in self._seen if one < second - WINDOW]:
-            del self._seen[old]
-        self.items = sum(items for items, _ in self._seen.values())
-        self.late = sum(late for _, late in self._seen.values())
+                self._by_second[passed] = count.items, count.left
+        self._updated_to = max(second, first)
+        for old in [one for one in self._by_second if one < second - WINDOW]:
+            del self._by_second[old]
+        self.items = sum(items for items, _ in self._by_second.values())
+        self.late = sum(late for _, late in self._by_second.values())
         if self.items >= LEAST_ITEMS:
             self.mostly = self.late > self.items * (FEW if self.mostly else MOST)
         elif not self.items:
--- a/postvalve/core/batch/lease.py
+++ b/postvalve/core/batch/lease.py
@@ -42,8 +42,8 @@
         self.epoch = 0
         self.holder = ""
         self.holder_incarnation = 0
-        self._heard_at = float("-inf")
-        self._asked_at = float("-inf")
+        self._renewed_at = float("-inf")
+        self._last_append_at = float("-inf")
 
     def observe(self, record: Record, now: float) -> None:
         """Take a record of the shard's stream in."""
@@ -52,20 +52,20 @@
             self.epoch = body.epoch
             self.holder = body.node_id
             self.holder_incarnation = body.incarnation
-            self._heard_at = now
+            self._renewed_at = now
         elif isinstance(body, records.LeaseRenewed) and body.epoch == self.epoch:
-            self._heard_at = now
+            self._renewed_at = now
         elif isinstance(body, records.LeaseReleased) and body.epoch == self.epoch:
             self.holder = ""
         elif isinstance(body, records.ShardCheckpoint) and body.epoch > self.epoch:
             self.epoch = body.epoch
             self.holder = body.node_id
             self.holder_incarnation = body.incarnation
-            self._heard_at = now
+            self._renewed_at = now
 
     def state(self, now: float) -> LeaseState:
         """Who holds the shard, by this node's guess."""
-        if not self.holder or now - self._heard_at >= self._timing.duration:
+        if not self.holder or now - self._renewed_at >= self._timing.duration:
             return LeaseState.FREE
         if self.holder == self._node_id and self.holder_incarnation == self._incarnation:
             return LeaseState.HELD_HERE
@@ -82,18 +82,18 @@
         state = self.state(now)
         if state is LeaseState.HELD_HERE:
             if not preferred:
-                return self._ask(LeaseStep.RELEASE, now)
-            if now - self._heard_at >= self._timing.renewal:
-                return self._ask(LeaseStep.RENEW, now)
+                return self._throttled(LeaseStep.RELEASE, now)
+            if now - self._renewed_at >= self._timing.renewal:
+                return self._throttled(LeaseStep.RENEW, now)
             return LeaseStep.NONE
         free = state is LeaseState.FREE or holder_gone
         if free and preferred:
-            return self._ask(LeaseStep.CLAIM, now)
+            return self._throttled(LeaseStep.CLAIM, now)
         return LeaseStep.NONE
 
-    def _ask(self, step: LeaseStep, now: float) -> LeaseStep:
+    def _throttled(self, step: LeaseStep, now: float) -> LeaseStep:
         # One append at a time: wait until it can have been read back.
-        if now - self._asked_at < self._timing.renewal / 2:
+        if now - self._last_append_at < self._timing.renewal / 2:
             return LeaseStep.NONE
-        self._asked_at = now
+        self._last_append_at = now
         return step
--- a/postvalve/core/batch/scheduler.py
+++ b/postvalve/core/batch/scheduler.py
@@ -189,23 +189,23 @@
         if dispatch is not None:
             self._forget(dispatch)
         else:
-            self._uncount(key)
+            self._decrement_running(key)
         job = self._jobs.get(key.job_id)
         if job is not None:
             job.returned.append(key.item_index)
 
     def hold_back(self, key: ItemKey) -> None:
         """Keep a taken item from being handed out: an earlier start of it may still run."""
-        self._uncount(key)
+        self._decrement_running(key)
         job = self._jobs.get(key.job_id)
         if job is not None:
             job.held_back.add(key.item_index)
 
     def _forget(self, dispatch: Dispatch) -> None:
         del self._dispatches[dispatch.key]
-        self._uncount(dispatch.key)
+        self._decrement_running(dispatch.key)
 
-    def _uncount(self, key: ItemKey) -> None:
+    def _decrement_running(self, key: ItemKey) -> None:
         job = self._jobs.get(key.job_id)
         if job is not None:
             self._running_by_tenant[job.ledger.accepted.tenant] -= 1
--- a/postvalve/gateway/jobs/end_writer.py
+++ b/postvalve/gateway/jobs/end_writer.py
@@ -16,11 +16,11 @@
 from postvalve.gateway.jobs.result_texts import text_prefix
 from postvalve.gateway.knowledge.stored_values import ValueRef
 
-COMMIT_PATIENCE = 4.0
+APPEND_TIMEOUT = 4.0
 """Seconds of repetition until a failed append is told; then it is repeated again."""
-GATHER_TIME = 0.01
+BATCH_DELAY = 0.01
 """Seconds that ends are gathered before an append."""
-TEXT_PAUSE = 0.3
+TEXT_RETRY_DELAY = 0.3
 """Seconds until texts that could not be stored are stored anew."""
 CALL_BYTES_MARGIN = 8_192
 """Bytes of a call that are left for keys and lengths."""
@@ -58,12 +58,12 @@
         self._new_id = new_id
         self._waiting: list[EndedItem] = []
         self._has_waiting = GeventEvent()
-        self._under_way = 0
+        self._in_flight = 0
 
     @property
     def pending(self) -> int:
         """Ends that are not durable yet."""
-        return len(self._waiting) + self._under_way
+        return len(self._waiting) + self._in_flight
 
     def add(self, ended: EndedItem) -> None:
         """Write an end soon."""
@@ -74,7 +74,7 @@
         """Write for ever."""
         while True:
             self._has_waiting.wait()
-            gevent.sleep(GATHER_TIME)
+            gevent.sleep(BATCH_DELAY)
             batch = self._take()
             if batch:
                 self._write(batch)
@@ -93,14 +93,14 @@
         return batch
 
     def _write(self, batch: list[EndedItem]) -> None:
-        self._under_way = len(batch)
+        self._in_flight = len(batch)
         refs = self._store_texts(batch)
         while True:
             # A failed try may have been done, so the next one has keys of its own.
             records = [self._record(ended, refs.get(ended.prefix)) for ended in batch]
             try:
-                self._log.append(records, COMMIT_PATIENCE)
-                self._under_way = 0
+                self._log.append(records, APPEND_TIMEOUT)
+                self._in_flight = 0
                 return
             except StoreUnavailableError as error:
                 self._events.emit(Event.LOG_UNAVAILABLE, error=error.message, ends=len(batch))
@@ -114,7 +114,7 @@
                 return {ref.prefix: ref for ref in refs}
             except StoreUnavailableError as exc:
                 self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, texts=len(texts))
-                gevent.sleep(TEXT_PAUSE)
+                gevent.sleep(TEXT_RETRY_DELAY)
         return {}
 
     def _record(self, ended: EndedItem, ref: ValueRef | None) -> KeyedRecord:
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -29,17 +29,17 @@
 from postvalve.gateway.jobs.running_item import RunningItem
 from postvalve.messages.generated import gateway
 
-EVENT_SILENCE = 2.0
+EVENT_TIMEOUT = 2.0
 """Seconds without a byte until an engine counts as failed."""
-READ_PAUSE = 0.08
+READ_INTERVAL = 0.08
 """Seconds between reads of one stream, in which events gather."""
-FAILED_PAUSE = 0.3
+RETRY_DELAY = 0.3
 """Seconds before an item whose attempt failed is tried again."""
-QUARANTINE_LOOK = 5.0
+QUARANTINE_RECHECK_INTERVAL = 5.0
 """Seconds until an item that is held back looks whether it still is: it may have been cleared."""
-ANSWERS = frozenset((Judgement.ACCEPTED, Judgement.FAILED, Judgement.HOPELESS))
+ENGINE_JUDGEMENTS = frozenset((Judgement.ACCEPTED, Judgement.FAILED, Judgement.HOPELESS))
 """What only the engine itself can have said."""
-ITEM_TIME = 120.0
+ATTEMPT_TIMEOUT = 120.0
 """Seconds that one attempt may take."""
 
 
@@ -126,7 +126,7 @@
             item.last_event_id,
         )
         data = request_bytes("POST", req.target, headers, req.body)
-        deadline = self._clock.monotonic() + ITEM_TIME
+        deadline = self._clock.monotonic() + ATTEMPT_TIMEOUT
         guard.begin(engine.life)
         answer = item.answer = self._pool.start(engine.address, data, deadline, wanted=wanted)
         if item.cancelled:
@@ -136,7 +136,7 @@
             answer.abort()
             raise AttemptError("the attempt was ended", Verdict.MAY_HAVE_RUN)
         item.times = AttemptTimes(self._clock.monotonic())
-        answer.read_head(EVENT_SILENCE)
+        answer.read_head(EVENT_TIMEOUT)
         self._judge(item, placement, item_id, answer)
         if not item.cancelled and answer.status == 200:
             self._read_stream(item, answer)
@@ -177,7 +177,7 @@
         read_load(self._dialect, self._clock, paces, placement, judgement, answer.headers)
         life = placement.engine.life
         guard = item.guard
-        if guard is not None and judgement in ANSWERS:
+        if guard is not None and judgement in ENGINE_JUDGEMENTS:
             guard.note_head()
         if guard is not None and judgement in (Judgement.FAILED, Judgement.HOPELESS):
             guard.note_engine_failed()
@@ -201,7 +201,7 @@
 
     def _read_stream(self, item: RunningItem, answer: EngineAnswer) -> None:
         while True:
-            event = answer.read_event(EVENT_SILENCE)
+            event = answer.read_event(EVENT_TIMEOUT)
             if not event:
                 return
             if item.cancelled or item.preempted:
@@ -215,7 +215,7 @@
             item.events.append(event_data(event))
             item.last_event_id = number
             if not answer.has_event():
-                gevent.sleep(READ_PAUSE)
+                gevent.sleep(READ_INTERVAL)
 
     def _note_event(self, item: RunningItem) -> None:
         times, placement = item.times, item.placement
@@ -230,18 +230,20 @@
         if item.cancelled:
             return
         if isinstance(error, QuarantinedError):
-            item.not_before = self._clock.monotonic() + min(error.seconds, QUARANTINE_LOOK)
+            item.not_before = self._clock.monotonic() + min(
+                error.seconds, QUARANTINE_RECHECK_INTERVAL
+            )
             return
         life = placement.engine.life
         if item.guard is not None:
             item.guard.note_failure(error)
         if item.preempted:
             self._fleet.paces.note_end(placement, item.times, whole=False)
-            self._tell_preempted(item, life)
+            self._log_preempted(item, life)
             return
         item.failed_engine = life
-        item.not_before = self._clock.monotonic() + FAILED_PAUSE
-        gevent.spawn_later(FAILED_PAUSE, self._forgive, item)
+        item.not_before = self._clock.monotonic() + RETRY_DELAY
+        gevent.spawn_later(RETRY_DELAY, self._clear_failed_engine, item)
         refused = item.answer is not None and error.verdict is Verdict.NOT_RUN
         if isinstance(error, AttemptError) and error.verdict is not Verdict.RAN and not refused:
             # It gave no answer, or one that can't be trusted.
@@ -259,7 +261,7 @@
             error=error.message,
         )
 
-    def _tell_preempted(self, item: RunningItem, life: EngineLife) -> None:
+    def _log_preempted(self, item: RunningItem, life: EngineLife) -> None:
         now = self._clock.monotonic()
         use = self._fleet.use.total(life)
         self._events.emit(
@@ -275,7 +277,7 @@
             batch=use.batch,
         )
 
-    def _forgive(self, item: RunningItem) -> None:
+    def _clear_failed_engine(self, item: RunningItem) -> None:
         # Where the failed engine is the only one with room, it is tried again.
         item.failed_engine = None
         self._wake()
--- a/postvalve/gateway/jobs/item_ends.py
+++ b/postvalve/gateway/jobs/item_ends.py
@@ -45,7 +45,7 @@
         self._writer = writer
         self._progress = progress
         self._metrics = metrics
-        self._ended_lately: deque[tuple[float, load_report.RunningItem]] = deque()
+        self._recently_ended: deque[tuple[float, load_report.RunningItem]] = deque()
         self.accounts = Accounts()
         """What tenants got; those of the node, once it is wired."""
 
@@ -57,16 +57,16 @@
     def lately(self) -> list[load_report.RunningItem]:
         """Items whose ends may not be read everywhere yet."""
         now = self._clock.monotonic()
-        while self._ended_lately and self._ended_lately[0][0] < now - END_SPREADS:
-            self._ended_lately.popleft()
-        return [item for _, item in self._ended_lately]
+        while self._recently_ended and self._recently_ended[0][0] < now - END_SPREADS:
+            self._recently_ended.popleft()
+        return [item for _, item in self._recently_ended]
 
     def end(self, item: RunningItem, state: ItemState, text: bytes = b"") -> None:
         """An item has ended, with this text where it was completed."""
         self._own.remove(item)
         self._progress.forget(item)
         ended = load_report.RunningItem(job_id=item.job_id, item_index=item.index)
-        self._ended_lately.append((self._clock.monotonic(), ended))
+        self._recently_ended.append((self._clock.monotonic(), ended))
         completed = state == ItemState.COMPLETED
         packed = pack_text(text) if completed else b""
         self._writer.add(EndedItem(item.job_id, item.index, item.claim_id, state, packed))
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class _Found:
+class _LocalStop:
     """An item that this node has stopped by its own look."""
 
     at: float
@@ -62,24 +62,24 @@
         self._items = items
         self._urgency = urgency
         self._now = now
-        self._found: list[_Found] = []
+        self._local_stops: list[_LocalStop] = []
         """Items that this node has stopped by its own look of late, and that nobody told to go."""
 
     def look(self) -> None:
         """Stop items at engines that run more than they have slots for."""
         for life, running in self._running().items():
-            staying = [item for item in running if not item.preempted]
-            excess = self._fleet.excess(life) - (len(running) - len(staying))
+            kept = [item for item in running if not item.preempted]
+            excess = self._fleet.excess(life) - (len(running) - len(kept))
             if excess <= 0:
                 continue
             others = self._peer_items.at(engine_hash(life))
-            urgencies = [self._urgency(item) for item in staying]
+            urgencies = [self._urgency(item) for item in kept]
             count = giving_way(self._node_id, urgencies, others, excess)
             # Of equally urgent ones, those that have the least to read anew.
-            staying.sort(key=lambda item: (-self._urgency(item), len(item.events)))
-            for item in staying[:count]:
-                found = _Found(self._now(), engine_hash(life), self._urgency(item), item)
-                self._found.append(found)
+            kept.sort(key=lambda item: (-self._urgency(item), len(item.events)))
+            for item in kept[:count]:
+                stop = _LocalStop(self._now(), engine_hash(life), self._urgency(item), item)
+                self._local_stops.append(stop)
                 _stop(item, "look")
 
     def stop_one(self, engine: int, urgency: int) -> None:
@@ -90,33 +90,33 @@
             urgency: That of the item, as this node told it. Nothing goes where all that run are
                 more urgent: the item has ended meanwhile.
         """
-        if self._was_found(engine, urgency):
+        if self._already_stopped(engine, urgency):
             return
         for life, running in self._running().items():
-            open_to = [item for item in running if not item.told_to_go]
-            if engine_hash(life) != engine or not open_to:
+            candidates = [item for item in running if not item.told_to_go]
+            if engine_hash(life) != engine or not candidates:
                 continue
             # One that gives way already, or of equals the one that has the least to read anew.
             item = max(
-                open_to, key=lambda one: (self._urgency(one), one.preempted, -len(one.events))
+                candidates, key=lambda one: (self._urgency(one), one.preempted, -len(one.events))
             )
             if self._urgency(item) < urgency:
                 continue
             item.told_to_go = True
-            self._found = [one for one in self._found if one.item is not item]
+            self._local_stops = [one for one in self._local_stops if one.item is not item]
             if not item.preempted:
                 _stop(item, "told")
 
-    def _was_found(self, engine: int, urgency: int) -> bool:
+    def _already_stopped(self, engine: int, urgency: int) -> bool:
         """Whether the item that is meant was stopped by this node's own look, and has gone.
 
         The peer has seen the same excess, and a second item would go for it.
         """
         now = self._now()
-        self._found = [one for one in self._found if now - one.at < FOUND_TIME]
-        for found in self._found:
-            if found.gone and found.engine == engine and found.urgency >= urgency:
-                self._found.remove(found)
+        self._local_stops = [one for one in self._local_stops if now - one.at < FOUND_TIME]
+        for stop in self._local_stops:
+            if stop.gone and stop.engine == engine and stop.urgency >= urgency:
+                self._local_stops.remove(stop)
                 return True
         return False
 
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -95,7 +95,7 @@
         self._clock = clock
         self._events = events
         self._new_id = new_id
-        self._dropped: dict[int, list[str]] = defaultdict(list)
+        self._obsolete_keys: dict[int, list[str]] = defaultdict(list)
         """Keys whose records are not needed any more, by partition."""
         self._lock = RLock()
         self.unfinished: Callable[[], Iterable[Progressing]] = list
@@ -113,11 +113,13 @@
     def save(self) -> None:
         """Save what the items have given since the last time, and drop what has ended."""
         with self._lock:
-            saves = [save for item in self.unfinished() if (save := self._next(item)) is not None]
-            for part in self._calls(saves):
+            saves = [
+                save for item in self.unfinished() if (save := self._next_save(item)) is not None
+            ]
+            for part in self._split_calls(saves):
                 if not self._append(part):
                     return
-            self._drop()
+            self._delete_obsolete()
 
     def save_failures(self, item: Progressing) -> None:
         """Let whoever takes the item's job over know how often the item failed."""
@@ -129,7 +131,7 @@
             # The next failure tells it again.
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, job=item.job_id)
         if item.cancelled:
-            self._dropped[self._own_partition].append(record.key)
+            self._obsolete_keys[self._own_partition].append(record.key)
 
     def _append(self, part: Sequence[_Save]) -> bool:
         records = [one.record for one in part]
@@ -146,10 +148,10 @@
             chain.segments += 1
             chain.saved_events, chain.saved_id = one.events, one.last_id
             if one.item.cancelled:
-                self._dropped[self._own_partition].append(one.record.key)
+                self._obsolete_keys[self._own_partition].append(one.record.key)
         return True
 
-    def _next(self, item: Progressing) -> _Save | None:
+    def _next_save(self, item: Progressing) -> _Save | None:
         chain, last_id = item.chain, item.last_event_id
         new = item.events[chain.saved_events :]
         if last_id is None or len(new) < LEAST_EVENTS:
@@ -166,7 +168,7 @@
         key = segment_key(item.job_id, item.index, chain.name, chain.segments)
         return _Save(item, KeyedRecord(key, bytes(segment)), len(item.events), last_id)
 
-    def _calls(self, saves: Sequence[_Save]) -> list[list[_Save]]:
+    def _split_calls(self, saves: Sequence[_Save]) -> list[list[_Save]]:
         calls: list[list[_Save]] = []
         left = 0
         for save in saves:
@@ -183,20 +185,20 @@
     def forget(self, item: Progressing) -> None:
         """An item has ended: its segments are dropped with the next save."""
         chain = item.chain
-        self._dropped[self._own_partition] += [
+        self._obsolete_keys[self._own_partition] += [
             segment_key(item.job_id, item.index, chain.name, number)
             for number in range(chain.segments)
         ]
         if item.failures:
-            self._dropped[self._own_partition].append(failures_key(item.job_id, item.index))
+            self._obsolete_keys[self._own_partition].append(failures_key(item.job_id, item.index))
 
-    def _drop(self) -> None:
-        for partition, keys in list(self._dropped.items()):
+    def _delete_obsolete(self) -> None:
+        for partition, keys in list(self._obsolete_keys.items()):
             try:
                 if keys:
                     records = [KeyedRecord(key, b"") for key in keys]
                     self._topics.append(PROGRESS_TOPIC, partition, records)
-                del self._dropped[partition]
+                del self._obsolete_keys[partition]
             except StoreUnavailableError:
                 return
 
@@ -212,7 +214,7 @@
         for partition in range(self._partitions):
             found = self._records(partition, "")
             left = [key for key, _ in found if job_of_key(key) not in open_jobs]
-            self._dropped[partition] += left
+            self._obsolete_keys[partition] += left
 
     # Restoring
 
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -37,7 +37,7 @@
 """Seconds between looks for room, when no event tells of any."""
 IDLE_INTERVAL = 1.0
 """The same while this node works on no job; a job that it gets wakes it."""
-LOOK_PAUSE = 0.02
+MIN_PASS_INTERVAL = 0.02
 """Seconds between looks at the least: each request that is sent somewhere may ask for one."""
 
 _Ranked = tuple[int, RunningItem]
@@ -75,7 +75,7 @@
         self._wakeup = GeventEvent()
         self._own = OwnItems(identity, events, log, jobs, progress, self.wake)
         self._own.on_taken = reports.changed
-        self._looked_at = float("-inf")
+        self._last_pass_at = float("-inf")
         estimate = DurationEstimate()
         self.urgency = ItemUrgency(clock, events, log, peers, estimate)
         self.ends = ItemEnds(clock, events, log, self._own, ends, progress, metrics)
@@ -158,11 +158,11 @@
         while True:
             self._wakeup.wait(START_INTERVAL if self._own.by_job else IDLE_INTERVAL)
             # A look that is due goes with what woke this node up; a timer would wake it up again.
-            if (early := self._looked_at + LOOK_PAUSE - self._clock.monotonic()) > 0:
+            if (early := self._last_pass_at + MIN_PASS_INTERVAL - self._clock.monotonic()) > 0:
                 gevent.sleep(early)
             self._wakeup.clear()
-            self._looked_at = self._clock.monotonic()
-            self._fleet.use.means.roll(self._looked_at)
+            self._last_pass_at = self._clock.monotonic()
+            self._fleet.use.means.roll(self._last_pass_at)
             self._preemption.look()
             if not self.draining:
                 self._start_items()
@@ -170,13 +170,13 @@
     def _waiting(self) -> list[_Ranked]:
         """Items that may start, the most urgent first."""
         now = self._clock.monotonic()
-        elsewhere = self._peers.running_at_leaving()
+        running_elsewhere = self._peers.running_at_leaving()
         waiting = [
             (self.urgency.of(item), item)
             for item in self._own.all()
             if not item.running
             and item.not_before <= now
-            and (item.job_id, item.index) not in elsewhere
+            and (item.job_id, item.index) not in running_elsewhere
         ]
         return sorted(waiting, key=lambda one: (one[0], one[1].job_id, one[1].index))
 
@@ -189,11 +189,11 @@
         for service, items in by_service.items():
             queue = self._zone_queue(items) / self._fleet.relaxed_slots(service)
             pressing = [one for one in items if self.urgency.is_pressing(one[1], queue)]
-            self._start_those(pressing, service, pressing=True)
+            self._start_group(pressing, service, pressing=True)
             rest = [one for one in items if not one[1].running]
-            self._start_those(rest, service, pressing=False)
+            self._start_group(rest, service, pressing=False)
 
-    def _start_those(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
+    def _start_group(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
         """Start the most urgent of these, as far as there is room beside the other nodes' ones."""
         due = [urgency for urgency, _ in items]
         room = self._fleet.batch_room(service, pressing=pressing)
--- a/postvalve/gateway/jobs/item_urgency.py
+++ b/postvalve/gateway/jobs/item_urgency.py
@@ -48,7 +48,7 @@
         self._route_priorities: dict[str, int] = {}
         self._by_shares = False
         self._order = "due time"
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
         self._lateness = Lateness()
 
     def configure(self, table: RouteTable) -> None:
@@ -57,7 +57,7 @@
         self._tenants = {one.name: one for one in tenants}
         self._route_priorities = {one.name: one.priority for one in table.configuration.routes}
         self._log.weigh(weights_of(tenants))
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
 
     @property
     def by_shares(self) -> bool:
@@ -66,19 +66,19 @@
         Nodes of an earlier build order by due time, and two orders side by side would let each
         node start what the other counts behind its own.
         """
-        self._look()
+        self._refresh()
         return self._by_shares
 
-    def _look(self) -> None:
+    def _refresh(self) -> None:
         now = self._clock.monotonic()
-        if now - self._looked_at < LOOK_AGE:
+        if now - self._refreshed_at < LOOK_AGE:
             return
-        self._looked_at = now
+        self._refreshed_at = now
         self._estimate.hear(self._peers.extension_parts(Extension.ITEM_PACE))
-        compete = len(self._tenants) >= 2
-        self._look_for_late()
+        has_competing_tenants = len(self._tenants) >= 2
+        self._update_lateness()
         able = Feature.BATCH_SHARES in self._peers.features()
-        self._by_shares = compete and able
+        self._by_shares = has_competing_tenants and able
         order = "shares" if self._by_shares and self._lateness.mostly else "due time"
         if order != self._order:
             self._order = order
@@ -91,7 +91,7 @@
                 late=self._lateness.late,
             )
 
-    def _look_for_late(self) -> None:
+    def _update_lateness(self) -> None:
         if self._log.follower.age > OLD_AFTER:
             # Results are missing that came meanwhile: everything would seem late.
             return
--- a/postvalve/gateway/jobs/job_claims.py
+++ b/postvalve/gateway/jobs/job_claims.py
@@ -63,13 +63,13 @@
         if job.node_id == identity.node_id:
             # A former life of this node is surely over.
             return job.incarnation != identity.incarnation
-        if not self._knows_who_lives():
+        if not self._membership_known():
             return False
         if self._peers.works(job.node_id, job.incarnation):
             return False
         return self._peers.successor(job.job_id, self_works=True) == identity.node_id
 
-    def _knows_who_lives(self) -> bool:
+    def _membership_known(self) -> bool:
         age = self._clock.monotonic() - self._started_at
         return age >= ALL_HEARD_AFTER or (age >= CLAIM_AFTER_START and self.heard_all())
 
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -25,15 +25,15 @@
 
 JOB_TOPIC = "jobs"
 REQUEST_TOPIC = "requests"
-FOLLOW_WAIT = 2.0
+FOLLOW_POLL_TIMEOUT = 2.0
 """Seconds that a read of the job topic waits for a record. Answers that need the board to be up to
 date read beside it (`is_fresh`), so a way that falls silent may be noticed so much later."""
-FOLLOW_PAUSE = 0.4
+FOLLOW_INTERVAL = 0.4
 """Seconds between such reads. Each is priced, and what was acknowledged need not be known for a
 second; a result that is waited for comes this much later at the most."""
-REPEAT_PAUSE = 0.1
+RETRY_DELAY = 0.1
 """Seconds before a failed call is repeated, doubled for each later one."""
-MAX_REPEAT_PAUSE = 0.8
+MAX_RETRY_DELAY = 0.8
 
 ChangeListener = Callable[[set[str]], None]
 """Takes the ids of the jobs that changed."""
@@ -61,7 +61,13 @@
         self.changed = GeventEvent()
         self._listeners: list[ChangeListener] = []
         self.follower = TopicFollower(
-            topics, clock, events, JOB_TOPIC, self._observe, wait=FOLLOW_WAIT, pause=FOLLOW_PAUSE
+            topics,
+            clock,
+            events,
+            JOB_TOPIC,
+            self._observe,
+            wait=FOLLOW_POLL_TIMEOUT,
+            pause=FOLLOW_INTERVAL,
         )
 
     def listen(self, listener: ChangeListener) -> None:
@@ -74,25 +80,25 @@
         self.board.shares.reweigh(weights)
 
     def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
-        touched: set[str] = set()
+        changed_jobs: set[str] = set()
         if whole:
             records_read = ((one.offset, one.key, one.value) for one in records)
             self.board = board_of(records_read, self._weights)
-            touched.update(self.board.jobs)
+            changed_jobs.update(self.board.jobs)
         else:
             for record in records:
                 job_id = self.board.observe(record.offset, record.key, record.value)
                 if job_id is not None:
-                    touched.add(job_id)
-        self._tell_unreadable()
-        if not touched:
+                    changed_jobs.add(job_id)
+        self._log_unreadable()
+        if not changed_jobs:
             return
         for listener in self._listeners:
-            listener(touched)
+            listener(changed_jobs)
         changed, self.changed = self.changed, GeventEvent()
         changed.set()
 
-    def _tell_unreadable(self) -> None:
+    def _log_unreadable(self) -> None:
         keys, self.board.unreadable = self.board.unreadable, []
         for key in keys:
             self._events.emit(Event.LOG_RECORD_INVALID, topic=JOB_TOPIC, key=key)
@@ -101,11 +107,11 @@
         """Seconds since the store was heard last."""
         return self._clock.monotonic() - self.follower.heard_at
 
-    def is_fresh(self, patience: float) -> bool:
+    def is_fresh(self, timeout: float) -> bool:
         """Whether all that was acknowledged `patience` seconds ago is on the board."""
-        return self._clock.monotonic() - self.follower.fresh_at <= patience
+        return self._clock.monotonic() - self.follower.fresh_at <= timeout
 
-    def append(self, records: Sequence[KeyedRecord], patience: float) -> None:
+    def append(self, records: Sequence[KeyedRecord], timeout: float) -> None:
         """Append records, repeated until the store takes them.
 
         A try without an answer may have been done. The topic keeps the newest record of a key
@@ -116,8 +122,8 @@
             StoreUnavailableError: after `patience` seconds; NOT_RUN only when no try may
                 have taken effect.
         """
-        deadline = self._clock.monotonic() + patience
-        verdict, pause = Verdict.NOT_RUN, REPEAT_PAUSE
+        deadline = self._clock.monotonic() + timeout
+        verdict, pause = Verdict.NOT_RUN, RETRY_DELAY
         for attempt in itertools.count():
             try:
                 self._topics.append(JOB_TOPIC, 0, _for_attempt(records, attempt))
@@ -128,7 +134,7 @@
                 if self._clock.monotonic() + pause >= deadline:
                     raise StoreUnavailableError(error.message, verdict) from error
             gevent.sleep(pause)
-            pause = min(MAX_REPEAT_PAUSE, pause * 2)
+            pause = min(MAX_RETRY_DELAY, pause * 2)
 
     def append_at_end(self, records: Sequence[KeyedRecord]) -> bool:
         """Append if nothing was written that this board does not hold, and put it there.
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -36,11 +36,11 @@
 
 MAX_ITEMS = 10_000
 """Items of one job."""
-ACCEPT_PATIENCE = 3.0
+ACCEPT_TIMEOUT = 3.0
 """Seconds in which a job's acceptance is tried."""
-END_PATIENCE = 2.5
+END_TIMEOUT = 2.5
 """Seconds in which an end is tried."""
-REPEAT_PAUSE = 0.15
+RETRY_DELAY = 0.15
 STORE_RETRY_AFTER = 0.6
 """Seconds told to a client while the store is out of reach."""
 FULL_RETRY_AFTER = 1.0
@@ -145,19 +145,19 @@
             return
         if len(submission.items) > MAX_ITEMS:
             raise RequestTooLargeError(f"a job of more than {MAX_ITEMS} items")
-        self._await_former(submission.job_id)
+        self._await_concurrent_submission(submission.job_id)
         self._in_progress.add(submission.job_id)
         try:
-            self._take(submission, started + ACCEPT_PATIENCE)
+            self._submit_new(submission, started + ACCEPT_TIMEOUT)
         finally:
             self._in_progress.discard(submission.job_id)
 
-    def _await_former(self, job_id: str) -> None:
+    def _await_concurrent_submission(self, job_id: str) -> None:
         # The same job under way at this node is decided first.
         while job_id in self._in_progress:
             gevent.sleep(0.02)
 
-    def _take(self, submission: Submission, deadline: float) -> None:
+    def _submit_new(self, submission: Submission, deadline: float) -> None:
         nonce = self._new_id()
         requests = [_item_request(item) for item in submission.items]
         partition = (
@@ -171,7 +171,7 @@
                 submission.job_id, nonce, partition, [bytes(one) for one in requests]
             )
         except StoreUnavailableError as error:
-            raise self._refused(submission, error) from error
+            raise self._refusal(submission, error) from error
         accepted = self._record(submission, nonce, refs)
         self.requests[submission.job_id] = requests
         try:
@@ -181,7 +181,7 @@
                 self.requests.pop(submission.job_id, None)
             raise
 
-    def _refused(self, submission: Submission, error: StoreUnavailableError) -> PostvalveError:
+    def _refusal(self, submission: Submission, error: StoreUnavailableError) -> PostvalveError:
         self._events.emit(
             Event.ROUTED_JOB_REFUSED, job=submission.job_id, reason=error.message, waiting=-1
         )
@@ -265,16 +265,16 @@
             except StoreUnavailableError as error:
                 if error.verdict is not Verdict.NOT_RUN:
                     tried_at = offset
-                if self._clock.monotonic() + REPEAT_PAUSE >= deadline:
-                    raise self._unaccepted(submission, tried_at, error) from error
-                gevent.sleep(REPEAT_PAUSE)
+                if self._clock.monotonic() + RETRY_DELAY >= deadline:
+                    raise self._acceptance_error(submission, tried_at, error) from error
+                gevent.sleep(RETRY_DELAY)
         self._note_accepted(submission)
 
-    def _unaccepted(
+    def _acceptance_error(
         self, submission: Submission, tried_at: int, error: StoreUnavailableError
     ) -> PostvalveError:
         if tried_at != self._log.follower.next_offset:
-            return self._refused(submission, error)
+            return self._refusal(submission, error)
         self._events.emit(Event.ROUTED_JOB_UNDECIDED, job=submission.job_id, error=error.message)
         return UndecidedError("the store does not answer")
 
@@ -287,8 +287,8 @@
             offset=self._log.follower.next_offset,
         )
 
-    def _forget_requests(self, touched: set[str]) -> None:
-        for job_id in touched & self.requests.keys():
+    def _forget_requests(self, changed_jobs: set[str]) -> None:
+        for job_id in changed_jobs & self.requests.keys():
             job = self._log.board.jobs.get(job_id)
             if job is not None and not job.open:
                 del self.requests[job_id]
@@ -433,7 +433,7 @@
         ended = gateway.JobEnded(job_id=job_id, ended_at_ms=milliseconds(self._clock.wall()))
         key = record_key(RecordKind.END, job_id, self._new_id())
         try:
-            self._log.append([KeyedRecord(key, bytes(ended))], END_PATIENCE)
+            self._log.append([KeyedRecord(key, bytes(ended))], END_TIMEOUT)
             self._log.follower.catch_up()
         except StoreUnavailableError as error:
             raise UndecidedError("the store does not answer") from error
--- a/postvalve/gateway/jobs/own_items.py
+++ b/postvalve/gateway/jobs/own_items.py
@@ -37,7 +37,7 @@
         self._progress = progress
         self._wake = wake
         self.by_job: dict[str, dict[int, RunningItem]] = {}
-        self._told_lost: set[str] = set()
+        self._logged_lost: set[str] = set()
         self.draining = False
         """Whether this node is about to end: what runs ends here, whoever has the job."""
         self.on_taken: Callable[[], None] = lambda: None
@@ -59,25 +59,25 @@
         for job_id in list(self.by_job):
             self._drop_job(job_id)
 
-    def _jobs_changed(self, touched: set[str]) -> None:
-        for job_id in touched:
+    def _jobs_changed(self, changed_jobs: set[str]) -> None:
+        for job_id in changed_jobs:
             job = self._log.board.jobs.get(job_id)
             if job is None or not job.open:
                 self._drop_job(job_id)
-            elif not self._is_mine(job):
-                self._lose_job(job)
+            elif not self._is_held_here(job):
+                self._release_job(job)
             elif job_id in self.by_job:
                 for index in job.finished & self.by_job[job_id].keys():
                     self._drop_item(job_id, index)
             else:
-                self._take_job(job)
+                self._add_job(job)
         self._wake()
 
-    def _is_mine(self, job: BoardJob) -> bool:
+    def _is_held_here(self, job: BoardJob) -> bool:
         identity = self._identity
         return job.node_id == identity.node_id and job.incarnation == identity.incarnation
 
-    def _take_job(self, job: BoardJob) -> None:
+    def _add_job(self, job: BoardJob) -> None:
         due = job.accepted.due_at_ms
         items = {
             index: RunningItem(
@@ -122,11 +122,11 @@
             )
             self._wake()
 
-    def _lose_job(self, job: BoardJob) -> None:
+    def _release_job(self, job: BoardJob) -> None:
         if job.job_id not in self.by_job:
             return
-        if job.job_id not in self._told_lost:
-            self._told_lost.add(job.job_id)
+        if job.job_id not in self._logged_lost:
+            self._logged_lost.add(job.job_id)
             self._events.emit(Event.ROUTED_JOB_LOST, job=job.job_id, to=job.node_id)
         if not self.draining:
             self._drop_job(job.job_id)
@@ -140,7 +140,7 @@
         for index in list(self.by_job.get(job_id, ())):
             self._drop_item(job_id, index)
         self.by_job.pop(job_id, None)
-        self._told_lost.discard(job_id)
+        self._logged_lost.discard(job_id)
 
     def _drop_item(self, job_id: str, index: int) -> None:
         item = self.by_job[job_id].pop(index)
--- a/postvalve/gateway/jobs/result_texts.py
+++ b/postvalve/gateway/jobs/result_texts.py
@@ -58,7 +58,7 @@
         """
         refs = self._values.put(self._own_partition, texts)
         for prefix, text in texts:
-            self._keep(prefix, text)
+            self._cache_text(prefix, text)
         return refs
 
     def get(self, ends: Sequence[ItemEnd]) -> list[bytes]:
@@ -74,7 +74,7 @@
         read = dict(zip((ref.prefix for ref in missing), self._values.get(missing), strict=True))
         texts = [self._text(end, read) for end in ends]
         for prefix, packed in read.items():
-            self._keep(prefix, packed)
+            self._cache_text(prefix, packed)
         return texts
 
     def _text(self, end: ItemEnd, read: dict[str, bytes]) -> bytes:
@@ -90,10 +90,10 @@
         """Whether a text needs no read."""
         return not end.text_records or _prefix(end) in self._cache
 
-    def _keep(self, prefix: str, packed: bytes) -> None:
-        former = self._cache.pop(prefix, b"")
+    def _cache_text(self, prefix: str, packed: bytes) -> None:
+        replaced = self._cache.pop(prefix, b"")
         self._cache[prefix] = packed
-        self._cached_bytes += len(packed) - len(former)
+        self._cached_bytes += len(packed) - len(replaced)
         while self._cached_bytes > CACHE_BYTES and len(self._cache) > 1:
             _, dropped = self._cache.popitem(last=False)
             self._cached_bytes -= len(dropped)
