--- a/postvalve/core/batch/giving_way.py
+++ b/postvalve/core/batch/giving_way.py
@@ -59,7 +59,7 @@
 
     def at(self, engine: int) -> list[tuple[int, str]]:
         """Urgency and node of each item that peers run at an engine, by its hash."""
-        return [one for engines in self._by_source.values() for one in engines.get(engine, ())]
+        return [entry for engines in self._by_source.values() for entry in engines.get(engine, ())]
 
 
 def _iter(layout: struct.Struct, report: bytes) -> Iterator[tuple[int, ...]]:
--- a/postvalve/core/batch/item_shares.py
+++ b/postvalve/core/batch/item_shares.py
@@ -54,7 +54,7 @@
     def take_back(self) -> list[_Item]:
         """Take all items off; what has ended of others beside them stays counted."""
         items, self.items = self.items, []
-        self.end -= sum(one.cost for one in items)
+        self.end -= sum(item.cost for item in items)
         return items
 
 
@@ -135,14 +135,14 @@
         if tenant is None:
             return
         queue = self._queues[tenant]
-        removed = [one for one in queue.items if one.job_id == job_id]
+        removed = [item for item in queue.items if item.job_id == job_id]
         if not removed:
             return
         for item in removed:
             del self._items[item.key]
             self._count(item, -1, -1)
         items = queue.take_back()
-        self._append_tagged(tenant, queue, [one for one in items if one.job_id != job_id])
+        self._append_tagged(tenant, queue, [item for item in items if item.job_id != job_id])
 
     def reweigh(self, weights: Mapping[str, float]) -> None:
         """Weights have changed: tenants go on side by side from the clock."""
@@ -156,7 +156,7 @@
 
     def forget_due(self, before: int) -> None:
         """Drop the counts of items that were due before a second of the epoch."""
-        for second in [one for one in self.due if one < before]:
+        for second in [due for due in self.due if due < before]:
             del self.due[second]
 
     def _count(self, item: _Item, items: int, left: int) -> None:
@@ -164,13 +164,13 @@
         count.items += items
         count.left += left
         if len(self.due) > MAX_DUE_SECONDS:
-            done = [second for second, one in self.due.items() if one.left <= 0]
+            done = [second for second, count in self.due.items() if count.left <= 0]
             if done:
                 del self.due[min(done)]
 
     def _requeue_by_due(self, tenant: str, queue: _TenantQueue, new: Sequence[_Item]) -> None:
         """Let all items of a tenant stand by due time; what it has been given stays."""
-        items = sorted([*queue.take_back(), *new], key=lambda one: one.due_at_ms)
+        items = sorted([*queue.take_back(), *new], key=lambda item: item.due_at_ms)
         self._append_tagged(tenant, queue, items)
 
     def _append_tagged(self, tenant: str, queue: _TenantQueue, items: Sequence[_Item]) -> None:
--- a/postvalve/core/batch/lateness.py
+++ b/postvalve/core/batch/lateness.py
@@ -50,7 +50,7 @@
             if count is not None:
                 self._by_second[passed] = count.items, count.left
         self._updated_to = max(second, first)
-        for old in [one for one in self._by_second if one < second - WINDOW]:
+        for old in [passed for passed in self._by_second if passed < second - WINDOW]:
             del self._by_second[old]
         self.items = sum(items for items, _ in self._by_second.values())
         self.late = sum(late for _, late in self._by_second.values())
--- a/postvalve/core/batch/scheduler.py
+++ b/postvalve/core/batch/scheduler.py
@@ -105,7 +105,9 @@
     def remove(self, job_id: str) -> list[Dispatch]:
         """Drop a job; returns the items of it that are with owners."""
         self._jobs.pop(job_id, None)
-        dropped = [one for one in self._dispatches.values() if one.key.job_id == job_id]
+        dropped = [
+            dispatch for dispatch in self._dispatches.values() if dispatch.key.job_id == job_id
+        ]
         for dispatch in dropped:
             self._forget(dispatch)
         return dropped
@@ -122,9 +124,9 @@
         """Take up to `slots` items for an engine that serves `models`."""
         served = set(models)
         taken: list[ItemKey] = []
-        pending = [one for one in self._jobs.values() if one.ledger.accepted.model in served]
+        pending = [job for job in self._jobs.values() if job.ledger.accepted.model in served]
         while pending and len(taken) < slots:
-            job = min(pending, key=lambda one: self._order(one, wall_now))
+            job = min(pending, key=lambda candidate: self._order(candidate, wall_now))
             index = job.next_item()
             if index is None:
                 pending.remove(job)
@@ -164,12 +166,12 @@
         was lost with an earlier answer.
         """
         return [
-            one
-            for one in self._dispatches.values()
-            if one.engine_id == engine_id
-            and one.owner_id == owner_id
-            and one.owner_incarnation == incarnation
-            and one.attempt_id not in held
+            dispatch
+            for dispatch in self._dispatches.values()
+            if dispatch.engine_id == engine_id
+            and dispatch.owner_id == owner_id
+            and dispatch.owner_incarnation == incarnation
+            and dispatch.attempt_id not in held
         ]
 
     def finished(self, key: ItemKey, now: float) -> None:
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -106,7 +106,7 @@
             return
         item_id = job.items[item.index].item_id
         req = self._jobs.item_request(job, item.index)
-        named = [(one.name, one.value) for one in req.headers]
+        named = [(header.name, header.value) for header in req.headers]
         guard = self._guard_of(item, job, req, named)
         guard.check()
         engine = placement.engine
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -98,12 +98,13 @@
                 continue
             # One that gives way already, or of equals the one that has the least to read anew.
             item = max(
-                candidates, key=lambda one: (self._urgency(one), one.preempted, -len(one.events))
+                candidates,
+                key=lambda running: (self._urgency(running), running.preempted, -len(running.events)),
             )
             if self._urgency(item) < urgency:
                 continue
             item.told_to_go = True
-            self._local_stops = [one for one in self._local_stops if one.item is not item]
+            self._local_stops = [stop for stop in self._local_stops if stop.item is not item]
             if not item.preempted:
                 _stop(item, "told")
 
@@ -113,7 +114,7 @@
         The peer has seen the same excess, and a second item would go for it.
         """
         now = self._now()
-        self._local_stops = [one for one in self._local_stops if now - one.at < FOUND_TIME]
+        self._local_stops = [stop for stop in self._local_stops if now - stop.at < FOUND_TIME]
         for stop in self._local_stops:
             if stop.gone and stop.engine == engine and stop.urgency >= urgency:
                 self._local_stops.remove(stop)
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -134,21 +134,21 @@
             self._obsolete_keys[self._own_partition].append(record.key)
 
     def _append(self, part: Sequence[_Save]) -> bool:
-        records = [one.record for one in part]
+        records = [save.record for save in part]
         try:
             self._topics.append(PROGRESS_TOPIC, self._own_partition, records)
         except StoreUnavailableError as exc:
             # It may be done late, so its keys must not be used again.
-            for one in part:
-                one.item.chain = Chain()
+            for save in part:
+                save.item.chain = Chain()
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, items=len(part))
             return False
-        for one in part:
-            chain = one.item.chain
+        for save in part:
+            chain = save.item.chain
             chain.segments += 1
-            chain.saved_events, chain.saved_id = one.events, one.last_id
-            if one.item.cancelled:
-                self._obsolete_keys[self._own_partition].append(one.record.key)
+            chain.saved_events, chain.saved_id = save.events, save.last_id
+            if save.item.cancelled:
+                self._obsolete_keys[self._own_partition].append(save.record.key)
         return True
 
     def _next_save(self, item: Progressing) -> _Save | None:
@@ -241,8 +241,8 @@
         after, more = prefix, True
         while more:
             part, more = self._topics.newest(PROGRESS_TOPIC, partition, after)
-            wanted = [one for one in part.records if one.key.startswith(prefix)]
-            found += [(one.key, one.value) for one in wanted]
+            wanted = [record for record in part.records if record.key.startswith(prefix)]
+            found += [(record.key, record.value) for record in wanted]
             if not part.records or len(wanted) < len(part.records):
                 break
             after = part.records[-1].key
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -120,7 +120,7 @@
     @property
     def in_progress(self) -> int:
         """Items that run, and ends that are not durable yet."""
-        return sum(one.running for one in self._own.all()) + self.ends.pending
+        return sum(item.running for item in self._own.all()) + self.ends.pending
 
     def waiting_due(self) -> list[int]:
         """Urgencies of the items that wait here, ascending."""
@@ -178,7 +178,7 @@
             and item.not_before <= now
             and (item.job_id, item.index) not in running_elsewhere
         ]
-        return sorted(waiting, key=lambda one: (one[0], one[1].job_id, one[1].index))
+        return sorted(waiting, key=lambda ranked: (ranked[0], ranked[1].job_id, ranked[1].index))
 
     def _start_items(self) -> None:
         by_service: dict[str, list[_Ranked]] = {}
@@ -188,9 +188,9 @@
                 by_service.setdefault(self._service_of(job), []).append(ranked)
         for service, items in by_service.items():
             queue = self._zone_queue(items) / self._fleet.relaxed_slots(service)
-            pressing = [one for one in items if self.urgency.is_pressing(one[1], queue)]
+            pressing = [ranked for ranked in items if self.urgency.is_pressing(ranked[1], queue)]
             self._start_group(pressing, service, pressing=True)
-            rest = [one for one in items if not one[1].running]
+            rest = [ranked for ranked in items if not ranked[1].running]
             self._start_group(rest, service, pressing=False)
 
     def _start_group(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
@@ -211,7 +211,7 @@
     def _service_of(self, job: BoardJob) -> str:
         # The configuration in force decides, as it does for every other request.
         route = self._route_named(job.accepted.route)
-        services = [one.service for one in route.targets] if route else []
+        services = [target.service for target in route.targets] if route else []
         known = job.accepted.service
         return known if known in services or not services else services[0]
 
--- a/postvalve/gateway/jobs/item_urgency.py
+++ b/postvalve/gateway/jobs/item_urgency.py
@@ -54,8 +54,10 @@
     def configure(self, table: RouteTable) -> None:
         """Take the tenants and routes of a configuration."""
         tenants: Sequence[RoutedTenant] = table.configuration.tenants or ()
-        self._tenants = {one.name: one for one in tenants}
-        self._route_priorities = {one.name: one.priority for one in table.configuration.routes}
+        self._tenants = {tenant.name: tenant for tenant in tenants}
+        self._route_priorities = {
+            route.name: route.priority for route in table.configuration.routes
+        }
         self._log.weigh(weights_of(tenants))
         self._refreshed_at = float("-inf")
 
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -82,7 +82,7 @@
     def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
         changed_jobs: set[str] = set()
         if whole:
-            records_read = ((one.offset, one.key, one.value) for one in records)
+            records_read = ((record.offset, record.key, record.value) for record in records)
             self.board = board_of(records_read, self._weights)
             changed_jobs.update(self.board.jobs)
         else:
@@ -204,7 +204,7 @@
 def _for_attempt(records: Sequence[KeyedRecord], attempt: int) -> Sequence[KeyedRecord]:
     if not attempt:
         return records
-    return [KeyedRecord(f"{one.key}/{attempt}", one.value) for one in records]
+    return [KeyedRecord(f"{record.key}/{attempt}", record.value) for record in records]
 
 
 def _request_prefix(job_id: str, nonce: str, index: int) -> str:
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -168,7 +168,7 @@
                 self._log.follower.catch_up()
             self._check_quota(submission)
             refs = self._log.store_requests(
-                submission.job_id, nonce, partition, [bytes(one) for one in requests]
+                submission.job_id, nonce, partition, [bytes(request) for request in requests]
             )
         except StoreUnavailableError as error:
             raise self._refusal(submission, error) from error
@@ -312,7 +312,7 @@
             self._require_fresh()
         ends = job.results[position:]
         texts = self._texts(ends)
-        listed = tuple(_listed(job, *one) for one in zip(ends, texts, strict=False))
+        listed = tuple(_listed(job, *result) for result in zip(ends, texts, strict=False))
         return ResultPage(len(job.items), listed, position + len(listed))
 
     def _texts(self, ends: list[ItemEnd]) -> list[bytes]:
@@ -417,7 +417,7 @@
             return
         known = self._log.board.jobs.get(job.job_id)
         if known is not None and known.open:
-            self.requests[job.job_id] = [gateway.ItemRequest().parse(one) for one in found]
+            self.requests[job.job_id] = [gateway.ItemRequest().parse(request) for request in found]
 
     def end(self, job_id: str) -> None:
         """End a job; what is listed stays.
