--- a/postvalve/core/batch/giving_way.py
+++ b/postvalve/core/batch/giving_way.py
@@ -1,9 +1,9 @@
-"""Which running items give way to online work at an engine: the least urgent of all nodes.
+"""Preemption of batch items by online requests: the least urgent items of all nodes stop first.
 
-Every node tells the urgencies of the items that it runs, by engine. All nodes see the same
-excess and the same order, a tenth of a second late, so each stops just those of its own items
-that are among the least urgent. What a peer has stopped meanwhile still stands in its last
-report, in the count and in the order alike, so nobody stops an item in its place.
+Every node reports the urgencies of its running items by engine. All nodes see the same excess and
+the same order, about 0.1 s late, so each node stops only those of its own items that are among the
+least urgent. An item that a peer has already stopped remains in that peer's last report, both in
+the count and in the order, so no node stops another item in its place.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 _ENTRY = struct.Struct("!IQ")
-"""Engine's hash, urgency in milliseconds of the epoch."""
+"""Hash of the engine, and urgency in milliseconds of the epoch."""
 _ZONE_ENTRY = struct.Struct("!IQH")
-"""The same, and which of the zone's members runs the item."""
+"""Hash of the engine, urgency in milliseconds of the epoch, and index of the zone member that runs
+the item."""
 TOLD_TIME = 0.4
-"""Seconds within which an item that was told to give way has left the reports; if it has not, the
-message was lost, and it is told again."""
+"""Seconds within which an item that was asked to stop disappears from the reports. If it is still
+reported after that, the message was lost and is sent again."""
 
 
 class RunningItems:
@@ -26,12 +27,13 @@
 
     def __init__(self) -> None:
         self._by_source: dict[str, dict[int, list[tuple[int, str]]]] = {}
-        """Urgency and node of each item, by engine and by who told of it: a node, or a zone."""
+        """Urgency and node id of each item, by reporting source (a node or a zone) and engine
+        hash."""
         self._reports: dict[str, bytes] = {}
-        """What each node told last."""
+        """Last report of each node."""
 
     def observe(self, node_id: str, report: bytes) -> None:
-        """Take a peer's report in, in place of its former one."""
+        """Replace the previous report of a peer."""
         if self._reports.get(node_id) == report:
             return
         self._reports[node_id] = report
@@ -40,11 +42,12 @@
         )
 
     def observe_zone(self, name: str, report: bytes, members: Sequence[str]) -> None:
-        """Take what a zone's digest tells, in place of the former one.
+        """Replace the previous content of a zone's digest.
 
         Args:
-            name: The name under which the zone is kept; stands for members that are not known yet.
-            report: As `encode_zone_running` gives it.
+            name: Key under which the zone is stored; also stands in for members that are not known
+                yet.
+            report: Bytes as returned by `encode_zone_running`.
             members: Ids of the zone's nodes, in the order of the digest.
         """
         self._by_source[name] = _by_engine(
@@ -53,12 +56,13 @@
         )
 
     def forget(self, source: str) -> None:
-        """Drop a peer, or a zone, that is gone."""
+        """Remove a peer or a zone that is gone."""
         self._reports.pop(source, None)
         self._by_source.pop(source, None)
 
     def at(self, engine: int) -> list[tuple[int, str]]:
-        """Urgency and node of each item that peers run at an engine, by its hash."""
+        """Return urgency and node id of each item that peers run at an engine, given the engine's
+        hash."""
         return [entry for engines in self._by_source.values() for entry in engines.get(engine, ())]
 
 
@@ -76,7 +80,8 @@
 
 
 def encode_zone_running(reports: Iterable[bytes]) -> bytes:
-    """Items of a zone's nodes for its digest; a report of each, in the order of the members."""
+    """Encode the running items of a zone for its digest, from one report per member in member
+    order."""
     return b"".join(
         _ZONE_ENTRY.pack(engine, due, idx)
         for idx, report in enumerate(reports)
@@ -85,20 +90,20 @@
 
 
 def encode_running(items: Iterable[tuple[int, int]]) -> bytes:
-    """A report: hash of the engine and urgency of each running item."""
+    """Encode a report from the engine hash and urgency of each running item."""
     return b"".join(_ENTRY.pack(engine, due) for engine, due in items)
 
 
 def giving_way(
     node_id: str, own: Sequence[int], others: Sequence[tuple[int, str]], excess: int
 ) -> int:
-    """How many of a node's items at an engine give way; its least urgent ones.
+    """Return how many of a node's items at an engine are preempted, its least urgent ones first.
 
     Args:
-        node_id: The node, which breaks ties alike everywhere.
+        node_id: The node; used to break ties in the same way on all nodes.
         own: Urgencies of its items at the engine.
-        others: Urgency and node of the items of its peers there.
-        excess: Items of all nodes that should give way.
+        others: Urgency and node id of its peers' items at the engine.
+        excess: Number of items over all nodes that should stop.
     """
     if excess <= 0:
         return 0
@@ -107,24 +112,25 @@
 
 
 class VictimChooser:
-    """Which items the node that watches over an engine tells to give way.
+    """Selects the items that the watcher of an engine asks nodes to stop.
 
-    What it told stands in the reports for a while, so it remembers it, and tells nobody twice.
+    Items that were asked to stop remain in the reports for a while, so the selector remembers them
+    and does not ask twice.
     """
 
     def __init__(self) -> None:
         self._notified: dict[int, list[tuple[float, tuple[int, str]]]] = {}
-        """When each item was told, by engine."""
+        """Time and item of each request to stop, by engine hash."""
 
     def choose(
         self, engine: int, running: Sequence[tuple[int, str]], excess: int, now: float
     ) -> list[tuple[int, str]]:
-        """Urgency and node of the items that are to be told now.
+        """Return urgency and node id of the items that are asked to stop now.
 
         Args:
-            engine: The engine's hash.
-            running: Urgency and node of each item that runs there.
-            excess: Items that should give way, those that were told among them.
+            engine: Hash of the engine.
+            running: Urgency and node id of each item that runs there.
+            excess: Number of items that should stop, including those that were already asked to.
             now: Monotonic seconds.
         """
         if excess <= 0:
--- a/postvalve/core/batch/item_end.py
+++ b/postvalve/core/batch/item_end.py
@@ -1,7 +1,8 @@
-"""How an item ended, as the record in the topic of jobs holds it.
+"""Record of an item's final state in the job topic.
 
-Every node reads every end, 20 a second on a site of 195 nodes, so it has a fixed layout: the codec
-of the other records takes 44 us to read one, this one 6 (timed once on an idle machine).
+Every node reads every such record, 20 a second on a site of 195 nodes, so it has a fixed layout:
+this one decodes in 6 us, the codec of the other records takes 44 us (timed once on an idle
+machine).
 """
 
 from __future__ import annotations
@@ -11,40 +12,41 @@
 from dataclasses import dataclass
 
 _HEAD = struct.Struct("!BBBHHQHI")
-"""Lengths of job id and claim id, state, index, then of the text: partition, offset, records,
-bytes."""
+"""Lengths of job id and claim id, state, item index; then partition, offset, records and bytes of
+the text."""
 
 
 class ItemEndError(ValueError):
-    """Bytes that are no record of an end."""
+    """Raised for bytes that are not a valid record of an item's end."""
 
 
 class ItemState(enum.IntEnum):
-    """How an item ended."""
+    """Final state of an item."""
 
     COMPLETED = 1
     DEAD = 2
-    """It can't be done, or was given up."""
+    """The item can't be executed, or was given up."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemEnd:
-    """The end of one item."""
+    """Final state of one item, and where its text is stored."""
 
     job_id: str
     item_index: int
     state: ItemState
     claim_id: str
-    """The claim under which it ended."""
+    """Id of the claim under which the item ended."""
     text_partition: int = 0
-    """Where its text lies in the topic of texts; no records where there is none."""
+    """Partition of the text topic that holds the item's text; meaningless if `text_records` is
+    0."""
     text_offset: int = 0
     text_records: int = 0
     text_bytes: int = 0
-    """Of all of them, packed."""
+    """Bytes of all text records, compressed."""
 
     def pack(self) -> bytes:
-        """The record's value."""
+        """Encode as the value of a record."""
         job_id, claim_id = self.job_id.encode(), self.claim_id.encode()
         head = _HEAD.pack(
             len(job_id),
@@ -60,17 +62,17 @@
 
 
 def unpack_end(data: bytes) -> ItemEnd:
-    """Undo `ItemEnd.pack`.
+    """Decode the result of `ItemEnd.pack`.
 
     Raises:
-        ItemEndError: the bytes are cut, or no record of an end.
+        ItemEndError: The bytes are truncated or malformed.
     """
     try:
         job_size, claim_size, state, index, *text = _HEAD.unpack_from(data)
         claim_at = _HEAD.size + job_size
         if len(data) != claim_at + claim_size:
-            raise ValueError(f"{len(data)} bytes, {claim_at + claim_size} told")
+            raise ValueError(f"got {len(data)} bytes, expected {claim_at + claim_size}")
         job_id = data[_HEAD.size : claim_at].decode()
         return ItemEnd(job_id, index, ItemState(state), data[claim_at:].decode(), *text)
-    except (struct.error, ValueError) as exc:  # of the text's encoding, or an unknown state
-        raise ItemEndError(f"no valid record of an end: {exc}") from exc
+    except (struct.error, ValueError) as exc:  # invalid UTF-8 or an unknown state
+        raise ItemEndError(f"malformed item end record: {exc}") from exc
--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -1,7 +1,8 @@
-"""Which waiting items start now: the most urgent of all nodes, as far as there is room.
+"""Decides which waiting items start now: the most urgent of all nodes, as free slots permit.
 
-Each node tells its peers how many items wait with which due time. All take the same view of
-the free slots, so a node starts an item only if its rank among all waiting ones fits them.
+Each node reports to its peers how many items wait for each due time. All nodes have the same view
+of the free slots, so a node starts an item only if the item's rank among all waiting ones is within
+that number.
 """
 
 from __future__ import annotations
@@ -15,47 +16,48 @@
 _GROUP = struct.Struct("!QH")
 """Urgency in milliseconds of the epoch, number of items."""
 _TOKEN_TIME = struct.Struct("!I")
-"""Microseconds for each output token."""
+"""Microseconds per output token."""
 MICROSECONDS = 1_000_000
-"""Of a second."""
 MAX_PACE = 0xFFFF_FFFF
 MAX_COUNT = 0xFFFF
 MAX_GROUPS = 24
-"""Due times that one report tells; the least urgent items beyond them are left out."""
+"""Due times that one report holds; less urgent items beyond them are left out."""
 NEARLY_ENDED_BONUS_MS = 600_000
-"""Milliseconds by which running items that nearly end go before the others: cut, they would have
-taken a slot for almost a whole run, and take one again."""
+"""Milliseconds by which running items that are about to finish rank before others. Stopping one
+would waste almost a whole run, and it would need a slot again for the rest."""
 HOPELESS_PENALTY_MS = 600_000
-"""Milliseconds by which items that can't end in time rank behind those that can."""
+"""Milliseconds by which items that can't finish by their due time rank behind those that can."""
 ESTIMATE_MARGIN = 1.15
-"""Estimates are taken so many times longer than they are."""
+"""Safety factor applied to duration estimates."""
 ESTIMATE_WEIGHT = 0.1
-"""Weight of a new sample in an estimate."""
+"""Weight of a new sample in the moving average of an estimate."""
 PRESSING_FACTOR = 2.5
-"""An item is pressing when less than so many times what it and those that wait beside it still need
-is left until it is due."""
+"""An item is pressing if the time until it is due is less than this multiple of the time that it
+and the items queued beside it still need."""
 TAG_STEP = 16_384
-"""Tokens of a step of the shares, about a job of ten items: tenants that differ by less do not
-compete, and go by due time, by which the most are in time. Each step of a job is a group of a
-report, which tells so many only."""
+"""Tokens per step of a share, about one job of ten items. Tenants whose tags differ by less are
+ordered by due time, which lets the most items finish in time. Each step takes one group of a
+report, and a report holds only `MAX_GROUPS`."""
 _DUE_STEP_MS = 64
 _DUE_BITS = 24
 _TAG_BITS = 34
 _PRIORITY_BITS = 4
 LEAST_LEFT = 0.15
-"""Share of its estimate that an item needs at least, however long it has run."""
+"""Least fraction of its estimated duration that an item is assumed to need, however long it has
+run."""
 
 
 class DurationEstimate:
-    """How long items run, learnt from those that ended here, else from what peers tell."""
+    """Estimated duration of items, from those that finished here, else from what peers report."""
 
     def __init__(self) -> None:
         self._measured: float | None = None
-        """Seconds for each output token that an item could give at the most."""
+        """Seconds per output token, relative to the most that an item may generate."""
         self._reported: float | None = None
 
     def observe(self, seconds: float, output_tokens: int) -> None:
-        """Note an item that ran whole; `output_tokens` is the most it could give."""
+        """Add the run time of a completed item; `output_tokens` is the most it may have
+        generated."""
         sample = seconds / max(1, output_tokens)
         known = self._measured
         if known is None:
@@ -64,25 +66,25 @@
             self._measured = known + ESTIMATE_WEIGHT * (sample - known)
 
     def hear(self, parts: Iterable[bytes]) -> None:
-        """Take in what peers have learnt, as their `pack` gives it."""
+        """Take in the estimates of peers, as encoded by their `pack`."""
         token_times = _decode_token_times(parts)
         if token_times:
             self._reported = median(token_times) / MICROSECONDS
 
     def pack(self) -> bytes:
-        """What this node has learnt, for its peers; empty before an item ended here."""
+        """Encode this node's own estimate for its peers; empty until an item has finished here."""
         if self._measured is None:
             return b""
         return _TOKEN_TIME.pack(min(MAX_PACE, round(self._measured * MICROSECONDS)))
 
     def seconds_left(self, output_tokens: int, run_seconds: float) -> float:
-        """Seconds that an item still needs; 0 while nothing is known."""
+        """Return the seconds that an item still needs, or 0 if nothing is known yet."""
         return max(
             self._full_seconds(output_tokens) - run_seconds, self._minimum_seconds(output_tokens)
         )
 
     def nearly_ended(self, output_tokens: int, run_seconds: float) -> bool:
-        """Whether an item needs no more than the least that any is taken to need."""
+        """Return whether the remaining time is down to the minimum that is assumed for any item."""
         return (
             0
             < self.seconds_left(output_tokens, run_seconds)
@@ -102,16 +104,16 @@
 
 
 def merge_paces(parts: Iterable[bytes]) -> bytes:
-    """What the nodes of a zone have learnt, as one part for its digest."""
+    """Merge the estimates of a zone's nodes into one part of its digest: their median."""
     token_times = _decode_token_times(parts)
     return _TOKEN_TIME.pack(int(median(token_times))) if token_times else b""
 
 
 def urgency(due_at_ms: int, now_ms: int, seconds_left: float) -> int:
-    """Sort key of a waiting item, in milliseconds of the epoch.
+    """Return the sort key of a waiting item, in milliseconds of the epoch.
 
-    The earliest due time first; but an item that would end too late anyhow must not make
-    others late, so it ranks behind all that can still be in time.
+    The earliest due time sorts first. An item that would finish too late anyway must not delay
+    others, so it ranks behind all that can still finish in time.
     """
     if now_ms + seconds_left * 1000 > due_at_ms:
         return due_at_ms + HOPELESS_PENALTY_MS
@@ -120,26 +122,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareRank:
-    """Where an item stands among those of all tenants."""
+    """Rank of an item among the items of all tenants."""
 
     priority: int
-    """Of its tenant or route; 0 is the most urgent."""
+    """Priority of its tenant or route; 0 is the most urgent."""
     tag: int
-    """In tokens: see `item_shares`."""
+    """Start tag in tokens; see `item_shares`."""
     by_due: bool = False
-    """Whether its share counts no more, or not now: it has begun, or items mostly end in time."""
+    """Whether the tag is ignored, because the item has begun or because most items finish in
+    time."""
     nearly_ended: bool = False
-    """Whether it runs and nearly ends: it goes before the others, and gives way last."""
+    """Whether it is running and about to finish, so that it ranks first and is preempted last."""
 
 
 def share_urgency(rank: ShareRank, due_at_ms: int, now_ms: int, seconds_left: float) -> int:
-    """Sort key of an item where tenants compete, in the 64 bits of a report.
-
-    Those that would end too late come last, as in `urgency`; then priority, the tenant's share, and
-    between equals the due time. All of a priority that nearly end go before the others of it, then
-    those that have begun: what was cut for another tenant's item would mostly end too late, and all
-    that it has run be lost. One that is late for long stands with the others again: it would never
-    start while they keep coming.
+    """Return the sort key of an item where tenants compete, within the 64 bits that a report holds.
+
+    Items that would finish too late come last, as in `urgency`; the others are ordered by priority,
+    the tenant's share, and due time. Within a priority, items that are about to finish come first,
+    and items that have begun follow: if one of them were stopped for another tenant's item, it
+    would mostly finish too late and its run be wasted. An item that has been overdue for
+    `MISSED_DUE_PENALTY_MS` ranks with the others again, since it would never start while new ones
+    keep arriving.
     """
     late = now_ms + seconds_left * 1000 > due_at_ms
     hopeless = late and now_ms < due_at_ms + HOPELESS_PENALTY_MS
@@ -153,13 +157,14 @@
 
 
 def is_pressing(due_at_ms: int, now_ms: int, seconds_left: float, queue: float) -> bool:
-    """Whether an item should start soon to be in time; not one that can't be in time any more.
+    """Return whether an item must start soon to finish in time; False if it can't any more.
 
     Args:
-        due_at_ms: When it is due, in milliseconds of the epoch.
-        now_ms: Likewise.
-        seconds_left: Seconds that it still needs; 0 while that is not known, and then all press.
-        queue: Items that wait beside it, for each slot that items may take without pressing.
+        due_at_ms: Due time in milliseconds of the epoch.
+        now_ms: Present time in milliseconds of the epoch.
+        seconds_left: Seconds that the item still needs; 0 means unknown, and then every item is
+            pressing.
+        queue: Items waiting beside it, per slot that is open to items that are not pressing.
     """
     if seconds_left <= 0:
         return True
@@ -168,11 +173,11 @@
 
 
 def startable(own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], room: int) -> int:
-    """How many of this node's items may start.
+    """Return how many of this node's items may start.
 
     Args:
         own_due: Due times of this node's waiting items, ascending, in milliseconds.
-        peers_due: Due time and number of items that wait at other nodes.
+        peers_due: Due time and number of the items that wait at other nodes.
         room: Free slots of all engines.
     """
     if room <= 0:
@@ -192,12 +197,12 @@
 
 
 def group_by_due(own_due: Iterable[int]) -> list[tuple[int, int]]:
-    """Due times with the number of items, the most urgent first."""
+    """Count items by due time, the most urgent first, up to `MAX_GROUPS` due times."""
     return merge_groups((due, 1) for due in own_due)[:MAX_GROUPS]
 
 
 def merge_groups(groups: Iterable[tuple[int, int]]) -> list[tuple[int, int]]:
-    """Groups of several nodes, those of one due time added up, the most urgent first."""
+    """Merge the groups of several nodes by due time, the most urgent first."""
     counts: dict[int, int] = {}
     for due, count in groups:
         counts[due] = counts.get(due, 0) + count
@@ -205,10 +210,10 @@
 
 
 def encode_groups(groups: Iterable[tuple[int, int]]) -> bytes:
-    """The groups of `group_by_due` for a report; as bytes, since it is read many times a second."""
+    """Encode the result of `group_by_due` as bytes, since reports are read many times a second."""
     return b"".join(_GROUP.pack(due, min(MAX_COUNT, count)) for due, count in groups)
 
 
 def decode_groups(data: bytes) -> list[tuple[int, int]]:
-    """Undo `encode_groups`; what is cut off is passed over."""
+    """Decode the result of `encode_groups`; a truncated last group is ignored."""
     return list(_GROUP.iter_unpack(data[: len(data) - len(data) % _GROUP.size]))
--- a/postvalve/core/batch/item_shares.py
+++ b/postvalve/core/batch/item_shares.py
@@ -1,15 +1,15 @@
-"""In which order items of several tenants start and give way: start-time fair queueing.
-
-Every item has a tag: the tokens of its tenant's work that go before it, for the tenant's weight.
-The lowest tag starts first and gives way last, so tenants that wait get equally far, and what one
-leaves is the others' at once. A tenant that had nothing waiting begins where the fleet is (the
-clock), so none saves anything up while it sends nothing.
-
-All nodes read the same log of jobs, and get the same tags from it without a message. A job's record
-holds the clock of the node that accepted it: a node that starts, and finds old jobs dropped from
-the log, places a tenant that had nothing waiting where those do that have read them. One with a
-backlog it places lower, by what waited before the first job that it finds, until that tenant has
-nothing waiting once.
+"""Order of batch items between tenants, for starting and preemption: start-time fair queueing.
+
+Every item has a start tag: the tokens of its tenant's earlier work, divided by the tenant's weight.
+The lowest tag starts first and is preempted last, so tenants with a backlog advance equally, and
+capacity that one tenant leaves goes to the others at once. A tenant without a backlog starts at the
+virtual clock of the fleet, so it gains no credit while it sends nothing.
+
+All nodes read the same job log and derive the same tags from it without exchanging messages. A
+job's record holds the clock of the node that accepted it. A node that starts after old jobs were
+dropped from the log therefore assigns the same tags as the others to a tenant without a backlog. To
+a tenant with a backlog it assigns lower tags, by the items that waited before the first job in the
+log, until that tenant's backlog is empty once.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from dataclasses import dataclass, field
 
 MAX_DUE_SECONDS = 1_024
-"""Seconds whose due items are counted, beside those with items that have no result: a node that
-works on no item looks at none of them."""
+"""Limit on the seconds for which due items are counted, besides seconds with unfinished items. A
+node that works on no item never reads these counts."""
 EQUAL_WEIGHT = 1.0
-"""Of a tenant that the configuration doesn't name."""
+"""Weight of a tenant that the configuration doesn't name."""
 
 
 @dataclass(slots=True, eq=False)
@@ -33,10 +33,10 @@
     due_at_ms: int
     tokens: int
     clock: float
-    """When its job was accepted; its tag is never less."""
+    """Virtual clock when its job was accepted; a lower bound of its tag."""
     tag: float = 0.0
     cost: float = 0.0
-    """Tokens for its tenant's weight."""
+    """Tokens divided by the tenant's weight."""
 
     @property
     def key(self) -> tuple[str, int]:
@@ -45,14 +45,14 @@
 
 @dataclass(slots=True)
 class _TenantQueue:
-    """Items of one tenant that have no result, in the order of their tags."""
+    """Unfinished items of one tenant, in order of their tags."""
 
     items: list[_Item] = field(default_factory=list)
     end: float = 0.0
-    """Tag that follows the last of them."""
+    """Tag of the next item to be added."""
 
     def take_back(self) -> list[_Item]:
-        """Take all items off; what has ended of others beside them stays counted."""
+        """Remove all items, and return them; the cost of finished items stays in `end`."""
         items, self.items = self.items, []
         self.end -= sum(item.cost for item in items)
         return items
@@ -60,51 +60,52 @@
 
 @dataclass(slots=True)
 class DueCount:
-    """Items that are due in the same second; those of jobs that were ended don't count."""
+    """Items that are due in the same second, without those of cancelled jobs."""
 
     items: int = 0
     left: int = 0
-    """Of them, that have no result."""
+    """How many of them have no result."""
 
 
 class ItemShares:
-    """Tags of all items without a result."""
+    """Start tags of all unfinished items."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
-        """Start with no items; weights by tenant, only their proportions matter."""
+        """Start with no items; `weights` is by tenant, and only the proportions matter."""
         self._weights = _normalized(weights)
         self._queues: dict[str, _TenantQueue] = {}
         self._items: dict[tuple[str, int], _Item] = {}
         self._tenants: dict[str, str] = {}
-        """Tenant by job."""
+        """Tenant by job id."""
         self._clock = 0.0
         self.due: dict[int, DueCount] = {}
-        """By seconds of the epoch."""
+        """Counts of due items, by second of the epoch."""
 
     @property
     def clock(self) -> int:
-        """How far the fleet has come, for the record of a job that is accepted now.
+        """Virtual clock of the fleet, stored in the record of a job that is accepted now.
 
-        The highest tag of an item that has ended; never less than what a record told.
+        This is the highest tag of a completed item, and never less than the clock of any record
+        read.
         """
         return int(self._clock)
 
     def tag(self, job_id: str, index: int) -> int:
-        """The tag of an item; the clock for one that is not known."""
+        """Return the start tag of an item, or the clock if the item is not known."""
         item = self._items.get((job_id, index))
         return int(item.tag) if item is not None else self.clock
 
     def accepted(
         self, job_id: str, tenant: str, clock: int, due_at_ms: int, tokens: Sequence[int]
     ) -> None:
-        """A job was accepted.
+        """Add the items of an accepted job.
 
         Args:
-            job_id: The job; each is accepted once.
-            tenant: Who sent it.
-            clock: What its record tells.
-            due_at_ms: When it is due.
-            tokens: Of each of its items.
+            job_id: Id of the job, which must not have been added before.
+            tenant: Tenant that submitted it.
+            clock: Virtual clock in the job's record.
+            due_at_ms: When its items are due.
+            tokens: Token count of each item.
         """
         self._clock = max(self._clock, clock)
         self._tenants[job_id] = tenant
@@ -120,7 +121,7 @@
             self._requeue_by_due(tenant, queue, new)
 
     def ended(self, job_id: str, index: int, *, ran: bool) -> None:
-        """An item has a result; one that was given up says nothing of how far the fleet is."""
+        """Remove an item that has a result; if it was given up, the clock does not advance."""
         item = self._items.pop((job_id, index), None)
         if item is None:
             return
@@ -130,7 +131,8 @@
             self._clock = max(self._clock, item.tag)
 
     def closed(self, job_id: str) -> None:
-        """Nothing more of a job is run: what its tenant sent after it moves up."""
+        """Remove the remaining items of a cancelled or dropped job; the tenant's later items move
+        forward."""
         tenant = self._tenants.pop(job_id, None)
         if tenant is None:
             return
@@ -145,7 +147,7 @@
         self._append_tagged(tenant, queue, [item for item in items if item.job_id != job_id])
 
     def reweigh(self, weights: Mapping[str, float]) -> None:
-        """Weights have changed: tenants go on side by side from the clock."""
+        """Replace the weights; all backlogged tenants continue from the present clock."""
         normalized = _normalized(weights)
         if normalized == self._weights:
             return
@@ -155,7 +157,7 @@
             self._append_tagged(tenant, queue, items)
 
     def forget_due(self, before: int) -> None:
-        """Drop the counts of items that were due before a second of the epoch."""
+        """Delete the counts of items that were due before a second of the epoch."""
         for second in [due for due in self.due if due < before]:
             del self.due[second]
 
@@ -169,12 +171,12 @@
                 del self.due[min(done)]
 
     def _requeue_by_due(self, tenant: str, queue: _TenantQueue, new: Sequence[_Item]) -> None:
-        """Let all items of a tenant stand by due time; what it has been given stays."""
+        """Add items to a tenant's queue and sort it by due time; cost already consumed is kept."""
         items = sorted([*queue.take_back(), *new], key=lambda item: item.due_at_ms)
         self._append_tagged(tenant, queue, items)
 
     def _append_tagged(self, tenant: str, queue: _TenantQueue, items: Sequence[_Item]) -> None:
-        """Add items with tags one after the other, from the line's end on."""
+        """Append items with consecutive tags, beginning at the end of the queue."""
         weight = self._weights.get(tenant, EQUAL_WEIGHT)
         for item in items:
             item.cost = item.tokens / weight
@@ -184,6 +186,6 @@
 
 
 def _normalized(weights: Mapping[str, float]) -> dict[str, float]:
-    """Weights whose mean is one, so that tags stay in tokens."""
+    """Scale weights to a mean of one, so that tags remain in tokens."""
     mean = sum(weights.values()) / len(weights) if weights else 0.0
     return {name: weight / mean for name, weight in weights.items()} if mean > 0 else {}
--- a/postvalve/core/batch/job_board.py
+++ b/postvalve/core/batch/job_board.py
@@ -1,16 +1,18 @@
-"""All batch jobs of routed traffic, replayed from one topic. Every reader decides alike.
+"""State of all routed batch jobs, replayed from one topic. Every reader reaches the same state.
 
 - The first acceptance of a job id is the job; later ones are resends.
-- The first end of an item counts, whoever wrote it; its rank in offset order is its position.
-- What comes after the end of a job does not count.
+- The first end of an item counts, whichever node wrote it; its rank in offset order is its position
+  in the results.
+- Records after the end of a job do not count.
 - A claim moves a job to another node only if it names the claim that it replaces, so of two
-  that race the first one counts. Claims save work; no promise hangs on them.
+  concurrent claims the first one counts. Claims only avoid duplicate work; correctness does not
+  depend on them.
 
-Records are small: all nodes read all of them. What items are sent as, and what they have given,
-lies in other topics.
+Records are small, since all nodes read all of them. The items' requests and results are stored in
+other topics.
 
-Each write has a key of its own, so that a topic which keeps the newest record of each key
-keeps all of them, and replaying those in offset order gives the same board.
+Each write has a unique key, so that a topic that keeps only the newest record of each key keeps all
+of them, and replaying those in offset order gives the same board.
 """
 
 from __future__ import annotations
@@ -31,8 +33,8 @@
 
 
 JOB_FORM = 3
-"""Form of the records of jobs. Those of the first one held whole requests and answers, and ends of
-the second one had another layout; they are not read, and an acceptance in one of them is told as
+"""Format version of job records. Version 1 held whole requests and answers, and version 2 had
+another layout of item ends. Neither is read, and an acceptance in one of them is reported as
 unreadable."""
 
 
@@ -54,13 +56,13 @@
 
 
 def record_key(kind: RecordKind, *parts: str) -> str:
-    """The key of a record; its last part makes it the only one of its kind."""
+    """Build the key of a record; its last part makes the key unique."""
     return "/".join((kind.value, *parts))
 
 
 @dataclass(slots=True)
 class BoardJob:
-    """One job."""
+    """Replayed state of one job."""
 
     accepted: gateway.JobAccepted
     items: tuple[ItemSpec, ...]
@@ -72,59 +74,60 @@
     ended: bool = False
     keys: list[str] = field(default_factory=list)
     claims: list[tuple[str, str]] = field(default_factory=list)
-    """Claim and node of all that have worked on it, the present one last."""
+    """Claim id and node id of all nodes that have worked on the job, the present one last."""
 
     @property
     def holders(self) -> list[str]:
-        """Nodes that have worked on it, the present one last."""
+        """Ids of the nodes that have worked on the job, the present one last."""
         return [node_id for _, node_id in self.claims]
 
     @property
     def taken_over(self) -> bool:
-        """Whether another node, or another life of this one, has worked on it before."""
+        """Whether another node, or an earlier incarnation of this one, has worked on the job
+        before."""
         return self.claim_id != self.accepted.claim_id
 
     @property
     def job_id(self) -> str:
-        """Its id."""
+        """Id of the job."""
         return self.accepted.job_id
 
     @property
     def open(self) -> bool:
-        """Whether items are still to be run."""
+        """Whether the job still has items to run."""
         return not self.ended and len(self.results) < len(self.items)
 
     @property
     def waiting_tokens(self) -> int:
-        """Tokens of the items without a result; 0 once the job has ended."""
+        """Tokens of the unfinished items; 0 once the job has ended."""
         if self.ended:
             return 0
         items = enumerate(self.items)
         return sum(item.tokens for index, item in items if index not in self.finished)
 
     def unfinished(self) -> Iterator[int]:
-        """Indexes of the items without a result."""
+        """Yield the indexes of the items without a result."""
         return (index for index in range(len(self.items)) if index not in self.finished)
 
     def index_of(self, item_id: str) -> int | None:
-        """The index of an item by its id."""
+        """Return the index of an item by its id."""
         items = enumerate(self.items)
         return next((index for index, item in items if item.item_id == item_id), None)
 
 
 class JobBoard:
-    """Jobs by id."""
+    """Routed batch jobs by id."""
 
     def __init__(self, weights: Mapping[str, float] | None = None) -> None:
-        """Start with no jobs; weights by tenant, all the same where none are given."""
+        """Start with no jobs; `weights` is by tenant, and all tenants weigh the same without it."""
         self.jobs: dict[str, BoardJob] = {}
         self.shares = ItemShares(weights or {})
         self._seen_offset = -1
         self.unreadable: list[str] = []
-        """Keys of records that could not be read, until somebody tells of them."""
+        """Keys of records that could not be decoded and have not been logged yet."""
 
     def observe(self, offset: int, key: str, value: bytes) -> str | None:
-        """Take the record at `offset` in; offsets that were seen are passed over.
+        """Apply the record at `offset`; offsets that were already seen are ignored.
 
         Returns:
             The id of the job that changed, if one did.
@@ -140,7 +143,7 @@
             return self._drop(kind, rest)
         try:
             return self._apply(key, read(value))
-        except Exception:  # the codec raises whatever its inner calls raise
+        except Exception:  # betterproto raises whatever its inner calls raise
             self.unreadable.append(key)
         return None
 
@@ -173,7 +176,7 @@
             known.keys.append(key)
             return None
         if message.form != JOB_FORM:
-            raise JobItemsError(f"job record of form {message.form}")
+            raise JobItemsError(f"job record has form {message.form}, expected {JOB_FORM}")
         items = unpack_items(message.items)
         self.jobs[message.job_id] = BoardJob(
             message,
@@ -203,11 +206,11 @@
         return job.job_id
 
     def open_jobs(self) -> list[BoardJob]:
-        """Jobs with items to run."""
+        """Return the jobs that still have items to run."""
         return [job for job in self.jobs.values() if job.open]
 
     def waiting_tokens(self, route: str, tenant: str) -> int:
-        """Tokens of a tenant that wait on a route, over all nodes."""
+        """Return the tokens of a tenant's unfinished items on a route, over all nodes."""
         return sum(
             job.waiting_tokens
             for job in self.open_jobs()
@@ -215,7 +218,8 @@
         )
 
     def expired(self, now_ms: int, status_ms: int) -> list[BoardJob]:
-        """Jobs that nobody may ask for any more, in milliseconds of the epoch."""
+        """Return the jobs that no longer have to be readable; both arguments are in
+        milliseconds."""
         return [
             job
             for job in self.jobs.values()
@@ -237,7 +241,7 @@
 def board_of(
     records: Iterable[tuple[int, str, bytes]], weights: Mapping[str, float] | None = None
 ) -> JobBoard:
-    """A board from records of any order."""
+    """Build a board from records in any order."""
     board = JobBoard(weights)
     for offset, key, value in sorted(records):
         board.observe(offset, key, value)
--- a/postvalve/core/batch/job_items.py
+++ b/postvalve/core/batch/job_items.py
@@ -1,7 +1,7 @@
-"""The table of a job's items, as the record of its acceptance holds it.
+"""Table of a job's items, as stored in the record of its acceptance.
 
-Every node reads every acceptance, so the table says only what all must know, in a fixed layout:
-the items' requests lie elsewhere, and are read by the node that runs them.
+Every node reads every acceptance, so the table has a fixed layout and holds only what all nodes
+must know. The items' requests are stored in another topic, and read by the node that runs them.
 """
 
 from __future__ import annotations
@@ -15,27 +15,28 @@
 
 
 class JobItemsError(ValueError):
-    """Bytes that are no table of items."""
+    """Raised for bytes that are not a valid table of items."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemSpec:
-    """An item of a job."""
+    """One item of a job, without its request."""
 
     item_id: str
     tokens: int = 0
-    """Prompt and most output, summed, as its client counts them towards the route's limit."""
+    """Prompt tokens plus the most output tokens, as the client counts them towards the route's
+    limit."""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    """The most that it may give."""
+    """The most tokens that the item may generate."""
     request_records: int = 0
-    """Records of its request, one after the other in the topic of requests."""
+    """Number of consecutive records of its request in the request topic."""
     request_bytes: int = 0
-    """Of all of them, so that a read asks for no more."""
+    """Bytes of all these records, which bounds the size of the read."""
 
 
 def pack_items(items: Iterable[ItemSpec]) -> bytes:
-    """The table for a record."""
+    """Encode a table of items for the record of an acceptance."""
     parts = []
     for item in items:
         item_id = item.item_id.encode()
@@ -54,10 +55,10 @@
 
 
 def unpack_items(data: bytes) -> tuple[ItemSpec, ...]:
-    """Undo `pack_items`.
+    """Decode the result of `pack_items`.
 
     Raises:
-        JobItemsError: the bytes are cut, or no table.
+        JobItemsError: The bytes are truncated or malformed.
     """
     items = []
     start = 0
@@ -66,8 +67,8 @@
             length, *numbers = _ITEM.unpack_from(data, start)
             start += _ITEM.size + length
             if start > len(data):
-                raise JobItemsError("table of items is cut")
+                raise JobItemsError("item table truncated")
             items.append(ItemSpec(data[start - length : start].decode(), *numbers))
     except (struct.error, UnicodeDecodeError) as exc:
-        raise JobItemsError(f"no valid table of items: {exc}") from exc
+        raise JobItemsError(f"malformed item table: {exc}") from exc
     return tuple(items)
--- a/postvalve/core/batch/job_ledger.py
+++ b/postvalve/core/batch/job_ledger.py
@@ -1,10 +1,10 @@
-"""Replay of one job's stream. Every reader decides alike, in offset order.
+"""State of one job, replayed from its stream. Every reader decides alike, in offset order.
 
 - The first submission is the job; later ones with the same digest are resends.
 - The first start of an item is the only one that may be dispatched at most once.
-- The first result of an item counts, unless a cancel stands before it.
-- The first cancel ends the job, unless its last result stands before it.
-- A job past its deadline goes on: an accepted item is late rather than lost.
+- The first result of an item counts, unless a cancel precedes it.
+- The first cancel ends the job, unless the job's last result precedes it.
+- A job past its deadline continues: an accepted item may be late but is not lost.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class SubmissionOutcome(enum.StrEnum):
-    """What became of a submission."""
+    """Result of a submission."""
 
     ACCEPTED = "accepted"
     RESENT = "resent"
@@ -26,7 +26,7 @@
 
 
 class JobLedger:
-    """Compact state of a job: one byte for each item, counts, no result bodies."""
+    """Compact state of a job: one byte per item and counts, without result bodies."""
 
     def __init__(self, job_id: str) -> None:
         self.job_id = job_id
@@ -46,20 +46,20 @@
 
     @property
     def accepted(self) -> records.JobSubmitted:
-        """The submission, of a job that exists."""
+        """The accepted submission; raises LookupError if there is none."""
         if self.submission is None:
             raise LookupError(f"job {self.job_id} was not submitted")
         return self.submission
 
     @property
     def remaining(self) -> int:
-        """Items without a result."""
+        """Number of items without a result."""
         return len(self._finished) - self.completed - self.failed
 
     def observe(self, offset: int, record: Record) -> list[records.ItemResult]:
-        """Take the record at `offset` in; returns the results in it that count."""
+        """Apply the record at `offset`, and return those of its results that count."""
         if offset != self.next_offset:
-            raise ValueError(f"offset {offset} follows {self.next_offset - 1}")
+            raise ValueError(f"expected offset {self.next_offset}, got {offset}")
         self.next_offset = offset + 1
         body = record.body
         if isinstance(body, records.JobSubmitted):
@@ -76,22 +76,22 @@
         return []
 
     def submission_outcome(self, request_digest: str) -> SubmissionOutcome | None:
-        """How a submission with this digest fares against the one that was accepted."""
+        """Compare the digest of a submission with the accepted one; None if there is none yet."""
         if self.submission is None:
             return None
         same = self.submission.request_digest == request_digest
         return SubmissionOutcome.RESENT if same else SubmissionOutcome.CONFLICT
 
     def is_finished(self, item_index: int) -> bool:
-        """Whether the item has a result that counts."""
+        """Return whether the item has a result that counts."""
         return bool(self._finished[item_index])
 
     def start_of(self, item_index: int) -> str | None:
-        """The attempt that alone may run an at-most-once item."""
+        """Return the only attempt that may run an at-most-once item."""
         return self._starts.get(item_index)
 
     def unfinished_starts(self) -> Iterator[int]:
-        """Items that were started and have no result."""
+        """Yield the items that were started and have no result."""
         return (index for index in self._starts if not self._finished[index])
 
     def _submit(self, body: records.JobSubmitted) -> None:
@@ -130,5 +130,5 @@
 
 
 def is_success(result: records.ItemResult) -> bool:
-    """Whether a result is an answer, and not an error."""
+    """Return whether a result is an answer rather than an error."""
     return 200 <= result.status_code < 300 and not result.may_have_run
--- a/postvalve/core/batch/lateness.py
+++ b/postvalve/core/batch/lateness.py
@@ -1,9 +1,10 @@
-"""Whether most batch items end late, so that due times can't decide which of them go first.
+"""Detects that most batch items finish late, so that due times can't decide their order.
 
-While there is about as much work as gets done, each order has the same mean wait, and by due time
-all wait alike and are in time; by shares those of large tenants wait longer and are late. With more
-work than gets done, due times make everybody late for what one tenant sends too much. So shares
-decide while most items are late, by what the log tells all nodes alike.
+While the work that arrives is about the work that gets done, each order has the same mean wait. By
+due time all items wait alike and finish in time; by shares, items of large tenants wait longer and
+are late. Under overload, ordering by due time makes every tenant late because of what one tenant
+sends. Shares therefore decide while most items are late, as all nodes derive alike from the job
+log.
 """
 
 from __future__ import annotations
@@ -13,35 +14,36 @@
 from postvalve.core.batch.item_shares import DueCount
 
 WINDOW = 10
-"""Seconds of due times that are looked back at: longer than a heap of online work and its lull."""
+"""Seconds of past due times that are considered: longer than a burst of online requests and the
+pause that follows it."""
 MOST, FEW = 0.5, 0.25
-"""Shares of late items above which most count as late, and below which they don't any more: in
-between it stays, since the order by shares itself makes some items late."""
+"""Hysteresis of `mostly_late`: shares of late items above which it is set and below which it is
+cleared. In between it keeps its value, since ordering by shares itself makes some items late."""
 LEAST_ITEMS = 20
-"""Due in a window, from which their share says something."""
+"""Items due in the window below which the share of late ones is not significant."""
 
 
 class Lateness:
-    """Late items among those that were due lately."""
+    """Share of late items among those that were due recently."""
 
     def __init__(self) -> None:
         self._by_second: dict[int, tuple[int, int]] = {}
-        """Items and late ones by the second in which they were due, as it passed."""
+        """Items, and late ones among them, by due second, as counted when the second had passed."""
         self._updated_to: int | None = None
         self.items = 0
-        """Due in the window."""
+        """Items due in the window."""
         self.late = 0
-        """Of these."""
+        """Late items among them."""
         self.mostly = False
-        """Whether most items end late."""
+        """Whether most items finish late."""
 
     def look(self, due: Mapping[int, DueCount], now: float) -> None:
-        """Take in counts by due second; some times a second.
+        """Take in the counts of the seconds that have passed; called several times a second.
 
         Args:
-            due: As `ItemShares` keeps it.
-            now: Seconds of the epoch. Where it was set back nothing is seen until it has come to
-                where it was.
+            due: Counts by due second, as kept by `ItemShares`.
+            now: Seconds of the epoch. After the clock was set back, nothing is counted until it has
+                reached its former value.
         """
         second = int(now)
         first = second if self._updated_to is None else max(self._updated_to, second - WINDOW)
--- a/postvalve/core/batch/lease.py
+++ b/postvalve/core/batch/lease.py
@@ -1,8 +1,8 @@
 """Lease of one shard, replayed from the shard's stream.
 
-A claim of epoch n+1 that comes first in offset order holds the shard. Expiry is each
-reader's own guess from the last renewal it read. A wrong guess costs work, never
-correctness: what counts of an item is decided in the job's stream.
+The first claim of epoch n+1 in offset order holds the shard. Each reader estimates expiry on its
+own from the last renewal it read. A wrong estimate costs duplicate work but no correctness: which
+result of an item counts is decided in the job's stream.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class LeaseStep(enum.StrEnum):
-    """What a node should append now."""
+    """Record that a node should append now."""
 
     NONE = "none"
     CLAIM = "claim"
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Seconds that a lease lasts, and between renewals."""
+    """Duration of a lease and interval of its renewals, in seconds."""
 
     duration: float
     renewal: float
 
 
 class ShardLease:
-    """The lease as one node sees it."""
+    """State of a shard's lease as seen by one node."""
 
     def __init__(self, node_id: str, incarnation: int, timing: LeaseTiming) -> None:
         self._node_id = node_id
@@ -46,7 +46,7 @@
         self._last_append_at = float("-inf")
 
     def observe(self, record: Record, now: float) -> None:
-        """Take a record of the shard's stream in."""
+        """Apply a record of the shard's stream."""
         body = record.body
         if isinstance(body, records.LeaseClaimed) and body.epoch == self.epoch + 1:
             self.epoch = body.epoch
@@ -64,7 +64,7 @@
             self._renewed_at = now
 
     def state(self, now: float) -> LeaseState:
-        """Who holds the shard, by this node's guess."""
+        """Return who holds the shard, by this node's estimate."""
         if not self.holder or now - self._renewed_at >= self._timing.duration:
             return LeaseState.FREE
         if self.holder == self._node_id and self.holder_incarnation == self._incarnation:
@@ -72,7 +72,7 @@
         return LeaseState.HELD_ELSEWHERE
 
     def next_step(self, now: float, *, preferred: bool, holder_gone: bool) -> LeaseStep:
-        """What to append now.
+        """Return which record to append now.
 
         Args:
             now: Monotonic seconds.
@@ -92,7 +92,7 @@
         return LeaseStep.NONE
 
     def _throttled(self, step: LeaseStep, now: float) -> LeaseStep:
-        # One append at a time: wait until it can have been read back.
+        # Limits appends to one at a time: waits until the last one can have been read back.
         if now - self._last_append_at < self._timing.renewal / 2:
             return LeaseStep.NONE
         self._last_append_at = now
--- a/postvalve/core/batch/progress.py
+++ b/postvalve/core/batch/progress.py
@@ -1,9 +1,9 @@
-"""Saved progress of batch items: chains of segments that another node can take up.
+"""Saved progress of batch items, as chains of segments from which another node can resume.
 
-A holder saves the events that an item has given in segments of one chain. Keys are never
-used twice: where the outcome of a save is not known, the holder begins another chain, so a
-save that is done late can't change what stands. A reader takes the longest chain whose
-segments follow one another from the item's beginning.
+A node that runs an item saves the events it has received in segments of one chain. Keys are never
+reused: if the outcome of a save is unknown, the node begins another chain, so a save that takes
+effect late can't overwrite anything. A reader uses the longest chain whose segments follow one
+another from the item's beginning.
 """
 
 from __future__ import annotations
@@ -16,54 +16,55 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedItem:
-    """What is known of an item that another node, or another life of this one, ran."""
+    """Saved progress of an item that another node, or an earlier incarnation of this one, has
+    run."""
 
     last_event_id: int
     texts: tuple[bytes, ...]
-    """Data of its events, by segment; compressed."""
+    """Compressed data of the item's events, by segment."""
     run_ms: int
-    """How long it has run, in milliseconds."""
+    """Milliseconds that the item has run."""
 
 
 FAILURES = "failures"
-"""In place of a chain's name: the record that counts an item's failed runs."""
+"""Used in place of a chain's name in the key of the record that counts an item's failed runs."""
 
 
 @dataclass(slots=True)
 class SavedJob:
-    """Saved items of one job, and every key that was found for it."""
+    """Saved items of one job, and all keys that were found for it."""
 
     items: dict[int, SavedItem] = field(default_factory=dict)
     failures: dict[int, int] = field(default_factory=dict)
-    """Failed runs by item, of all nodes that worked on the job."""
+    """Number of failed runs by item, over all nodes that worked on the job."""
     keys: list[str] = field(default_factory=list)
 
 
 def job_prefix(job_id: str) -> str:
-    """What the keys of a job's segments begin with."""
+    """Return the common prefix of the keys of a job's segments."""
     return f"{job_id}/"
 
 
 def segment_key(job_id: str, index: int, chain: str, number: int) -> str:
-    """The key of one segment; `number` counts a chain's segments from 0."""
+    """Return the key of one segment; `number` counts the segments of a chain from 0."""
     return f"{job_id}/{index:05d}/{chain}/{number:04d}"
 
 
 def failures_key(job_id: str, index: int) -> str:
-    """The key under which a node keeps the number of an item's failed runs."""
+    """Return the key of the record that counts an item's failed runs."""
     return segment_key(job_id, index, FAILURES, 0)
 
 
 def job_of_key(key: str) -> str:
-    """The id of the job to which a segment belongs."""
+    """Return the id of the job that a segment belongs to."""
     return key.partition("/")[0]
 
 
 def assemble(records: Iterable[tuple[str, bytes]]) -> SavedJob:
-    """Put the segments of one job together.
+    """Assemble the saved segments of one job.
 
     Args:
-        records: Key and value of each; values that can't be read end their chains.
+        records: Key and value of each segment; an unreadable value ends its chain.
     """
     saved = SavedJob()
     chains: dict[tuple[int, str], dict[int, gateway.ItemProgress]] = {}
@@ -74,7 +75,7 @@
             continue
         try:
             segment = gateway.ItemProgress().parse(value)
-        except Exception:  # the codec raises whatever its inner calls raise
+        except Exception:  # betterproto raises whatever its inner calls raise
             continue
         if chain == FAILURES:
             saved.failures[name] = max(segment.failures, saved.failures.get(name, 0))
--- a/postvalve/core/batch/scheduler.py
+++ b/postvalve/core/batch/scheduler.py
@@ -1,7 +1,7 @@
-"""Which items of the held jobs run next, when an engine's owner pulls.
+"""Decides which items of the held jobs run next when an engine's owner pulls.
 
-Order: jobs whose slack is short, then workload rank, then the tenant with the fewest
-items running, then the deadline.
+Jobs with little slack come first; then items are ordered by workload rank, by how few items of the
+tenant are running, and by deadline.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from postvalve.core.batch.job_ledger import JobLedger
 
 CRITICAL_SLACK_FRACTION = 0.5
-"""A job is critical when its items need more than this share of the time that is left."""
+"""A job is critical if its items need more than this fraction of the time until its deadline."""
 INITIAL_ITEM_SECONDS = 1.0
-"""Guess of an item's service time before one was seen."""
+"""Estimated service time of an item before any was measured."""
 SERVICE_TIME_WEIGHT = 0.1
 """Weight of a new sample in the mean service time."""
 ASSUMED_PARALLELISM = 16
-"""Items of one job that run at once, for the slack estimate."""
+"""Number of a job's items that run at once, for the slack estimate."""
 
 
 @dataclass(frozen=True, slots=True)
 class ItemKey:
-    """One item of one job."""
+    """Identifies one item of one job."""
 
     job_id: str
     item_index: int
@@ -48,7 +48,7 @@
 
     ledger: JobLedger
     deadline: float
-    """Wall-clock seconds."""
+    """Seconds of the epoch."""
     cursor: int = 0
     returned: deque[int] = field(default_factory=deque)
     held_back: set[int] = field(default_factory=set)
@@ -69,18 +69,18 @@
 
     @property
     def waiting(self) -> int:
-        """About how many items wait to be handed out."""
+        """Approximate number of items that wait to be handed out."""
         return len(self.returned) + self.ledger.accepted.items - self.cursor
 
     def is_critical(self, wall_now: float) -> bool:
-        """Whether the job's slack is so short that it goes first."""
+        """Return whether the job has so little slack that it takes precedence."""
         needed = self.ledger.remaining * self.mean_service / ASSUMED_PARALLELISM
         left = self.deadline - wall_now
         return needed > CRITICAL_SLACK_FRACTION * left
 
 
 class BatchScheduler:
-    """Items waiting and items handed out, of all jobs this node holds."""
+    """Waiting and dispatched items of all jobs that this node holds."""
 
     def __init__(self) -> None:
         self._jobs: dict[str, ScheduledJob] = {}
@@ -91,19 +91,19 @@
         return job_id in self._jobs
 
     def job_ids(self) -> list[str]:
-        """Ids of the jobs held."""
+        """Return the ids of the held jobs."""
         return list(self._jobs)
 
     def job(self, job_id: str) -> ScheduledJob | None:
-        """A held job."""
+        """Return a held job, or None."""
         return self._jobs.get(job_id)
 
     def add(self, job: ScheduledJob) -> None:
-        """Take a job on."""
+        """Add a job to be scheduled."""
         self._jobs[job.ledger.job_id] = job
 
     def remove(self, job_id: str) -> list[Dispatch]:
-        """Drop a job; returns the items of it that are with owners."""
+        """Remove a job, and return those of its items that are dispatched."""
         self._jobs.pop(job_id, None)
         dropped = [
             dispatch for dispatch in self._dispatches.values() if dispatch.key.job_id == job_id
@@ -113,7 +113,7 @@
         return dropped
 
     def waiting_by_model(self) -> dict[str, int]:
-        """Items waiting for each model."""
+        """Return the number of waiting items by model."""
         waiting: Counter[str] = Counter()
         for job in self._jobs.values():
             if job.waiting > 0:
@@ -146,24 +146,24 @@
         )
 
     def dispatched(self, dispatch: Dispatch) -> None:
-        """Note that a taken item is with an owner."""
+        """Record that a taken item was handed to an owner."""
         self._dispatches[dispatch.key] = dispatch
 
     def dispatch_of(self, key: ItemKey) -> Dispatch | None:
-        """Where an item is."""
+        """Return the dispatch of an item, or None if it is not dispatched."""
         return self._dispatches.get(key)
 
     def dispatches(self) -> list[Dispatch]:
-        """All items that are with owners."""
+        """Return all dispatched items."""
         return list(self._dispatches.values())
 
     def lost_dispatches(
         self, owner_id: str, incarnation: int, engine_id: str, held: Container[str]
     ) -> list[Dispatch]:
-        """Items handed out for an engine whose owner has never got them.
+        """Return the items dispatched for an engine that its owner never received.
 
-        An owner pulls for one engine at a time, so what it does not hold when it pulls again
-        was lost with an earlier answer.
+        An owner pulls for one engine at a time, so whatever it does not hold at its next pull was
+        lost with an earlier answer.
         """
         return [
             dispatch
@@ -175,7 +175,7 @@
         ]
 
     def finished(self, key: ItemKey, now: float) -> None:
-        """Note that an item has a result."""
+        """Record that an item has a result, and update the mean service time of its job."""
         dispatch = self._dispatches.get(key)
         if dispatch is None:
             return
@@ -186,7 +186,7 @@
         self._forget(dispatch)
 
     def give_back(self, key: ItemKey) -> None:
-        """Put a taken item back in front; it did not run, or may run again."""
+        """Return a taken item to the front of its job's queue; it did not run, or may run again."""
         dispatch = self._dispatches.get(key)
         if dispatch is not None:
             self._forget(dispatch)
@@ -197,7 +197,8 @@
             job.returned.append(key.item_index)
 
     def hold_back(self, key: ItemKey) -> None:
-        """Keep a taken item from being handed out: an earlier start of it may still run."""
+        """Exclude a taken item from being handed out, since an earlier start of it may still
+        run."""
         self._decrement_running(key)
         job = self._jobs.get(key.job_id)
         if job is not None:
--- a/postvalve/core/batch/shard_state.py
+++ b/postvalve/core/batch/shard_state.py
@@ -1,4 +1,4 @@
-"""Replay of one shard's stream: its lease, and the jobs that are open in it."""
+"""State of one shard, replayed from its stream: its lease and its open jobs."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from postvalve.messages.records_codec import Record
 
 CHECKPOINT_EVERY = 256
-"""Records after which a holder writes the next checkpoint."""
+"""Records after which the holder writes the next checkpoint."""
 REPLAY_WINDOW = 2 * CHECKPOINT_EVERY
-"""Records before the end in which a reader expects a checkpoint."""
+"""Records before the end of the stream among which a reader expects a checkpoint."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobCancelAsked:
-    """Effect: a job's stream may hold a cancel; its running items must stop."""
+    """Effect: a job's stream may hold a cancel, so its running items must stop."""
 
     job_id: str
 
@@ -32,7 +32,7 @@
 
 
 class ShardState:
-    """What the records of a shard's stream add up to."""
+    """Replayed state of a shard's stream."""
 
     def __init__(self, node_id: str, incarnation: int, timing: LeaseTiming) -> None:
         self.lease = ShardLease(node_id, incarnation, timing)
@@ -51,7 +51,7 @@
         return self._since_checkpoint >= CHECKPOINT_EVERY
 
     def observe(self, record: Record, now: float) -> list[ShardEffect]:
-        """Take one record in."""
+        """Apply one record of the stream, and return its effects."""
         self._since_checkpoint += 1
         self.lease.observe(record, now)
         body = record.body
@@ -66,7 +66,7 @@
         return []
 
     def checkpoint(self) -> records.ShardCheckpoint:
-        """The present state as a record. Only the holder writes one."""
+        """Return the present state as a checkpoint record, which only the holder writes."""
         return records.ShardCheckpoint(
             epoch=self.lease.epoch,
             node_id=self.lease.holder,
@@ -75,7 +75,7 @@
         )
 
     def _open(self, job_id: str) -> list[ShardEffect]:
-        # A resend announces a job again, also after it was closed.
+        # A resend announces a job again, possibly after it was closed.
         if job_id in self._open_jobs or job_id in self._closed_jobs:
             return []
         self._open_jobs[job_id] = None
@@ -87,7 +87,7 @@
 
     def _restore(self, body: records.ShardCheckpoint) -> list[ShardEffect]:
         self._since_checkpoint = 0
-        # Announcements that overtook the checkpoint stay open: closing a job twice is
+        # Jobs announced before the checkpoint took effect stay open: closing a job twice is
         # harmless, losing one is not.
         effects: list[ShardEffect] = []
         for job_id in body.open_jobs:
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -99,7 +99,7 @@
             # One that gives way already, or of equals the one that has the least to read anew.
             item = max(
                 candidates,
-                key=lambda running: (self._urgency(running), running.preempted, -len(running.events)),
+                key=lambda other: (self._urgency(other), other.preempted, -len(other.events)),
             )
             if self._urgency(item) < urgency:
                 continue
