--- a/postvalve/gateway/jobs/__init__.py
+++ b/postvalve/gateway/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: what the log says of them, who works on them, and how their items run."""
+"""Batch jobs: their log, the claims on them, and the execution of their items."""
--- a/postvalve/gateway/jobs/end_writer.py
+++ b/postvalve/gateway/jobs/end_writer.py
@@ -1,4 +1,4 @@
-"""Makes ends of items durable: their texts first, then the ends, many to one append."""
+"""Makes the ends of items durable: writes their texts first, then the ends, in batched appends."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from postvalve.gateway.knowledge.stored_values import ValueRef
 
 APPEND_TIMEOUT = 4.0
-"""Seconds of repetition until a failed append is told; then it is repeated again."""
+"""Seconds for which a failed append is retried before it is logged; then it is retried further."""
 BATCH_DELAY = 0.01
-"""Seconds that ends are gathered before an append."""
+"""Seconds that ends are collected before an append."""
 TEXT_RETRY_DELAY = 0.3
-"""Seconds until texts that could not be stored are stored anew."""
+"""Seconds before texts that could not be stored are stored again."""
 CALL_BYTES_MARGIN = 8_192
-"""Bytes of a call that are left for keys and lengths."""
+"""Bytes of a call that are reserved for keys and lengths."""
 RECORD_OVERHEAD = 1_024
-"""Bytes counted for each record beside its text."""
+"""Bytes counted for each record in addition to its text."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,19 +35,19 @@
     job_id: str
     index: int
     claim_id: str
-    """The claim under which it ran."""
+    """Id of the claim under which it ran."""
     state: ItemState
     text: bytes = b""
-    """What it has given, packed; empty for one that is dead."""
+    """Its compressed output; empty if it is dead."""
 
     @property
     def prefix(self) -> str:
-        """Begins the keys of its text."""
+        """Prefix of the keys of its text records."""
         return text_prefix(self.job_id, self.index, self.claim_id)
 
 
 class EndWriter:
-    """Ends that are not durable yet."""
+    """Writes the ends of items, and keeps those that are not durable yet."""
 
     def __init__(
         self, log: JobLog, events: EventLog, call_bytes: int, new_id: Callable[[], str]
@@ -62,16 +62,16 @@
 
     @property
     def pending(self) -> int:
-        """Ends that are not durable yet."""
+        """Number of ends that are not durable yet."""
         return len(self._waiting) + self._in_flight
 
     def add(self, ended: EndedItem) -> None:
-        """Write an end soon."""
+        """Queue an end for the next append."""
         self._waiting.append(ended)
         self._has_waiting.set()
 
     def run(self) -> None:
-        """Write for ever."""
+        """Write queued ends forever."""
         while True:
             self._has_waiting.wait()
             gevent.sleep(BATCH_DELAY)
@@ -96,7 +96,7 @@
         self._in_flight = len(batch)
         refs = self._store_texts(batch)
         while True:
-            # A failed try may have been done, so the next one has keys of its own.
+            # A failed attempt may have taken effect, so the next one uses new keys.
             records = [self._record(ended, refs.get(ended.prefix)) for ended in batch]
             try:
                 self._log.append(records, APPEND_TIMEOUT)
@@ -106,7 +106,8 @@
                 self._events.emit(Event.LOG_UNAVAILABLE, error=error.message, ends=len(batch))
 
     def _store_texts(self, batch: list[EndedItem]) -> dict[str, ValueRef]:
-        """Store the texts, repeated until the store has them; where each lies, by prefix."""
+        """Store the texts, retrying until the store accepts them; returns their locations by
+        prefix."""
         texts = [(ended.prefix, ended.text) for ended in batch if ended.text]
         while texts:
             try:
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of items at engines: sending, reading, and what an attempt's end says of both."""
+"""Attempts of items at engines: sends requests, reads responses, and handles how attempts end."""
 
 from __future__ import annotations
 
@@ -30,21 +30,22 @@
 from postvalve.messages.generated import gateway
 
 EVENT_TIMEOUT = 2.0
-"""Seconds without a byte until an engine counts as failed."""
+"""Seconds without a byte after which an engine counts as failed."""
 READ_INTERVAL = 0.08
-"""Seconds between reads of one stream, in which events gather."""
+"""Seconds between reads of one stream, during which events accumulate."""
 RETRY_DELAY = 0.3
 """Seconds before an item whose attempt failed is tried again."""
 QUARANTINE_RECHECK_INTERVAL = 5.0
-"""Seconds until an item that is held back looks whether it still is: it may have been cleared."""
+"""Seconds after which a quarantined item is checked again, since its quarantine may have been
+cleared."""
 ENGINE_JUDGEMENTS = frozenset((Judgement.ACCEPTED, Judgement.FAILED, Judgement.HOPELESS))
-"""What only the engine itself can have said."""
+"""Judgements that only the engine itself can have caused."""
 ATTEMPT_TIMEOUT = 120.0
 """Seconds that one attempt may take."""
 
 
 class ItemAttempts:
-    """Runs an item at an engine until it ends, gives way or fails."""
+    """Runs an item at an engine until it ends, is preempted or fails."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         estimate: DurationEstimate,
         wake: Callable[[], None],
     ) -> None:
-        """Set up; `wake` is called when an item may be started again, or a slot is free."""
+        """Set up; `wake` is called when an item may be started again or a slot is free."""
         self._clock = clock
         self._events = events
         self._log = log
@@ -76,9 +77,11 @@
         self._wake = wake
 
     def run(self, item: RunningItem, placement: Placement) -> None:
-        """Run an item that was counted in at an engine, and count it out."""
+        """Run an item that was already counted at an engine, and remove it from the count
+        afterwards."""
         held = True
-        # Until the request is sent those of the former attempt, at another engine, would stand.
+        # Discards the times of the previous attempt, at another engine, before this request is
+        # sent.
         item.times = AttemptTimes(self._clock.monotonic())
         try:
             self._attempt(item, placement)
@@ -115,7 +118,7 @@
             return
 
         def wanted() -> bool:
-            # One that was told to go has no answer to abort yet.
+            # An item that is preempted before its request was sent has no response to abort yet.
             return not item.preempted and self._fleet.takes_work(engine.life)
 
         headers = self._dialect.attempt_headers(
@@ -246,7 +249,7 @@
         gevent.spawn_later(RETRY_DELAY, self._clear_failed_engine, item)
         refused = item.answer is not None and error.verdict is Verdict.NOT_RUN
         if isinstance(error, AttemptError) and error.verdict is not Verdict.RAN and not refused:
-            # It gave no answer, or one that can't be trusted.
+            # The engine gave no response, or one that can't be trusted.
             self._fleet.note_failure(life, error.message)
         self._events.emit(
             Event.ROUTED_ITEM_FAILED,
@@ -278,7 +281,7 @@
         )
 
     def _clear_failed_engine(self, item: RunningItem) -> None:
-        # Where the failed engine is the only one with room, it is tried again.
+        # If the failed engine is the only one with free slots, it is tried again.
         item.failed_engine = None
         self._wake()
 
--- a/postvalve/gateway/jobs/item_ends.py
+++ b/postvalve/gateway/jobs/item_ends.py
@@ -1,4 +1,4 @@
-"""Ends of the items that this node works on: what is written, told and counted of each."""
+"""Ends of the items that this node works on: writes, logs and counts each of them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from postvalve.gateway.metrics import GatewayMetrics
 
 END_SPREADS = 1.5
-"""Seconds after an item's end in which other nodes may not have read it."""
+"""Seconds after an item's end during which other nodes may not have read it."""
 GIVE_UP_MARGIN_MS = 5_000
-"""Milliseconds by which clocks may differ or have been set ahead."""
+"""Milliseconds by which clocks may differ or have been set forward."""
 
 
 class ItemEnds:
-    """Ends items, each once."""
+    """Ends items, each of them once."""
 
     def __init__(
         self,
@@ -47,22 +47,22 @@
         self._metrics = metrics
         self._recently_ended: deque[tuple[float, load_report.RunningItem]] = deque()
         self.accounts = Accounts()
-        """What tenants got; those of the node, once it is wired."""
+        """What tenants received; replaced by the node's accounts when the node is wired."""
 
     @property
     def pending(self) -> int:
-        """Ends that are not durable yet."""
+        """Number of ends that are not durable yet."""
         return self._writer.pending
 
     def lately(self) -> list[load_report.RunningItem]:
-        """Items whose ends may not be read everywhere yet."""
+        """Return the items whose ends other nodes may not have read yet."""
         now = self._clock.monotonic()
         while self._recently_ended and self._recently_ended[0][0] < now - END_SPREADS:
             self._recently_ended.popleft()
         return [item for _, item in self._recently_ended]
 
     def end(self, item: RunningItem, state: ItemState, text: bytes = b"") -> None:
-        """An item has ended, with this text where it was completed."""
+        """End an item, with its text if it was completed."""
         self._own.remove(item)
         self._progress.forget(item)
         ended = load_report.RunningItem(job_id=item.job_id, item_index=item.index)
@@ -91,7 +91,7 @@
         )
 
     def note_run(self, item: RunningItem, seconds: float) -> None:
-        """An item was at an engine for so long, whether it ended there or not."""
+        """Account the seconds that an item ran at an engine, whether or not it ended there."""
         self.accounts.note_item_run(self._tenant_of(item), seconds, self._clock.monotonic())
 
     def _tenant_of(self, item: RunningItem) -> str:
@@ -99,7 +99,7 @@
         return job.accepted.tenant if job is not None else ""
 
     def give_up_old(self) -> None:
-        """End items that may be given up and can't be run, for ever."""
+        """End items that are past their keep time and can't be run, checking forever."""
         while True:
             gevent.sleep(1.0)
             now_ms = milliseconds(self._clock.wall())
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -1,4 +1,4 @@
-"""Items of this node that give way to online work, by its own look or as a peer tells it."""
+"""Preempts items of this node for online requests, by its own check or at a peer's request."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from postvalve.gateway.jobs.running_item import RunningItem
 
 FOUND_TIME = TELL_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
-"""Seconds within which a peer's word about an excess comes that this node has seen itself: the
-request that made it is told out of turn, and datagrams gather twice on the way. A later word is
-about another online request, which waits for the item that this node doesn't stop."""
+"""Seconds within which a peer's notice refers to an excess that this node has already handled: the
+request that caused it is reported out of turn, and datagrams are batched twice on the way. A later
+notice is about another online request, which would keep waiting if this node ignored it."""
 
 
 @dataclass(slots=True)
 class _LocalStop:
-    """An item that this node has stopped by its own look."""
+    """An item that this node's own check has preempted."""
 
     at: float
     engine: int
@@ -30,12 +30,12 @@
 
     @property
     def gone(self) -> bool:
-        """Whether it has left the engine; it may run elsewhere since."""
+        """Whether the item has left the engine; it may be running elsewhere since."""
         return not self.item.preempted or not self.item.running
 
 
 class ItemPreemption:
-    """Stops attempts of items; they go on later after their last event."""
+    """Stops attempts of items, which resume later after their last event."""
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
         """Set up.
 
         Args:
-            node_id: This node.
-            fleet: Knows what runs at the engines.
-            peer_items: What peers run there.
-            items: Gives all items of this node.
-            urgency: How urgent one is now.
-            now: Gives monotonic seconds.
+            node_id: Id of this node.
+            fleet: Tracks what runs at the engines.
+            peer_items: Items that peers run at the engines.
+            items: Returns all items of this node.
+            urgency: Returns the present sort key of an item.
+            now: Returns monotonic seconds.
         """
         self._node_id = node_id
         self._fleet = fleet
@@ -63,10 +63,11 @@
         self._urgency = urgency
         self._now = now
         self._local_stops: list[_LocalStop] = []
-        """Items that this node has stopped by its own look of late, and that nobody told to go."""
+        """Items recently stopped by this node's own check, for which no peer's notice has come
+        yet."""
 
     def look(self) -> None:
-        """Stop items at engines that run more than they have slots for."""
+        """Stop items at engines that run more requests than they have slots for."""
         for life, running in self._running().items():
             kept = [item for item in running if not item.preempted]
             excess = self._fleet.excess(life) - (len(running) - len(kept))
@@ -75,7 +76,7 @@
             others = self._peer_items.at(engine_hash(life))
             urgencies = [self._urgency(item) for item in kept]
             count = giving_way(self._node_id, urgencies, others, excess)
-            # Of equally urgent ones, those that have the least to read anew.
+            # Among equally urgent items, those with the least to process again are stopped first.
             kept.sort(key=lambda item: (-self._urgency(item), len(item.events)))
             for item in kept[:count]:
                 stop = _LocalStop(self._now(), engine_hash(life), self._urgency(item), item)
@@ -83,12 +84,12 @@
                 _stop(item, "look")
 
     def stop_one(self, engine: int, urgency: int) -> None:
-        """Let an item go that is one of the least urgent ones of all nodes at an engine.
+        """Stop one item at an engine that is among the least urgent of all nodes.
 
         Args:
-            engine: The engine's hash.
-            urgency: That of the item, as this node told it. Nothing goes where all that run are
-                more urgent: the item has ended meanwhile.
+            engine: Hash of the engine.
+            urgency: Urgency of the item, as this node reported it. Nothing is stopped if all
+                running items are more urgent, since the item has then ended.
         """
         if self._already_stopped(engine, urgency):
             return
@@ -96,7 +97,8 @@
             candidates = [item for item in running if not item.told_to_go]
             if engine_hash(life) != engine or not candidates:
                 continue
-            # One that gives way already, or of equals the one that has the least to read anew.
+            # Prefers an item that is already being stopped; among equals, the one with the least to
+            # process again.
             item = max(
                 candidates,
                 key=lambda other: (self._urgency(other), other.preempted, -len(other.events)),
@@ -109,9 +111,10 @@
                 _stop(item, "told")
 
     def _already_stopped(self, engine: int, urgency: int) -> bool:
-        """Whether the item that is meant was stopped by this node's own look, and has gone.
+        """Return whether this node's own check has already stopped the item that a notice refers
+        to.
 
-        The peer has seen the same excess, and a second item would go for it.
+        The peer has seen the same excess, and a second item would be stopped for it.
         """
         now = self._now()
         self._local_stops = [stop for stop in self._local_stops if now - stop.at < FOUND_TIME]
@@ -122,11 +125,11 @@
         return False
 
     def urgencies_at(self, life: EngineLife) -> list[int]:
-        """Urgencies of this node's items at an engine, of those that give way already too."""
+        """Return the urgencies of this node's items at an engine, including those being stopped."""
         return [self._urgency(item) for item in self._running().get(life, ())]
 
     def report(self) -> bytes:
-        """Engines and urgencies of the items that run here, for the peers."""
+        """Encode the engines and urgencies of this node's running items for its peers."""
         return encode_running(
             (engine_hash(life), self._urgency(item))
             for life, items in self._running().items()
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -1,4 +1,4 @@
-"""Saves what running items have given, and reads what other nodes saved."""
+"""Saves the progress of running items, and restores what other nodes saved."""
 
 from __future__ import annotations
 
@@ -28,21 +28,22 @@
 
 PROGRESS_TOPIC = "progress"
 SAVE_INTERVAL = 1.0
-"""Seconds between saves; what an item gave since the last one is lost with its node."""
+"""Seconds between saves; output after the last save is lost if the node fails."""
 LEAST_EVENTS = 12
 """New events from which an item is worth saving."""
 CALL_MARGIN = 8_192
-"""Bytes of a call that are left for keys and lengths."""
+"""Bytes of a call that are reserved for keys and lengths."""
 RESTORE_PATIENCE = 1.5
-"""Seconds in which saved progress is looked for; then items begin anew."""
+"""Seconds for which reading saved progress is retried; after that the items start from the
+beginning."""
 RESTORE_PAUSE = 0.2
 SWEEP_INTERVAL = 60.0
-"""Seconds between looks for segments that their writers left behind."""
+"""Seconds between sweeps for segments that their writers left behind."""
 COMPRESSION_LEVEL = 1
 
 
 class Progressing(Protocol):
-    """An item as far as its progress goes."""
+    """Attributes of an item that saving its progress needs."""
 
     job_id: str
     index: int
@@ -53,13 +54,13 @@
     chain: Chain
 
     def seconds_run(self, now: float) -> float:
-        """Seconds that it has run, at monotonic time `now`."""
+        """Return the seconds that the item has run, at monotonic time `now`."""
         ...
 
 
 @dataclass(slots=True)
 class Chain:
-    """Segments of one item that this node has saved."""
+    """State of the chain of segments that this node has saved for one item."""
 
     name: str = ""
     segments: int = 0
@@ -76,7 +77,8 @@
 
 
 class ProgressLog:
-    """Progress of the items of one node. It saves work; no promise hangs on it."""
+    """Saved progress of one node's items. It avoids repeated work; correctness does not depend on
+    it."""
 
     def __init__(
         self,
@@ -96,22 +98,23 @@
         self._events = events
         self._new_id = new_id
         self._obsolete_keys: dict[int, list[str]] = defaultdict(list)
-        """Keys whose records are not needed any more, by partition."""
+        """Keys whose records are no longer needed, by partition."""
         self._lock = RLock()
         self.unfinished: Callable[[], Iterable[Progressing]] = list
 
     def _partition_of(self, node_id: str) -> int:
-        # By node, so that all its items are saved with one call.
+        # The partition depends on the node, so that all its items are saved with one call.
         return xxhash.xxh32_intdigest(node_id.encode()) % self._partitions
 
     def run(self) -> None:
-        """Save for ever."""
+        """Save periodically, forever."""
         while True:
             gevent.sleep(SAVE_INTERVAL)
             self.save()
 
     def save(self) -> None:
-        """Save what the items have given since the last time, and drop what has ended."""
+        """Save the events received since the last save, and delete segments of items that have
+        ended."""
         with self._lock:
             saves = [
                 save for item in self.unfinished() if (save := self._next_save(item)) is not None
@@ -122,13 +125,13 @@
             self._delete_obsolete()
 
     def save_failures(self, item: Progressing) -> None:
-        """Let whoever takes the item's job over know how often the item failed."""
+        """Save how often an item has failed, for the node that may take its job over."""
         segment = gateway.ItemProgress(failures=item.failures)
         record = KeyedRecord(failures_key(item.job_id, item.index), bytes(segment))
         try:
             self._topics.append(PROGRESS_TOPIC, self._own_partition, [record])
         except StoreUnavailableError as exc:
-            # The next failure tells it again.
+            # The next failure saves the count again.
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, job=item.job_id)
         if item.cancelled:
             self._obsolete_keys[self._own_partition].append(record.key)
@@ -138,7 +141,7 @@
         try:
             self._topics.append(PROGRESS_TOPIC, self._own_partition, records)
         except StoreUnavailableError as exc:
-            # It may be done late, so its keys must not be used again.
+            # The append may still take effect late, so its keys must not be reused.
             for save in part:
                 save.item.chain = Chain()
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, items=len(part))
@@ -180,10 +183,10 @@
             left -= size
         return calls
 
-    # Dropping
+    # Deletion of segments
 
     def forget(self, item: Progressing) -> None:
-        """An item has ended: its segments are dropped with the next save."""
+        """Mark the segments of an item that has ended for deletion with the next save."""
         chain = item.chain
         self._obsolete_keys[self._own_partition] += [
             segment_key(item.job_id, item.index, chain.name, number)
@@ -203,13 +206,13 @@
                 return
 
     def sweep(self, open_jobs: Collection[str]) -> None:
-        """Drop what nodes left behind that are gone, with the next save.
+        """Mark the segments that failed nodes left behind for deletion with the next save.
 
         Args:
             open_jobs: Ids of the jobs that still have items to run.
 
         Raises:
-            StoreUnavailableError: the next sweep goes on.
+            StoreUnavailableError: The next sweep continues.
         """
         for partition in range(self._partitions):
             found = self._records(partition, "")
@@ -219,7 +222,8 @@
     # Restoring
 
     def restore(self, job: BoardJob) -> SavedJob:
-        """What is saved of a job; nothing when the store does not tell in time."""
+        """Return the saved progress of a job, or an empty one if the store does not answer in
+        time."""
         deadline = self._clock.monotonic() + RESTORE_PATIENCE
         partitions = {self._partition_of(node_id) for node_id in job.holders}
         while True:
@@ -250,5 +254,5 @@
 
 
 def unpack_segment(text: bytes) -> bytes:
-    """The events' data of a saved segment."""
+    """Decompress the event data of a saved segment."""
     return zlib.decompress(text)
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -1,4 +1,4 @@
-"""Starts the items of the jobs that this node works on, as there is room for them."""
+"""Starts the items of the jobs that this node works on, as engines have free slots."""
 
 from __future__ import annotations
 
@@ -34,18 +34,19 @@
 from postvalve.settings.routes import RouteSpec
 
 START_INTERVAL = 0.1
-"""Seconds between looks for room, when no event tells of any."""
+"""Seconds between scheduling passes if no event triggers one."""
 IDLE_INTERVAL = 1.0
-"""The same while this node works on no job; a job that it gets wakes it."""
+"""Seconds between passes while this node works on no job; a new job wakes it."""
 MIN_PASS_INTERVAL = 0.02
-"""Seconds between looks at the least: each request that is sent somewhere may ask for one."""
+"""Minimum seconds between passes, since each request that is sent anywhere may trigger one."""
 
 _Ranked = tuple[int, RunningItem]
-"""Urgency and item: each is worked out once for a look, since a node may have thousands."""
+"""Urgency and item. Urgencies are computed once per pass, since a node may have thousands of
+items."""
 
 
 class ItemRunner:
-    """Items by job."""
+    """Schedules this node's items onto engines."""
 
     def __init__(
         self,
@@ -110,7 +111,7 @@
 
     @property
     def draining(self) -> bool:
-        """Whether this node is about to end: it starts nothing any more."""
+        """Whether this node is shutting down, and starts nothing any more."""
         return self._own.draining
 
     @draining.setter
@@ -119,15 +120,16 @@
 
     @property
     def in_progress(self) -> int:
-        """Items that run, and ends that are not durable yet."""
+        """Number of running items and of ends that are not durable yet."""
         return sum(item.running for item in self._own.all()) + self.ends.pending
 
     def waiting_due(self) -> list[int]:
-        """Urgencies of the items that wait here, ascending."""
+        """Return the urgencies of the items that wait here, ascending."""
         return [] if self.draining else [urgency for urgency, _ in self._waiting()]
 
     def running_items(self) -> list[load_report.RunningItem]:
-        """Items that run here, and those whose ends may not be read everywhere yet."""
+        """Return the items that run here, and those whose ends other nodes may not have read
+        yet."""
         running = [
             load_report.RunningItem(job_id=item.job_id, item_index=item.index)
             for item in self._own.all()
@@ -136,28 +138,29 @@
         return running + self.ends.lately()
 
     def wake(self) -> None:
-        """Look for room soon."""
+        """Trigger a scheduling pass."""
         self._wakeup.set()
 
     def note_peers(self) -> None:
-        """Peers have told something: a look is worth it only where this node has items."""
+        """Trigger a scheduling pass after a peer's report, if this node has any items."""
         if self._own.by_job:
             self._wakeup.set()
 
     def give_up_old(self) -> None:
-        """End items that may be given up and can't be run, for ever."""
+        """End items that are past their keep time and can't be run, checking forever."""
         self.ends.give_up_old()
 
     def abandon(self) -> None:
-        """Drop everything at once."""
+        """Stop all items at once, without waiting for running ones."""
         self.draining = True
         self._own.drop_all()
 
     def run(self) -> None:
-        """Start items for ever, as there is room."""
+        """Run scheduling passes forever."""
         while True:
             self._wakeup.wait(START_INTERVAL if self._own.by_job else IDLE_INTERVAL)
-            # A look that is due goes with what woke this node up; a timer would wake it up again.
+            # Waits here for the minimum interval, so that this wake-up serves the pass; a timer
+            # would cause another one.
             if (early := self._last_pass_at + MIN_PASS_INTERVAL - self._clock.monotonic()) > 0:
                 gevent.sleep(early)
             self._wakeup.clear()
@@ -168,7 +171,7 @@
                 self._start_items()
 
     def _waiting(self) -> list[_Ranked]:
-        """Items that may start, the most urgent first."""
+        """Return the items that may start, the most urgent first."""
         now = self._clock.monotonic()
         running_elsewhere = self._peers.running_at_leaving()
         waiting = [
@@ -194,10 +197,11 @@
             self._start_group(rest, service, pressing=False)
 
     def _start_group(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
-        """Start the most urgent of these, as far as there is room beside the other nodes' ones."""
+        """Start the most urgent of these items, as far as slots are left beside the other nodes'
+        items."""
         due = [urgency for urgency, _ in items]
         room = self._fleet.batch_room(service, pressing=pressing)
-        # Items that have time stay in their zone, and rank among those of it.
+        # Items that are not pressing stay in their zone, and rank among the items of that zone.
         others = self._peers.waiting(None if pressing else self._identity.zone)
         count = startable(due, others, room)
         for _, item in items[:count]:
@@ -205,11 +209,11 @@
                 break
 
     def _zone_queue(self, items: list[_Ranked]) -> int:
-        """Items that wait in this zone, these here among them."""
+        """Return the number of items that wait in this zone, including this node's."""
         return len(items) + sum(count for _, count in self._peers.waiting(self._identity.zone))
 
     def _service_of(self, job: BoardJob) -> str:
-        # The configuration in force decides, as it does for every other request.
+        # The present configuration decides, as for any other request.
         route = self._route_named(job.accepted.route)
         services = [target.service for target in route.targets] if route else []
         known = job.accepted.service
--- a/postvalve/gateway/jobs/item_urgency.py
+++ b/postvalve/gateway/jobs/item_urgency.py
@@ -1,4 +1,4 @@
-"""How urgent this node's items are: by due time, or by the shares of tenants that compete."""
+"""Urgency of this node's items: by due time, or by shares while tenants compete."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 from postvalve.settings.routes import RoutedTenant
 
 LOOK_AGE = 0.5
-"""Seconds after which it is looked anew what peers tell: asked for each item."""
+"""Seconds for which the peers' reports are cached, since the urgency of every item depends on
+them."""
 
 
 class ItemUrgency:
-    """Sort keys of items, alike at all nodes."""
+    """Sort keys of items, computed alike on all nodes."""
 
     def __init__(
         self,
@@ -52,7 +53,7 @@
         self._lateness = Lateness()
 
     def configure(self, table: RouteTable) -> None:
-        """Take the tenants and routes of a configuration."""
+        """Apply the tenants and routes of a configuration."""
         tenants: Sequence[RoutedTenant] = table.configuration.tenants or ()
         self._tenants = {tenant.name: tenant for tenant in tenants}
         self._route_priorities = {
@@ -63,10 +64,10 @@
 
     @property
     def by_shares(self) -> bool:
-        """Whether tenants compete, and all nodes that are heard order by shares.
+        """Whether tenants compete, and all known nodes support ordering by shares.
 
-        Nodes of an earlier build order by due time, and two orders side by side would let each
-        node start what the other counts behind its own.
+        Nodes of an earlier build order by due time. With two orders in use, each node would start
+        items that the other ranks behind its own.
         """
         self._refresh()
         return self._by_shares
@@ -95,14 +96,14 @@
 
     def _update_lateness(self) -> None:
         if self._log.follower.age > OLD_AFTER:
-            # Results are missing that came meanwhile: everything would seem late.
+            # Recent results are missing, so all items would appear late.
             return
         shares, now = self._log.board.shares, self._clock.wall()
         self._lateness.look(shares.due, now)
         shares.forget_due(int(now) - WINDOW)
 
     def of(self, item: RunningItem) -> int:
-        """How urgent an item is; the lowest first."""
+        """Return the sort key of an item; the lowest is the most urgent."""
         now_ms, left = milliseconds(self._clock.wall()), self.seconds_left(item)
         ends_soon = self._ends_soon(item, now_ms, left)
         rank = self._rank(item, ends_soon) if self.by_shares else None
@@ -112,7 +113,8 @@
         return max(0, due - NEARLY_ENDED_BONUS_MS) if ends_soon else due
 
     def _ends_soon(self, item: RunningItem, now_ms: int, left: float) -> bool:
-        """Whether a running item nearly ends, and in time; such a one gives way last."""
+        """Return whether a running item is about to finish in time, so that it is preempted
+        last."""
         if not item.running or now_ms + left * 1000 > item.due_at_ms:
             return False
         run = item.seconds_run(self._clock.monotonic())
@@ -131,11 +133,12 @@
         return ShareRank(priority, tag, bool(item.events), ends_soon)
 
     def seconds_left(self, item: RunningItem) -> float:
-        """Seconds that an item still needs, its present run counted; 0 while nothing is known."""
+        """Return the seconds that an item still needs, given its run time so far; 0 if unknown."""
         run = item.seconds_run(self._clock.monotonic())
         return self._estimate.seconds_left(item.output_tokens, run)
 
     def is_pressing(self, item: RunningItem, queue: float) -> bool:
-        """Whether an item should start soon to be in time: see `item_order.is_pressing`."""
+        """Return whether an item must start soon to finish in time; see
+        `item_order.is_pressing`."""
         now_ms = milliseconds(self._clock.wall())
         return is_pressing(item.due_at_ms, now_ms, self.seconds_left(item), queue)
--- a/postvalve/gateway/jobs/job_claims.py
+++ b/postvalve/gateway/jobs/job_claims.py
@@ -1,4 +1,4 @@
-"""Takes over jobs that nobody works on."""
+"""Takes over jobs that no node works on."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 from postvalve.messages.generated import gateway
 
 CLAIM_INTERVAL = 0.4
-"""Seconds between looks for jobs that nobody works on."""
+"""Seconds between checks for jobs that no node works on."""
 CLAIM_AFTER_START = 1.5
-"""Seconds after its start before a node claims jobs of others: it must hear of them first."""
+"""Seconds after its start before a node claims jobs of others, since it must first hear from
+them."""
 ALL_HEARD_AFTER = 4.0
-"""Seconds after its start from which zones that it has not heard of count as gone: their digests
-tell now and then only who lives there."""
+"""Seconds after its start from which a node treats zones that it has not heard from as gone. A
+zone's digest lists the members only from time to time."""
 STORE_SILENCE = 3.0
-"""Seconds without the store after which a node claims nothing."""
+"""Seconds without contact to the store after which a node claims nothing."""
 
 
 class JobClaims:
-    """This node's claims. A wrong one costs runs and breaks no promise."""
+    """Claims of this node. A wrong claim causes duplicate work, but no wrong result."""
 
     def __init__(
         self,
@@ -46,10 +47,10 @@
         self._started_at = clock.monotonic()
         self.draining = False
         self.heard_all: Callable[[], bool] = lambda: True
-        """Tells whether it is known of every zone who lives there."""
+        """Returns whether the members of every zone are known."""
 
     def run(self) -> None:
-        """Look for ever."""
+        """Check for abandoned jobs forever."""
         while True:
             gevent.sleep(CLAIM_INTERVAL)
             if self.draining or self._log.silence() > STORE_SILENCE:
@@ -61,7 +62,7 @@
     def _should_claim(self, job: BoardJob) -> bool:
         identity = self._identity
         if job.node_id == identity.node_id:
-            # A former life of this node is surely over.
+            # An earlier incarnation of this node is certainly gone.
             return job.incarnation != identity.incarnation
         if not self._membership_known():
             return False
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -1,4 +1,4 @@
-"""Writes and reads the topic of batch jobs, and what their items are sent as."""
+"""Reads and writes the topic of batch jobs, and the stored requests of their items."""
 
 from __future__ import annotations
 
@@ -26,21 +26,22 @@
 JOB_TOPIC = "jobs"
 REQUEST_TOPIC = "requests"
 FOLLOW_POLL_TIMEOUT = 2.0
-"""Seconds that a read of the job topic waits for a record. Answers that need the board to be up to
-date read beside it (`is_fresh`), so a way that falls silent may be noticed so much later."""
+"""Seconds that a read of the job topic waits for a record. Answers that need an up-to-date board
+read separately (see `is_fresh`), so this only delays noticing that the path to the store has
+failed."""
 FOLLOW_INTERVAL = 0.4
-"""Seconds between such reads. Each is priced, and what was acknowledged need not be known for a
-second; a result that is waited for comes this much later at the most."""
+"""Seconds between such reads. Each read has a cost, and an acknowledged write need not be known for
+a second; a client that waits for a result gets it at most this much later."""
 RETRY_DELAY = 0.1
-"""Seconds before a failed call is repeated, doubled for each later one."""
+"""Seconds before a failed call is repeated, doubled with each repetition."""
 MAX_RETRY_DELAY = 0.8
 
 ChangeListener = Callable[[set[str]], None]
-"""Takes the ids of the jobs that changed."""
+"""Called with the ids of the jobs that changed."""
 
 
 class JobLog:
-    """The board of all jobs, and appends to their topic."""
+    """Board of all jobs, kept up to date from their topic, and appends to it."""
 
     def __init__(
         self,
@@ -71,11 +72,11 @@
         )
 
     def listen(self, listener: ChangeListener) -> None:
-        """Be told of changed jobs."""
+        """Register a listener for changed jobs."""
         self._listeners.append(listener)
 
     def weigh(self, weights: Mapping[str, float]) -> None:
-        """Take weights of tenants as the configuration has them now."""
+        """Apply the tenants' weights of the present configuration."""
         self._weights = weights
         self.board.shares.reweigh(weights)
 
@@ -104,23 +105,23 @@
             self._events.emit(Event.LOG_RECORD_INVALID, topic=JOB_TOPIC, key=key)
 
     def silence(self) -> float:
-        """Seconds since the store was heard last."""
+        """Return the seconds since the store last answered."""
         return self._clock.monotonic() - self.follower.heard_at
 
-    def is_fresh(self, timeout: float) -> bool:
-        """Whether all that was acknowledged `patience` seconds ago is on the board."""
-        return self._clock.monotonic() - self.follower.fresh_at <= timeout
+    def is_fresh(self, max_age: float) -> bool:
+        """Return whether the board holds everything that was acknowledged `max_age` seconds ago."""
+        return self._clock.monotonic() - self.follower.fresh_at <= max_age
 
     def append(self, records: Sequence[KeyedRecord], timeout: float) -> None:
-        """Append records, repeated until the store takes them.
+        """Append records, retrying until the store accepts them.
 
-        A try without an answer may have been done. The topic keeps the newest record of a key
-        only, and a repetition under the same key would move the record behind others; so each
-        repetition has keys of its own, and readers pass over what stands already.
+        An attempt without an answer may have taken effect. The topic keeps only the newest record
+        of a key, and a retry under the same key would move the record behind others. So each retry
+        uses new keys, and readers ignore what they already have.
 
         Raises:
-            StoreUnavailableError: after `patience` seconds; NOT_RUN only when no try may
-                have taken effect.
+            StoreUnavailableError: After `timeout` seconds; the verdict is NOT_RUN only if no
+                attempt may have taken effect.
         """
         deadline = self._clock.monotonic() + timeout
         verdict, pause = Verdict.NOT_RUN, RETRY_DELAY
@@ -137,13 +138,13 @@
             pause = min(MAX_RETRY_DELAY, pause * 2)
 
     def append_at_end(self, records: Sequence[KeyedRecord]) -> bool:
-        """Append if nothing was written that this board does not hold, and put it there.
+        """Append if the topic holds nothing that this board does not, and apply the records to it.
 
         Returns:
             Whether the records were appended; if not, the board must catch up first.
 
         Raises:
-            StoreUnavailableError: with the verdict.
+            StoreUnavailableError: With the verdict of the attempt.
         """
         try:
             offset = self._topics.append(JOB_TOPIC, 0, records, at=self.follower.next_offset)
@@ -158,10 +159,10 @@
     def store_requests(
         self, job_id: str, nonce: str, partition: int, requests: Sequence[bytes]
     ) -> list[ValueRef]:
-        """Store what the items of a job are sent as, one after the other.
+        """Store the requests of a job's items in consecutive records.
 
         Raises:
-            StoreUnavailableError: they can't be relied on; nothing refers to them.
+            StoreUnavailableError: They may not be durable; nothing refers to them.
         """
         named = [
             (_request_prefix(job_id, nonce, index), request)
@@ -170,34 +171,34 @@
         return self._requests.put(partition, named)
 
     def request(self, job: BoardJob, index: int) -> bytes:
-        """Read what an item is sent as.
+        """Read the request of an item.
 
         Raises:
-            NotFoundError: it is not there any more.
-            StoreUnavailableError: no answer.
+            NotFoundError: It is no longer stored.
+            StoreUnavailableError: The store does not answer.
         """
         return self._requests.get([_request_refs(job)[index]])[0]
 
     def requests(self, job: BoardJob) -> list[bytes]:
-        """Read what all items of a job are sent as.
+        """Read the requests of all items of a job.
 
         Raises:
-            NotFoundError: one is not there any more.
-            StoreUnavailableError: no answer.
+            NotFoundError: One of them is no longer stored.
+            StoreUnavailableError: The store does not answer.
         """
         return self._requests.get(_request_refs(job))
 
     def drop_jobs(self, jobs: Sequence[BoardJob]) -> None:
-        """Drop all records of old jobs.
+        """Delete all records of expired jobs.
 
         Raises:
-            StoreUnavailableError: the next try goes on.
+            StoreUnavailableError: The next call continues.
         """
         for job in jobs:
             self.texts.drop(job)
             keys = [key for ref in _request_refs(job) for key in ref.keys]
             self._requests.drop(job.accepted.request_partition, keys)
-            # Last, since a job that is not on the board any more can't be dropped.
+            # This comes last, since a job that is no longer on the board can't be deleted.
             self._topics.append(JOB_TOPIC, 0, [KeyedRecord(key, b"") for key in reversed(job.keys)])
 
 
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -1,4 +1,4 @@
-"""Batch jobs of routed traffic for clients: take, show, give bodies, end. At any node."""
+"""Client interface to routed batch jobs at any node: submit, list results, read bodies, cancel."""
 
 from __future__ import annotations
 
@@ -35,24 +35,25 @@
 from postvalve.settings.routes import RouteSpec
 
 MAX_ITEMS = 10_000
-"""Items of one job."""
+"""Maximum number of items of one job."""
 ACCEPT_TIMEOUT = 3.0
-"""Seconds in which a job's acceptance is tried."""
+"""Seconds for which a job's acceptance is tried."""
 END_TIMEOUT = 2.5
-"""Seconds in which an end is tried."""
+"""Seconds for which writing a job's end is tried."""
 RETRY_DELAY = 0.15
 STORE_RETRY_AFTER = 0.6
-"""Seconds told to a client while the store is out of reach."""
+"""Retry-After, in seconds, while the store is out of reach."""
 FULL_RETRY_AFTER = 1.0
-"""Seconds told to a client whose job does not fit the route's waiting tokens."""
+"""Retry-After, in seconds, for a job that exceeds the route's limit of queued tokens."""
 MAX_FETCHED_BYTES = 8 * 1024 * 1024
-"""Requests of a larger job's items are read one by one."""
+"""Limit up to which a job's requests are fetched at once; those of larger jobs are read one by
+one."""
 MAX_PAGE_TEXT_BYTES = 512 * 1024
-"""Bytes of packed texts that one page of results reads, one at the least."""
+"""Compressed text bytes of one page of results; a page holds at least one result."""
 
 
 class UndecidedError(PostvalveError):
-    """The store was not heard: the job may be accepted, or the end may stand."""
+    """Raised if the store did not answer, so that the job may be accepted or the end recorded."""
 
     code = "undecided"
     http_status = 504
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmittedItem:
-    """An item as its client sent it."""
+    """An item as submitted by a client."""
 
     item_id: str
     target: str
@@ -70,12 +71,12 @@
     tokens: int
     prompt_tokens: int = 0
     output_tokens: int = 0
-    """The most that it may give."""
+    """The most tokens that the item may generate."""
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A job as its client sent it."""
+    """A job as submitted by a client."""
 
     job_id: str
     host: str
@@ -83,17 +84,17 @@
     service: str
     items: tuple[SubmittedItem, ...]
     tenant: str = ""
-    """Who sent it; empty where nobody needs a key."""
+    """Tenant that submitted it; empty if the route needs no key."""
 
     @property
     def tokens(self) -> int:
-        """Tokens of all items."""
+        """Total tokens of all items."""
         return sum(item.tokens for item in self.items)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedResult:
-    """The end of one item, at its position."""
+    """Result of one item, as listed for clients."""
 
     item_id: str
     completed: bool
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultPage:
-    """Results from a position on."""
+    """Results from one position on."""
 
     total: int
     results: tuple[ListedResult, ...]
@@ -110,7 +111,7 @@
 
 
 class JobService:
-    """Jobs by id."""
+    """Handles client requests about jobs."""
 
     def __init__(
         self,
@@ -128,17 +129,17 @@
         self._log = log
         self._new_id = new_id
         self.requests: dict[str, list[gateway.ItemRequest]] = {}
-        """Requests of open jobs' items that came to this node, or that it works on."""
+        """Requests of items by job, for open jobs that were submitted to this node or run here."""
         self._in_progress: set[str] = set()
         log.listen(self._forget_requests)
 
     def submit(self, submission: Submission) -> None:
-        """Take a job; returns once it is durable. A resend finds it taken.
+        """Accept a job; returns once it is durable. A resend of an accepted job changes nothing.
 
         Raises:
-            RateLimitedError: it does not fit the route; nothing of it will run.
-            RefusedError: nothing of it will run.
-            UndecidedError: it may have been taken; a resend is safe.
+            RateLimitedError: It exceeds the route's limit; nothing of it will run.
+            RefusedError: Nothing of it will run.
+            UndecidedError: It may have been accepted; a resend is safe.
         """
         started = self._clock.monotonic()
         if submission.job_id in self._log.board.jobs:
@@ -153,7 +154,7 @@
             self._in_progress.discard(submission.job_id)
 
     def _await_concurrent_submission(self, job_id: str) -> None:
-        # The same job under way at this node is decided first.
+        # A concurrent submission of the same job to this node is decided first.
         while job_id in self._in_progress:
             gevent.sleep(0.02)
 
@@ -244,17 +245,19 @@
     def _accept(
         self, submission: Submission, accepted: gateway.JobAccepted, deadline: float
     ) -> None:
-        """Append the acceptance at the end of what is known, or learn that it stands.
+        """Append the acceptance at the known end of the topic, unless the job is already accepted.
 
-        An append whose answer was lost may still be done, but only while the topic ends where
-        it says. So a repetition at the same place settles it, and until then nothing is told.
+        An append whose answer was lost may still take effect, but only while the topic's end is
+        where the append expects it. Repeating it at the same offset settles this; until then the
+        client gets no answer.
         """
         key = record_key(RecordKind.ACCEPT, submission.job_id, accepted.claim_id)
         record = KeyedRecord(key, bytes(accepted))
         follower = self._log.follower
         tried_at = -1
         while submission.job_id not in self._log.board.jobs:
-            # Once the topic is known to have grown, an earlier try was done or never will be.
+            # If the topic has grown since, the earlier attempt has either taken effect or never
+            # will.
             undecided = tried_at == follower.next_offset
             if not undecided:
                 self._check_quota(submission)
@@ -294,11 +297,11 @@
                 del self.requests[job_id]
 
     def results(self, job_id: str, position: int, wait: float) -> ResultPage:
-        """Results from `position` on; waits up to `wait` seconds for one.
+        """Return the results from `position` on; waits up to `wait` seconds for one.
 
         Raises:
-            NotFoundError: there is no such job.
-            RefusedError: this node can't be sure.
+            NotFoundError: There is no such job.
+            RefusedError: This node may not be up to date.
         """
         job = self._job(job_id)
         deadline = self._clock.monotonic() + wait
@@ -316,10 +319,10 @@
         return ResultPage(len(job.items), listed, position + len(listed))
 
     def _texts(self, ends: list[ItemEnd]) -> list[bytes]:
-        """Texts of the first of these ends, as many as one page holds.
+        """Return the texts of the first of these ends, as many as one page holds.
 
         Raises:
-            RefusedError: not even the first can be read now.
+            RefusedError: Not even the first one can be read now.
         """
         size, count = 0, 0
         for end in ends:
@@ -330,7 +333,7 @@
         try:
             return self._log.texts.get(ends[:count])
         except (StoreUnavailableError, NotFoundError) as exc:
-            # What this node has read before is told all the same.
+            # Texts that this node has cached are returned anyway.
             at_hand = list(itertools.takewhile(self._log.texts.cached, ends[:count]))
             self._events.emit(
                 Event.LOG_UNAVAILABLE, error=exc.message, texts=count, at_hand=len(at_hand)
@@ -357,10 +360,10 @@
         return job
 
     def _require_fresh(self) -> None:
-        """Be sure that nothing was missed.
+        """Ensure that the board is up to date.
 
         Raises:
-            RefusedError: this node can't be.
+            RefusedError: The store does not answer.
         """
         if self._log.is_fresh(self._settings.read_patience):
             return
@@ -372,11 +375,11 @@
             ) from error
 
     def body(self, job_id: str, item_id: str) -> bytes:
-        """The body of an item.
+        """Return the body of an item.
 
         Raises:
-            NotFoundError: there is no such item.
-            RefusedError: the store is out of reach.
+            NotFoundError: There is no such item.
+            RefusedError: The store is out of reach.
         """
         job = self._job(job_id)
         index = job.index_of(item_id)
@@ -385,11 +388,11 @@
         return self.item_request(job, index).body
 
     def item_request(self, job: BoardJob, index: int) -> gateway.ItemRequest:
-        """What an item is sent as, from memory or from the store.
+        """Return the request of an item, from memory or from the store.
 
         Raises:
-            NotFoundError: it is not kept any more.
-            RefusedError: the store is out of reach.
+            NotFoundError: It is no longer stored.
+            RefusedError: The store is out of reach.
         """
         kept = self.requests.get(job.job_id)
         if kept is not None:
@@ -402,9 +405,9 @@
             ) from error
 
     def fetch_requests(self, job: BoardJob) -> None:
-        """Get the requests of a job that this node works on now, with as few calls as may be.
+        """Fetch all requests of a job that this node now works on, with as few calls as possible.
 
-        Its items run several times where they give way, and each run needs the request.
+        Items run several times if they are preempted, and each run needs the request.
         """
         size = sum(item.request_bytes for item in job.items)
         if job.job_id in self.requests or size > MAX_FETCHED_BYTES:
@@ -412,7 +415,7 @@
         try:
             found = self._log.requests(job)
         except (StoreUnavailableError, NotFoundError) as exc:
-            # Each run asks for its own.
+            # Each run then reads its own request.
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, job=job.job_id)
             return
         known = self._log.board.jobs.get(job.job_id)
@@ -420,12 +423,12 @@
             self.requests[job.job_id] = [gateway.ItemRequest().parse(request) for request in found]
 
     def end(self, job_id: str) -> None:
-        """End a job; what is listed stays.
+        """Cancel a job; results that are already listed stay.
 
         Raises:
-            NotFoundError: there is no such job.
-            RefusedError: this node can't be sure.
-            UndecidedError: the end may stand; another one is safe.
+            NotFoundError: There is no such job.
+            RefusedError: This node may not be up to date.
+            UndecidedError: The cancel may have been recorded; repeating it is safe.
         """
         job = self._job(job_id)
         if job.ended:
--- a/postvalve/gateway/jobs/own_items.py
+++ b/postvalve/gateway/jobs/own_items.py
@@ -1,4 +1,4 @@
-"""The items of the jobs that this node works on: which they are, as the log of jobs tells."""
+"""Items of the jobs that this node works on, kept up to date from the job log."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OwnItems:
-    """Items by job and index."""
+    """This node's unfinished items by job and index."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         progress: ProgressLog,
         wake: Callable[[], None],
     ) -> None:
-        """Follow the log of jobs; `wake` is called when there may be something to start."""
+        """Follow the job log; `wake` is called when there may be items to start."""
         self._identity = identity
         self._events = events
         self._log = log
@@ -39,23 +39,24 @@
         self.by_job: dict[str, dict[int, RunningItem]] = {}
         self._logged_lost: set[str] = set()
         self.draining = False
-        """Whether this node is about to end: what runs ends here, whoever has the job."""
+        """Whether this node is shutting down: running items finish here even if another node claims
+        the job."""
         self.on_taken: Callable[[], None] = lambda: None
-        """Called when a job was taken."""
+        """Called when a job was added."""
         progress.unfinished = self.all
         log.listen(self._jobs_changed)
 
     def all(self) -> list[RunningItem]:
-        """Every item that has not ended."""
+        """Return all items that have not ended."""
         return [item for items in self.by_job.values() for item in items.values()]
 
     def remove(self, item: RunningItem) -> None:
-        """An item has ended."""
+        """Remove an item that has ended."""
         self.by_job.get(item.job_id, {}).pop(item.index, None)
         item.cancelled = True
 
     def drop_all(self) -> None:
-        """Drop everything at once."""
+        """Remove all jobs and abort their running items."""
         for job_id in list(self.by_job):
             self._drop_job(job_id)
 
@@ -98,7 +99,7 @@
             gevent.spawn(self._restore, job, items)
 
     def _restore(self, job: BoardJob, items: dict[int, RunningItem]) -> None:
-        """Let the items of a job that was taken over go on where they are known to be."""
+        """Restore the saved progress of a job's items after this node took the job over."""
         saved = SavedJob()
         try:
             self._jobs.fetch_requests(job)
@@ -110,7 +111,7 @@
                     item.events = [unpack_segment(text) for text in known.texts]
                     item.last_event_id = known.last_event_id
                     item.run_seconds = known.run_ms / 1000
-                # Failures may have been counted here while the saved ones were read.
+                # This node may have counted failures while the saved count was being read.
                 item.failures += saved.failures.get(index, 0)
                 item.not_before = 0.0
             self._events.emit(
@@ -131,7 +132,7 @@
         if not self.draining:
             self._drop_job(job.job_id)
             return
-        # What runs at a leaving node ends here; its reports say so.
+        # Running items of a node that is shutting down finish here, as its reports tell the peers.
         for index, item in list(self.by_job[job.job_id].items()):
             if not item.running or index in job.finished:
                 self._drop_item(job.job_id, index)
--- a/postvalve/gateway/jobs/result_texts.py
+++ b/postvalve/gateway/jobs/result_texts.py
@@ -1,4 +1,4 @@
-"""Texts of items that have ended: stored once, and read by the nodes that are asked for them."""
+"""Output texts of finished items: stored once, and read by the nodes that serve them."""
 
 from __future__ import annotations
 
@@ -15,46 +15,47 @@
 
 TEXT_TOPIC = "texts"
 CACHE_BYTES = 2 * 1024 * 1024
-"""Bytes of packed texts that a node keeps: clients come back to the same node for the next results
-of a job, and its own items' texts need no read at all."""
+"""Compressed text bytes that a node caches. Clients fetch the next results of a job from the same
+node, and texts of the node's own items need no read at all."""
 COMPRESSION_LEVEL = 1
 
 
 def pack_text(text: bytes) -> bytes:
-    """A text as it stands in the store."""
+    """Compress a text for the store."""
     return zlib.compress(text, COMPRESSION_LEVEL)
 
 
 def unpack_text(data: bytes) -> bytes:
-    """Undo `pack_text`."""
+    """Decompress the result of `pack_text`."""
     return zlib.decompress(data) if data else b""
 
 
 def text_prefix(job_id: str, index: int, claim_id: str) -> str:
-    """Begins the keys of a text. Under one claim an item ends once, so no key is used twice."""
+    """Return the prefix of a text's keys; an item ends once under a claim, so no key is reused."""
     return f"{job_id}/{index:05d}/{claim_id}/"
 
 
 class ResultTexts:
-    """Texts, by the ends that name them."""
+    """Texts of finished items, stored by item and claim, with a cache."""
 
     def __init__(self, settings: GatewaySettings, topics: KeyedTopics) -> None:
         self._partitions = settings.body_partitions
         self._own_partition = self._partition_of(settings.node_id)
         self._values = ValueStore(topics, TEXT_TOPIC, settings.record_bytes, settings.call_bytes)
         self._cache: OrderedDict[str, bytes] = OrderedDict()
-        """Packed texts by the prefix of their keys, those used last at the end."""
+        """Compressed texts by key prefix, the most recently used last."""
         self._cached_bytes = 0
 
     def _partition_of(self, node_id: str) -> int:
-        # By node, so that what it ends together is stored with one call.
+        # The partition depends on the node, so that texts written together are stored with one
+        # call.
         return xxhash.xxh32_intdigest(node_id.encode()) % self._partitions
 
     def put(self, texts: Sequence[tuple[str, bytes]]) -> list[ValueRef]:
-        """Store packed texts by prefix.
+        """Store compressed texts by key prefix.
 
         Raises:
-            StoreUnavailableError: they can't be relied on.
+            StoreUnavailableError: They may not be durable.
         """
         refs = self._values.put(self._own_partition, texts)
         for prefix, text in texts:
@@ -62,11 +63,11 @@
         return refs
 
     def get(self, ends: Sequence[ItemEnd]) -> list[bytes]:
-        """Texts of ended items, from memory or from the store.
+        """Return the texts of finished items, from the cache or the store.
 
         Raises:
-            NotFoundError: one is not there any more.
-            StoreUnavailableError: no answer.
+            NotFoundError: One of them is no longer stored.
+            StoreUnavailableError: The store does not answer.
         """
         missing = [
             _ref(end) for end in ends if end.text_records and _prefix(end) not in self._cache
@@ -87,7 +88,7 @@
         return unpack_text(self._cache[prefix])
 
     def cached(self, end: ItemEnd) -> bool:
-        """Whether a text needs no read."""
+        """Return whether a text is available without a read."""
         return not end.text_records or _prefix(end) in self._cache
 
     def _cache_text(self, prefix: str, packed: bytes) -> None:
@@ -99,12 +100,12 @@
             self._cached_bytes -= len(dropped)
 
     def drop(self, job: BoardJob) -> None:
-        """Drop all texts of a job, those too that an end which came second has left.
+        """Delete all texts of a job, including those of ends that did not count.
 
         Raises:
-            StoreUnavailableError: the next try goes on.
+            StoreUnavailableError: The next call continues.
         """
-        # An item's whole text is the same in each run, and so takes as many records.
+        # The whole text of an item is the same in each run, so it takes the same number of records.
         records = {end.item_index: end.text_records for end in job.results}
         keys: dict[int, list[str]] = {}
         for claim_id, node_id in job.claims:
--- a/postvalve/gateway/jobs/running_item.py
+++ b/postvalve/gateway/jobs/running_item.py
@@ -1,4 +1,4 @@
-"""One batch item that a node works on: what it has given, its attempt, and what is saved."""
+"""State of one batch item at the node that works on it: events, present attempt, saved progress."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 
 @dataclass(slots=True)
 class RunningItem:
-    """An item that this node works on."""
+    """A batch item that this node works on."""
 
     job_id: str
     index: int
     claim_id: str
-    """The claim by which this node works on it."""
+    """Id of the claim under which this node works on it."""
     due_at_ms: int
     output_tokens: int = 0
     prompt_tokens: int = 0
     events: list[bytes] = field(default_factory=list)
     last_event_id: int | None = None
     failures: int = 0
-    """Runs that ended in an engine's failure."""
+    """Number of runs that ended in a failure of the engine."""
     not_before: float = 0.0
-    """Monotonic seconds before which it is not tried again."""
+    """Monotonic time in seconds before which it is not tried again."""
     running: bool = False
     cancelled: bool = False
     preempted: bool = False
     told_to_go: bool = False
-    """Whether a peer has told this node to stop its present attempt."""
+    """Whether a peer has asked this node to stop the present attempt."""
     stopped_by: str = ""
-    """Who found that its attempt must give way: "look" of this node, or "told" by a peer."""
+    """Cause of the preemption: "look" for this node's own check, "told" for a peer's request."""
     answer: EngineAnswer | None = None
     placement: Placement | None = None
     times: AttemptTimes = field(default_factory=lambda: AttemptTimes(0.0))
-    """Of its present attempt's events."""
+    """Times of the present attempt's events."""
     started_at: float = 0.0
     run_seconds: float = 0.0
-    """Seconds that its former attempts ran."""
+    """Seconds that its previous attempts ran."""
     failed_engine: EngineLife | None = None
     guard: RequestGuard | None = None
-    """Its part in the quarantine; None until its request was read."""
+    """State for the quarantine of its request; None until the request was read."""
     chain: Chain = field(default_factory=Chain)
-    """What of it is saved."""
+    """Saved segments of its progress."""
 
     def seconds_run(self, now: float) -> float:
-        """Seconds that its attempts ran, at monotonic time `now`."""
+        """Return the seconds that its attempts have run, at monotonic time `now`."""
         return self.run_seconds + (now - self.started_at if self.running else 0.0)
