--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -137,7 +137,7 @@
             return
         if item.preempted:
             answer.abort()
-            raise AttemptError("the attempt was ended", Verdict.MAY_HAVE_RUN)
+            raise AttemptError("attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN)
         item.times = AttemptTimes(self._clock.monotonic())
         answer.read_head(EVENT_TIMEOUT)
         self._judge(item, placement, item_id, answer)
@@ -196,11 +196,11 @@
                 self._ends.end(item, ItemState.DEAD)
                 return
             gevent.spawn(self._progress.save_failures, item)
-            raise AttemptError(f"the item failed: {answer.status}", Verdict.RAN)
+            raise AttemptError(f"item failed with status {answer.status}", Verdict.RAN)
         if judgement is Judgement.REPLACED:
             self._fleet.note_replaced(life)
         verdict = Verdict.MAY_HAVE_RUN if judgement is Judgement.FOREIGN else Verdict.NOT_RUN
-        raise AttemptError(f"the engine did not take it: {answer.status}", verdict)
+        raise AttemptError(f"engine did not accept the item: status {answer.status}", verdict)
 
     def _read_stream(self, item: RunningItem, answer: EngineAnswer) -> None:
         while True:
@@ -208,7 +208,7 @@
             if not event:
                 return
             if item.cancelled or item.preempted:
-                raise AttemptError("the attempt was ended", Verdict.MAY_HAVE_RUN)
+                raise AttemptError("attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN)
             number = event_id_of(event)
             if number is None:
                 continue
