--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -208,7 +208,9 @@
             if not event:
                 return
             if item.cancelled or item.preempted:
-                raise AttemptError("attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN)
+                raise AttemptError(
+                    "attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN
+                )
             number = event_id_of(event)
             if number is None:
                 continue
