--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -17,8 +17,8 @@
 """Urgency in milliseconds of the epoch, number of items."""
 _TOKEN_TIME = struct.Struct("!I")
 """Microseconds per output token."""
-MICROSECONDS = 1_000_000
-MAX_PACE = 0xFFFF_FFFF
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_TOKEN_TIME = 0xFFFF_FFFF
 MAX_COUNT = 0xFFFF
 MAX_GROUPS = 24
 """Due times that one report holds; less urgent items beyond them are left out."""
@@ -69,13 +69,15 @@
         """Take in the estimates of peers, as encoded by their `pack`."""
         token_times = _decode_token_times(parts)
         if token_times:
-            self._reported = median(token_times) / MICROSECONDS
+            self._reported = median(token_times) / MICROSECONDS_PER_SECOND
 
     def pack(self) -> bytes:
         """Encode this node's own estimate for its peers; empty until an item has finished here."""
         if self._measured is None:
             return b""
-        return _TOKEN_TIME.pack(min(MAX_PACE, round(self._measured * MICROSECONDS)))
+        return _TOKEN_TIME.pack(
+            min(MAX_TOKEN_TIME, round(self._measured * MICROSECONDS_PER_SECOND))
+        )
 
     def seconds_left(self, output_tokens: int, run_seconds: float) -> float:
         """Return the seconds that an item still needs, or 0 if nothing is known yet."""
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -79,7 +79,7 @@
             f"j-{number}": f"body {number}".encode() for number in range(3)
         })  # fmt: skip
 
-    def test_pages_go_on_where_the_last_ended(self):
+    def test_pages_continue_where_the_last_ended(self):
         self.submit("n0", "j")
         results = self.results("n0", "j")
         # Another node may have read them a moment later.
@@ -113,14 +113,14 @@
         self.assertEqual(self.submit("n0", "j" * 101).status, 400)
         self.assertEqual(self.submit("n0", "j" * 100).status, 202)
 
-    def test_bodies_are_given_at_every_node(self):
+    def test_bodies_are_served_at_every_node(self):
         self.usual(silent=True)
         self.submit("n0", "j")
         for node in ("n0", "n1"):
             answer = self.fleet.request(node, "/api/items/j?id=j-1", method="GET")
             self.assertEqual((answer.status, answer.body), (200, b"body 1"))
 
-    def test_an_ended_job_stops(self):
+    def test_a_cancelled_job_stops(self):
         self.usual(pause=0.05, events=300)
         self.submit("n0", "j")
         wait_until(lambda: sum(one.running for one in self.fleet.engines) == 3)
@@ -129,7 +129,7 @@
         wait_until(lambda: sum(one.running for one in self.fleet.engines) == 0)
         self.assertEqual(self.page("n1", "j").document["results"], [])
 
-    def test_jobs_beyond_the_waiting_tokens_are_refused(self):
+    def test_jobs_beyond_the_queued_token_limit_are_refused(self):
         self.usual(silent=True)
         self.fleet.configure(maxQueuedTokens=650)
         wait_until(
@@ -142,8 +142,8 @@
             self.assertEqual("retry-after" in answer.headers, answer.status == 429)
 
 
-class EngineTroubleTest(JobCase):
-    def test_cut_items_go_on_after_their_last_event(self):
+class EngineFailureTest(JobCase):
+    def test_interrupted_items_resume_after_their_last_event(self):
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=2), Behaviour(cut_after=0)]
         self.submit("n0", "j")
@@ -157,7 +157,7 @@
         self.assertEqual(self.results("n1", "j", 1)[0]["state"], "dead_letter")
         self.assertEqual(len(self.runs()), 3)
 
-    def test_impossible_items_end_at_once(self):
+    def test_rejected_items_end_at_once(self):
         self.usual(status=422)
         self.submit("n0", "j", items=1)
         self.assertEqual(self.results("n1", "j", 1)[0]["state"], "dead_letter")
@@ -180,7 +180,7 @@
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
-    def test_one_node_runs_no_more_items_than_engines_have_room_for(self):
+    def test_one_node_runs_no_more_items_than_engines_have_slots(self):
         # Several nodes may for a moment start more than fit: reports are a tenth of a second old.
         self.usual(pause=0.05, events=20)
         self.submit("n0", "a", items=12)
@@ -193,8 +193,8 @@
         self.assertGreaterEqual(most, 2)
 
 
-class QuietNodeTest(unittest.TestCase):
-    def test_news_of_peers_wake_only_nodes_with_items_up(self):
+class IdleNodeTest(unittest.TestCase):
+    def test_peer_reports_wake_only_nodes_with_items(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         runner = fleet.nodes["n0"]._runner
@@ -206,8 +206,8 @@
             wakeup.set.assert_called_once_with()
 
 
-class GivingWayTest(unittest.TestCase):
-    def test_an_item_of_another_zone_gives_way_before_its_digest_tells_of_the_request(self):
+class RemotePreemptionTest(unittest.TestCase):
+    def test_an_item_of_another_zone_is_preempted_before_the_next_digest(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         for module in ("load_reports", "zone_digests"):
@@ -231,7 +231,7 @@
         self.assertFalse(fleet.events("n1", Event.ROUTED_JOB_CLAIMED))
 
 
-class StoreTroubleTest(JobCase):
+class StoreFailureTest(JobCase):
     def test_lost_answers_move_no_position(self):
         self.submit("n0", "j")
         self.fleet.topics.lost_answers = 3
@@ -248,7 +248,7 @@
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
-    def test_acceptance_that_is_done_late(self):
+    def test_acceptance_that_takes_effect_late(self):
         # The bodies are stored first; their append is not late here.
         original = self.fleet.topics.append
         delayed = []
@@ -277,7 +277,7 @@
         answer = self.fleet.request("n2", "/api/items/k?id=k-2", method="GET")
         self.assertEqual((answer.status, answer.body), (200, b"body 2"))
 
-    def test_results_that_were_read_here_are_told_while_the_store_is_down(self):
+    def test_cached_results_are_served_while_the_store_is_down(self):
         self.submit("n0", "j")
         results = self.results("n1", "j")
         for node in ("n0", "n1"):
@@ -309,7 +309,7 @@
         self.assertEqual(len(self.runs()), 6)
 
 
-class NodeTroubleTest(JobCase):
+class NodeFailureTest(JobCase):
     nodes = 3
 
     def test_jobs_of_a_dead_node_are_taken_over(self):
@@ -324,7 +324,7 @@
             self.assertEqual(one["text"], whole_text(one["id"], 200))
         self.assertEqual(self.results("n2", "j"), results)
 
-    def test_items_of_a_leaving_node_end_there_and_those_that_wait_go_elsewhere(self):
+    def test_running_items_of_a_draining_node_finish_there_and_waiting_ones_move(self):
         self.usual(pause=0.05, events=40)
         self.submit("n0", "j", items=12)
         wait_until(lambda: sum(one.running for one in self.fleet.engines) >= 4)
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -55,17 +55,17 @@
         self.clock.now += after
         return claims._should_claim(self.job)
 
-    def test_own_jobs_of_this_life_are_kept(self):
+    def test_own_jobs_of_this_incarnation_are_kept(self):
         self.assertFalse(self.should_claim("n0", 1))
 
-    def test_own_jobs_of_a_former_life_are_claimed_at_once(self):
+    def test_own_jobs_of_an_earlier_incarnation_are_claimed_at_once(self):
         self.assertTrue(self.should_claim("n0", 2, after=0.0))
 
-    def test_jobs_of_others_wait_until_others_can_have_been_heard(self):
+    def test_jobs_of_others_are_not_claimed_before_peers_can_have_reported(self):
         self.assertFalse(self.should_claim("n1", after=CLAIM_AFTER_START / 2))
         self.assertTrue(self.should_claim("n1"))
 
-    def test_jobs_wait_longer_while_it_is_not_known_who_lives_in_another_zone(self):
+    def test_jobs_wait_longer_while_the_members_of_a_zone_are_unknown(self):
         heard = mock.Mock(return_value=False)
         self.assertFalse(self.should_claim("n1", heard_all=heard))
         self.assertTrue(self.should_claim("n1", after=ALL_HEARD_AFTER, heard_all=heard))
@@ -75,7 +75,7 @@
         report = LoadReport(node_id="n0", incarnation=1, sequence=1)
         self.assertFalse(self.should_claim("n1", reports=[report]))
 
-    def test_another_life_of_the_node_does_not_work_on_them(self):
+    def test_another_incarnation_of_the_node_does_not_work_on_them(self):
         report = LoadReport(node_id="n0", incarnation=5, sequence=1)
         nodes = ["n0", "n1"]
         self.assertIn(PeerView("n1").successor("j", self_works=True), nodes)
--- a/tests/test_item_attempts.py
+++ b/tests/test_item_attempts.py
@@ -10,7 +10,7 @@
 from postvalve.gateway.jobs.running_item import RunningItem
 
 
-class GivesWayEarlyTest(unittest.TestCase):
+class PreemptedBeforeSendTest(unittest.TestCase):
     def setUp(self):
         self.events, self.fleet, self.pool = mock.Mock(), mock.Mock(), mock.Mock()
         self.fleet.takes_work.return_value = True
@@ -58,7 +58,7 @@
         self.fleet.note_failure.assert_not_called()
         self.assertFalse(self.item.running)
 
-    def test_it_says_nothing_of_the_engines_pace(self):
+    def test_it_adds_no_sample_to_the_engines_pace(self):
         """The times of its former attempt are another engine's."""
         self.pool.start = self.start
         self.attempts.run(self.item, self.placement)
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -36,7 +36,7 @@
         st.lists(st.lists(st.integers(0, 50), max_size=10), min_size=1, max_size=5),
         st.integers(0, 20),
     )
-    def test_nodes_with_one_view_start_no_more_than_fit(self, nodes, room):
+    def test_nodes_with_the_same_view_start_no_more_than_the_free_slots(self, nodes, room):
         """Against a naive version that orders all items in one list."""
         # Items of one node with one due time are one group, and ties go to all.
         distinct = [sorted(due * 10 + number for due in one) for number, one in enumerate(nodes)]
@@ -63,44 +63,44 @@
         self.assertTrue(is_pressing(20_000, 0, 5.0, 2.0))
         self.assertFalse(is_pressing(4_000, 0, 5.0, 2.0))
 
-    def test_all_are_pressing_before_it_is_known_how_long_items_run(self):
+    def test_all_items_are_pressing_while_their_duration_is_unknown(self):
         self.assertTrue(is_pressing(1_000, 0, 0.0, 0.0))
 
-    def test_items_that_have_time_leave_more_room(self):
+    def test_items_that_are_not_pressing_leave_more_headroom(self):
         use = EngineUse()
         self.assertEqual(use.batch_room("e", 8, pressing=True), 7)
         self.assertEqual(use.batch_room("e", 8, pressing=False), 5)
 
 
-class VictimTest(unittest.TestCase):
+class VictimSelectorTest(unittest.TestCase):
     def setUp(self):
         self.victims = VictimChooser()
 
-    def test_the_least_urgent_are_told_once(self):
+    def test_the_least_urgent_are_notified_once(self):
         running = [(10, "a"), (50, "b"), (40, "a")]
         self.assertEqual(self.victims.choose(1, running, 2, 0.0), [(50, "b"), (40, "a")])
         self.assertEqual(self.victims.choose(1, running, 2, 0.1), [])
         # One has left the reports, and one more should give way.
         self.assertEqual(self.victims.choose(1, [(10, "a"), (40, "a")], 2, 0.2), [(10, "a")])
 
-    def test_equal_items_of_one_node_are_told_one_by_one(self):
+    def test_equal_items_of_one_node_are_notified_separately(self):
         running = [(50, "b")] * 3
         self.assertEqual(len(self.victims.choose(1, running, 1, 0.0)), 1)
         self.assertEqual(len(self.victims.choose(1, running, 3, 0.1)), 2)
 
-    def test_an_item_that_stays_is_told_again(self):
+    def test_an_item_that_keeps_running_is_notified_again(self):
         running = [(50, "b")]
         self.victims.choose(1, running, 1, 0.0)
         self.assertEqual(self.victims.choose(1, running, 1, TOLD_TIME + 0.01), running)
 
-    def test_engines_are_apart_and_no_excess_tells_nobody(self):
+    def test_engines_are_independent_and_no_excess_notifies_nobody(self):
         self.assertEqual(self.victims.choose(1, [(5, "a")], 0, 0.0), [])
         self.victims.choose(1, [(5, "a")], 1, 0.0)
         self.assertEqual(self.victims.choose(2, [(5, "a")], 1, 0.0), [(5, "a")])
 
 
-class GivingWayTest(unittest.TestCase):
-    def test_the_least_urgent_of_all_nodes_give_way(self):
+class PreemptionCountTest(unittest.TestCase):
+    def test_the_least_urgent_of_all_nodes_are_preempted(self):
         others = [(50, "b"), (10, "c")]
         self.assertEqual(giving_way("a", [40, 60, 20], others, 0), 0)
         self.assertEqual(giving_way("a", [40, 60, 20], others, 1), 1)
@@ -113,7 +113,7 @@
         st.integers(-2, 20),
         st.lists(st.integers(0, 5), max_size=6),
     )
-    def test_nodes_stop_the_excess_among_them_whatever_their_order(self, nodes, excess, order):
+    def test_nodes_together_stop_the_excess_in_any_order(self, nodes, excess, order):
         """Against one list of all items; nodes hear of each other's stops only afterwards."""
         views = {}
         for number in range(len(nodes)):
@@ -140,20 +140,20 @@
 
 class WaitingGroupsTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.integers(0, 2**64 - 1), st.integers(0, 0xFFFF))))
-    def test_groups_come_back(self, groups):
+    def test_groups_round_trip(self, groups):
         self.assertEqual(decode_groups(encode_groups(groups)), groups)
 
-    def test_more_items_than_a_report_can_tell_and_cut_reports(self):
+    def test_counts_are_clamped_and_truncated_reports_are_decoded(self):
         data = encode_groups([(5, 1 << 30), (6, 1)])
         self.assertEqual(decode_groups(data[:-1]), [(5, 0xFFFF)])
 
 
 class UrgencyTest(unittest.TestCase):
-    def test_what_would_be_late_anyhow_ranks_behind(self):
+    def test_items_that_would_be_late_anyway_rank_behind(self):
         self.assertEqual(urgency(20_000, 10_000, 9.0), 20_000)
         self.assertEqual(urgency(20_000, 10_000, 11.0), 20_000 + HOPELESS_PENALTY_MS)
 
-    def test_estimates_follow_the_items_that_ended(self):
+    def test_estimates_follow_the_finished_items(self):
         estimate = DurationEstimate()
         self.assertEqual(estimate.seconds_left(1000, 0.0), 0.0)
         estimate.observe(5.0, 1000)
--- a/tests/test_item_heaps.py
+++ b/tests/test_item_heaps.py
@@ -18,7 +18,7 @@
 from postvalve.core.batch.item_shares import ItemShares
 
 SLOTS = 8
-LULL, HEAP = (3.4, 0.383), (2.4, 1.87)
+PAUSE, BURST = (3.4, 0.383), (2.4, 1.87)
 """Seconds, and times the mean rate."""
 ONLINE_HOLD, ITEM_RUN, DUE = 0.75, 5.0, 18.0
 TOKENS = 2_000
@@ -29,7 +29,7 @@
 VIEW_AGE = 0.1
 
 
-class Play:
+class BurstSimulation:
     """Engines of one zone under that load, looked at every 20 ms."""
 
     def __init__(self, engines, online_rate, job_rate, *, known=True, seed=1):
@@ -43,8 +43,8 @@
             peer.observe(ITEM_RUN, TOKENS)
             self.estimate.hear([peer.pack()])
         self.waiting, self.running, self.online_ends = [], {life: [] for life in self.lives}, []
-        self.looked_at = -VIEW_AGE
-        self.cuts, self.ended, self.late = 0, 0, 0
+        self.view_at = -VIEW_AGE
+        self.preempted, self.ended, self.late = 0, 0, 0
 
     def run(self, seconds):
         for number in range(round(seconds / STEP)):
@@ -66,8 +66,8 @@
                 self.late += self.now > item["due"]
 
     def arrive(self):
-        phase = self.now % (LULL[0] + HEAP[0])
-        times = (LULL if phase < LULL[0] else HEAP)[1]
+        phase = self.now % (PAUSE[0] + BURST[0])
+        times = (PAUSE if phase < PAUSE[0] else BURST)[1]
         if self.random.random() < self.rates[1] * STEP:
             self.waiting += self.job()
         for _ in range(self.count(self.rates[0] * times * STEP)):
@@ -76,7 +76,7 @@
             self.use.enter(life, batch=False)
             heapq.heappush(self.online_ends, (self.now + ONLINE_HOLD, life))
             for _ in range(self.use.excess(life, SLOTS)):
-                self.cut(life)
+                self.preempt(life)
 
     def job(self):
         return [{"due": self.now + DUE, "left": ITEM_RUN} for _ in range(10)]
@@ -89,20 +89,20 @@
         whole = int(mean)
         return whole + (self.random.random() < mean - whole)
 
-    def cut(self, life):
+    def preempt(self, life):
         item = max(self.running[life], key=self.order)
         self.running[life].remove(item)
         self.use.leave(life, batch=True)
         item["left"] -= self.now - item.pop("begun")
         self.waiting.append(item)
-        self.cuts += 1
+        self.preempted += 1
 
     def start(self):
         """Start as a node does that hears of the others' requests a tenth of a second late."""
         self.waiting.sort(key=self.order)
         for pressing in (True, False):
-            if self.now >= self.looked_at + VIEW_AGE:
-                self.look()
+            if self.now >= self.view_at + VIEW_AGE:
+                self.refresh_view()
             rooms = self.rooms[pressing]
             for item in [one for one in self.waiting if self.is_pressing(one) == pressing]:
                 life = max(rooms, key=lambda one: rooms[one])
@@ -111,8 +111,8 @@
                     self.rooms[False][life] -= 1
                     self.begin(item, life)
 
-    def look(self):
-        self.looked_at = self.now
+    def refresh_view(self):
+        self.view_at = self.now
         self.rooms = {
             pressing: {
                 life: self.use.batch_room(life, SLOTS, pressing=pressing) for life in self.lives
@@ -132,12 +132,12 @@
         self.use.enter(life, batch=True)
 
 
-class SharesPlay(Play):
+class ShareBurstSimulation(BurstSimulation):
     """Tenants that compete; `keeps_begun` tells whether items that have begun are told apart."""
 
-    def __init__(self, *arguments, keeps_begun, **how):
+    def __init__(self, *arguments, prefers_begun, **how):
         super().__init__(*arguments, **how)
-        self.keeps_begun = keeps_begun
+        self.prefers_begun = prefers_begun
         self.shares = ItemShares({})
         self.jobs = 0
 
@@ -154,7 +154,7 @@
         left = self.estimate.seconds_left(TOKENS, done)
         soon = runs and self.estimate.nearly_ended(TOKENS, done)
         tag = self.shares.tag(item["job"], item["idx"])
-        rank = ShareRank(0, tag, self.keeps_begun and done > FIRST_EVENT, soon)
+        rank = ShareRank(0, tag, self.prefers_begun and done > FIRST_EVENT, soon)
         return share_urgency(rank, int(item["due"] * 1000), int(self.now * 1000), left)
 
     def end(self):
@@ -168,31 +168,32 @@
                         self.shares.ended(item["job"], item["idx"], ran=True)
 
 
-class HeapTest(unittest.TestCase):
-    def cuts_and_ends(self, **how):
-        plays = [Play(30, 140, 1.3, seed=seed, **how).run(46) for seed in range(3)]
-        return sum(one.cuts for one in plays), sum(one.ended for one in plays)
+class BurstTest(unittest.TestCase):
+    def counts(self, **how):
+        simulations = [BurstSimulation(30, 140, 1.3, seed=seed, **how).run(46) for seed in range(3)]
+        return sum(one.preempted for one in simulations), sum(one.ended for one in simulations)
 
-    def test_fewer_are_cut_where_peers_tell_how_long_items_run(self):
+    def test_fewer_are_preempted_when_peers_report_item_durations(self):
         """A node where none has ended takes all for pressing, and these leave no room to a heap.
 
         Cut and ended in three plays of 46 s: 1,339 and 1,527 without, 1,152 and 1,539 with.
         """
-        cuts, ended = self.cuts_and_ends(known=True)
-        blind_cuts, blind_ended = self.cuts_and_ends(known=False)
-        self.assertLess(cuts, blind_cuts)
+        preempted, ended = self.counts(known=True)
+        blind_preempted, blind_ended = self.counts(known=False)
+        self.assertLess(preempted, blind_preempted)
         self.assertGreaterEqual(ended, blind_ended)
 
-    def test_what_has_begun_is_not_lost_for_another_tenants_item(self):
+    def test_begun_items_are_not_preempted_for_another_tenant(self):
         """Tenants that send more than gets done, by shares: 878 items end in time instead of 822.
 
         Guards against runs that are cut for an item whose tenant is further back: most of them end
         too late afterwards, and what they ran is lost.
         """
-        kept, lost = (
-            SharesPlay(30, 140, 3.6, seed=0, keeps_begun=keeps).run(46) for keeps in (True, False)
+        preferred, plain = (
+            ShareBurstSimulation(30, 140, 3.6, seed=0, prefers_begun=keeps).run(46)
+            for keeps in (True, False)
         )
-        self.assertGreater(kept.ended - kept.late, 1.03 * (lost.ended - lost.late))
+        self.assertGreater(preferred.ended - preferred.late, 1.03 * (plain.ended - plain.late))
 
 
 if __name__ == "__main__":
--- a/tests/test_item_preemption.py
+++ b/tests/test_item_preemption.py
@@ -37,44 +37,44 @@
             self.assertEqual(item.answer.abort.called, item.preempted)
         return [item.index for item in self.items if item.preempted]
 
-    def tell(self, urgency, engine="e0"):
+    def notify(self, urgency, engine="e0"):
         self.preemption.stop_one(engine_hash(engine), urgency)
 
-    def test_each_word_of_a_peer_stops_one_item(self):
+    def test_each_notice_of_a_peer_stops_one_item(self):
         self.items = [running(0, 50), running(1, 50, events=3), running(2, 40)]
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(self.stopped(), [0])
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(self.stopped(), [0, 1])
 
     def test_nothing_stops_where_all_are_more_urgent(self):
         self.items = [running(0, 40)]
-        self.tell(50)
-        self.tell(40, engine="e1")
+        self.notify(50)
+        self.notify(40, engine="e1")
         self.assertEqual(self.stopped(), [])
 
-    def test_an_item_that_gives_way_already_is_the_one_that_was_meant(self):
+    def test_a_notice_refers_to_an_item_already_being_stopped(self):
         self.items = [running(0, 50), running(1, 50)]
         self.excess = 1
         self.preemption.look()
         self.assertEqual(len(self.stopped()), 1)
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(len(self.stopped()), 1)
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(len(self.stopped()), 2)
 
-    def test_an_item_that_the_own_look_stopped_is_told_late(self):
+    def test_a_late_notice_about_an_item_stopped_locally_is_ignored(self):
         """The peer that watches over the engine has seen the same excess: one goes for it."""
         self.items = [running(0, 50, events=1), running(1, 50)]
         self.excess = 1
         self.preemption.look()
         self.items[1].running = False
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(self.stopped(), [1])
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(self.stopped(), [0, 1])
 
-    def test_a_word_of_the_next_excess_stops_an_item(self):
+    def test_a_notice_about_the_next_excess_stops_an_item(self):
         """A word about the excess that the own look saw comes as fast as datagrams do; one that
         comes later is about another online request, which would wait until it is said again."""
         self.items = [running(0, 50), running(1, 50)]
@@ -83,10 +83,10 @@
         stopped = next(one for one in self.items if one.preempted)
         stopped.running = False
         self.now += 0.2
-        self.tell(50)
+        self.notify(50)
         self.assertEqual(self.stopped(), [0, 1])
 
-    def test_a_word_about_another_engine_or_much_later_stops_an_item(self):
+    def test_a_notice_about_another_engine_or_much_later_stops_an_item(self):
         for engine, later in (("e1", 0.0), ("e0", TOLD_TIME)):
             self.items = [running(0, 50)]
             self.excess = 1
@@ -94,17 +94,17 @@
             self.items[0].running = False
             self.items.append(running(1, 50, engine=engine))
             self.now += later
-            self.tell(50, engine=engine)
+            self.notify(50, engine=engine)
             self.assertEqual(sum(one.preempted for one in self.items if one.running), 1)
 
-    def test_the_own_look_counts_what_gives_way_already(self):
+    def test_the_local_check_counts_items_already_being_stopped(self):
         self.items = [running(0, 50), running(1, 40), running(2, 30)]
         self.excess = 2
-        self.tell(50)
+        self.notify(50)
         self.preemption.look()
         self.assertEqual(self.stopped(), [0, 1])
 
-    def test_less_urgent_items_of_peers_go_first(self):
+    def test_less_urgent_items_of_peers_are_stopped_first(self):
         self.items = [running(0, 50)]
         self.peers.observe("n1", encode_running([(engine_hash("e0"), 90)]))
         self.excess = 1
--- a/tests/test_item_progress.py
+++ b/tests/test_item_progress.py
@@ -50,24 +50,24 @@
     def seconds_run(self, now):
         return 1.5
 
-    def give(self, count):
+    def add_events(self, count):
         first = (self.last_event_id or 0) + 1
         self.events += [b"part %d" % number for number in range(first, first + count)]
         self.last_event_id = first + count - 1
 
 
-class LateTopics(MemoryTopics):
+class DelayedTopics(MemoryTopics):
     """Appends that go as a test says, and are done late when it says so."""
 
     def __init__(self):
         super().__init__()
         self.next = "done"
-        self.late = []
+        self.delayed = []
 
     def append(self, topic, part, records, at=None):
         outcome, self.next = self.next, "done"
         if outcome == "late":
-            self.late.append((topic, part, records))
+            self.delayed.append((topic, part, records))
         if outcome in ("done", "lost"):
             offset = self._append(topic, part, records, at)
         if outcome == "done":
@@ -75,10 +75,10 @@
         verdict = Verdict.NOT_RUN if outcome == "refused" else Verdict.MAY_HAVE_RUN
         raise StoreUnavailableError("no answer", verdict)
 
-    def do_late(self):
-        for topic, part, records in self.late:
+    def apply_delayed(self):
+        for topic, part, records in self.delayed:
             self._append(topic, part, records, None)
-        self.late.clear()
+        self.delayed.clear()
 
 
 def progress_log(topics, items, call_bytes=2_097_152):
@@ -99,13 +99,13 @@
 
 class ProgressLogTest(unittest.TestCase):
     def setUp(self):
-        self.topics = LateTopics()
+        self.topics = DelayedTopics()
         self.items = [Item(), Item(index=1)]
         self.log = progress_log(self.topics, self.items)
 
     def test_what_was_saved_is_restored(self):
         for count in (LEAST_EVENTS, 3, LEAST_EVENTS + 1):
-            self.items[0].give(count)
+            self.items[0].add_events(count)
             self.log.save()
         saved = self.log.restore(job())
         self.assertEqual(list(saved.items), [0])
@@ -116,7 +116,7 @@
     def test_items_of_another_job_with_a_longer_id_are_left_out(self):
         self.items[1].job_id = "j2"
         for item in self.items:
-            item.give(20)
+            item.add_events(20)
         self.log.save()
         self.assertEqual(len(self.log.restore(job()).keys), 1)
 
@@ -124,12 +124,12 @@
         items = [Item(index=number) for number in range(60)]
         log = progress_log(self.topics, items, call_bytes=8_192 + 600)
         for item in items:
-            item.give(40)
+            item.add_events(40)
         log.save()
         self.assertEqual(len(log.restore(job()).items), 60)
 
     def test_ended_items_leave_nothing(self):
-        self.items[0].give(20)
+        self.items[0].add_events(20)
         self.log.save()
         self.log.forget(self.items.pop(0))
         self.log.save()
@@ -137,7 +137,7 @@
 
     def test_an_item_that_ends_while_it_is_saved_leaves_nothing(self):
         item = self.items[0]
-        item.give(20)
+        item.add_events(20)
         original = self.topics.append
 
         def append(*arguments):
@@ -151,14 +151,14 @@
         self.log.save()
         self.assertEqual(self.log.restore(job()).keys, [])
 
-    def test_a_store_that_does_not_answer_is_waited_for_only_so_long(self):
+    def test_restoring_from_a_silent_store_times_out(self):
         self.topics.down = True
         self.assertEqual(self.log.restore(job()).items, {})
 
     def test_a_sweep_drops_what_belongs_to_no_open_job(self):
         self.items[1].job_id = "gone"
         for item in self.items:
-            item.give(20)
+            item.add_events(20)
         self.log.save()
         self.items.clear()
         self.log.sweep({"j"})
@@ -178,23 +178,23 @@
             max_size=25,
         )
     )
-    def test_whatever_the_store_does_a_true_beginning_is_restored(self, steps):
-        topics = LateTopics()
+    def test_a_prefix_of_the_item_is_restored_whatever_the_store_does(self, steps):
+        topics = DelayedTopics()
         item = Item()
         log = progress_log(topics, [item])
-        surely_saved = 0
+        acknowledged_id = 0
         for count, outcome in steps:
-            item.give(count)
+            item.add_events(count)
             if outcome == "wake":
-                topics.do_late()
+                topics.apply_delayed()
             else:
                 topics.next = outcome
             log.save()
             topics.next = "done"
-            surely_saved = max(surely_saved, item.chain.saved_id)
+            acknowledged_id = max(acknowledged_id, item.chain.saved_id)
             saved = log.restore(job()).items.get(0)
             known = saved.last_event_id if saved else 0
-            self.assertGreaterEqual(known, surely_saved)
+            self.assertGreaterEqual(known, acknowledged_id)
             expected = b"\n".join(item.events[:known])
             self.assertEqual(text_of(saved) if saved else b"", expected)
 
@@ -211,7 +211,7 @@
         self.assertEqual(assemble(records).items[0].last_event_id, 9)
         self.assertEqual(assemble(records[1:]).items, {})
 
-    def test_segments_that_do_not_follow_are_left_out(self):
+    def test_segments_that_do_not_follow_are_ignored(self):
         records = [self.segment("a", 0, 0, 9), self.segment("a", 1, 11, 20)]
         self.assertEqual(assemble(records).items[0].last_event_id, 9)
 
@@ -223,7 +223,7 @@
         ]
         self.assertEqual(assemble(records).items[0].last_event_id, 12)
 
-    def test_what_can_not_be_read_is_left_out(self):
+    def test_unreadable_segments_are_ignored(self):
         records = [("j/x/a/0", b""), ("j", b""), (segment_key("j", 0, "a", 0), b"\xff\xff")]
         saved = assemble(records)
         self.assertEqual((saved.items, len(saved.keys)), ({}, 3))
@@ -232,7 +232,7 @@
 class TakeoverTest(JobCase):
     nodes = 3
 
-    def test_items_of_a_dead_node_go_on_after_their_saved_events(self):
+    def test_items_of_a_dead_node_resume_after_their_saved_events(self):
         self.usual(pause=0.02, events=400)
         self.submit("n0", "j")
         saved = self.fleet.topics
--- a/tests/test_item_runner.py
+++ b/tests/test_item_runner.py
@@ -9,7 +9,7 @@
 ITEMS = 200
 
 
-class LookCostTest(unittest.TestCase):
+class PassCostTest(unittest.TestCase):
     def setUp(self):
         names = ["identity", "clock", "events", "log", "jobs", "fleet", "pool", "dialect", "peers"]
         names += ["reports", "ends", "progress", "metrics", "route_named", "quarantine"]
@@ -31,12 +31,12 @@
             is_pressing=mock.Mock(side_effect=lambda item, queue: item.index % 2 == 0),
         )
 
-    def test_a_look_works_out_each_urgency_once(self):
+    def test_a_pass_computes_each_urgency_once(self):
         """It asks several times a tenth of a second; by shares each costs some microseconds."""
         self.runner._start_items()
         self.assertEqual(self.runner.urgency.of.call_count, ITEMS)
 
-    def test_a_report_works_out_each_urgency_once(self):
+    def test_a_report_computes_each_urgency_once(self):
         due = self.runner.waiting_due()
         self.assertEqual(due, sorted(200_000 - index for index in range(ITEMS)))
         self.assertEqual(self.runner.urgency.of.call_count, ITEMS)
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -86,7 +86,7 @@
 )
 
 
-def played(moves):
+def simulate_log(moves):
     log = Log({"ann": 1.0, "bob": 2.0})
     for number, (move, draw) in enumerate(moves):
         chance = random.Random(draw)
@@ -103,9 +103,9 @@
 class SameOrderTest(unittest.TestCase):
     @settings(deadline=None)
     @given(steps, st.integers(0, 60))
-    def test_nodes_that_have_read_the_same_log_have_one_order(self, moves, cut):
+    def test_nodes_that_have_read_the_same_log_have_the_same_order(self, moves, cut):
         """One that reads it at once, and one that reads it in two parts."""
-        log = played(moves)
+        log = simulate_log(moves)
         late = JobBoard(log.weights)
         for record in [*log.records[:cut], *log.records]:
             late.observe(*record)
@@ -114,21 +114,21 @@
 
     @settings(deadline=None)
     @given(steps)
-    def test_a_node_that_starts_after_old_jobs_were_dropped_places_new_ones_alike(self, moves):
-        log = played(moves)
+    def test_a_node_started_after_old_jobs_were_dropped_tags_new_ones_alike(self, moves):
+        log = simulate_log(moves)
         log.accept("new", "dora", [(0, 100)])
         closed = {one for one, job in log.board.jobs.items() if not job.open}
         started = log.replay(closed)
         self.assertEqual(started.shares.tag("new", 0), log.board.shares.tag("new", 0))
         self.assertEqual(started.shares.clock, log.board.shares.clock)
 
-    def test_items_of_one_tenant_stand_by_due_time(self):
+    def test_items_of_one_tenant_are_ordered_by_due_time(self):
         log = Log()
         log.accept("late", "ann", [(0, 100), (1, 100)], due=20)
         log.accept("soon", "ann", [(0, 100)], due=10)
         self.assertEqual([one[1] for one in waiting(log.board)], ["soon", "late", "late"])
 
-    def test_a_node_of_an_earlier_build_tells_no_clock(self):
+    def test_a_record_of_an_earlier_build_has_no_clock(self):
         shares = ItemShares({})
         shares.accepted("a", "ann", 5_000, 0, [100])
         shares.accepted("b", "bob", 0, 0, [100])
@@ -144,7 +144,7 @@
         st.integers(1, 8),
         st.integers(0, 1_000),
     )
-    def test_two_that_wait_get_no_further_apart_than_a_step_and_one_item_of_each(
+    def test_two_backlogged_tenants_differ_by_at_most_a_step_and_one_item_each(
         self, ann, bob, weight, slots, seed
     ):
         """Whatever the order in which items end: tokens started for the weight, of ann and bob."""
@@ -170,7 +170,7 @@
             # One more for the tags of a report, which are whole tokens.
             self.assertLessEqual(abs(started["a"] - started["b"]), bound + 1)
 
-    def test_nothing_starves_while_others_keep_coming(self):
+    def test_no_item_starves_while_others_keep_arriving(self):
         """Also beside tenants that nobody has heard of: these are equals, and go by due time."""
         log = Log()
         log.accept("one", "ann", [(0, 15_000)], due=20_000)
@@ -194,14 +194,14 @@
         first = [one[1] for one in waiting(log.board)[:110]]
         self.assertEqual(sum(one.startswith("big") for one in first), 10)
 
-    def test_what_one_leaves_is_the_others_at_once(self):
+    def test_unused_capacity_goes_to_other_tenants_at_once(self):
         log = Log()
         log.accept("a", "ann", [(0, 1_500)])
         log.accept("b", "bob", [(one, 1_500) for one in range(5)])
         log.end("a", 0)
         self.assertEqual([one[1] for one in waiting(log.board)], ["b"] * 5)
 
-    def test_who_sent_nothing_for_a_while_saves_nothing_up(self):
+    def test_an_idle_tenant_accumulates_no_credit(self):
         log = Log()
         log.accept("b", "bob", [(one, 1_000) for one in range(50)])
         for index in range(40):
@@ -210,7 +210,7 @@
         ann = [log.board.shares.tag("a", index) for index in range(2)]
         self.assertEqual(ann, [39_000, 40_000])
 
-    def test_what_was_cancelled_is_not_counted(self):
+    def test_cancelled_items_are_not_charged(self):
         log = Log()
         log.accept("a", "ann", [(one, 1_000) for one in range(50)])
         log.accept("later", "ann", [(0, 1_000)])
@@ -218,13 +218,13 @@
         log.cancel("a")
         self.assertEqual(log.board.shares.tag("later", 0), 1_000)
 
-    def test_items_that_were_given_up_move_nobody_back(self):
+    def test_items_given_up_do_not_advance_the_clock(self):
         log = Log()
         log.accept("a", "ann", [(one, 1_000) for one in range(50)])
         log.end("a", 49, ItemState.DEAD)
         self.assertEqual(log.board.shares.clock, 0)
 
-    def test_other_weights_let_tenants_go_on_side_by_side(self):
+    def test_changed_weights_apply_from_the_present_clock(self):
         shares = ItemShares({})
         shares.accepted("a", "ann", 0, 0, [1_000] * 5)
         shares.accepted("b", "bob", 0, 0, [1_000] * 5)
@@ -236,7 +236,7 @@
     def rank(self, tag, due=20_000, priority=0, left=1.0):
         return share_urgency(ShareRank(priority, tag), due, 10_000, left)
 
-    def test_what_goes_before_what(self):
+    def test_order_of_the_sort_key(self):
         """Hopeless ones last; then priority, share, due time."""
         ordered = [
             self.rank(0),
@@ -248,7 +248,7 @@
         self.assertEqual(ordered, sorted(ordered))
         self.assertEqual(len(set(ordered)), len(ordered))
 
-    def test_one_that_is_late_for_long_waits_no_longer_behind_all_others(self):
+    def test_an_item_overdue_for_long_no_longer_ranks_last(self):
         """Else a tenant's late items never start while another sends more than there is room for;
         by due time they do after the same time."""
         due = 20_000
@@ -271,25 +271,25 @@
         self.assertEqual([one // 64 for one in by_share], [one // 64 for one in by_due])
 
 
-class ToldEstimateTest(unittest.TestCase):
-    def test_a_node_where_no_item_ended_goes_by_what_peers_tell(self):
+class ReportedEstimateTest(unittest.TestCase):
+    def test_a_node_without_finished_items_uses_the_peers_estimates(self):
         """Else all its items press, and start beside a heap that cuts them at once."""
-        learnt = []
+        estimates = []
         for seconds in (4.0, 5.0, 60.0):
-            learnt.append(DurationEstimate())
-            learnt[-1].observe(seconds, 1_000)
+            estimates.append(DurationEstimate())
+            estimates[-1].observe(seconds, 1_000)
         new = DurationEstimate()
         new.hear([b"", b"\x00"])
         self.assertEqual(new.seconds_left(1_000, 0.0), 0.0)
-        new.hear([one.pack() for one in learnt])
+        new.hear([one.pack() for one in estimates])
         self.assertAlmostEqual(new.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(new.pack(), b"")
         zone = DurationEstimate()
-        zone.hear([merge_paces([one.pack() for one in learnt] + [b""])])
+        zone.hear([merge_paces([one.pack() for one in estimates] + [b""])])
         self.assertAlmostEqual(zone.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(merge_paces([b""]), b"")
 
-    def test_what_ended_here_goes_before_what_peers_tell(self):
+    def test_own_measurements_take_precedence_over_reported_ones(self):
         estimate, other = DurationEstimate(), DurationEstimate()
         estimate.observe(2.0, 1_000)
         other.observe(9.0, 1_000)
--- a/tests/test_job_board.py
+++ b/tests/test_job_board.py
@@ -81,7 +81,7 @@
         self.assertFalse(job.open)
         self.assertEqual(job.waiting_tokens, 0)
 
-    def test_of_two_claims_of_one_the_first_counts(self):
+    def test_the_first_of_two_competing_claims_counts(self):
         self.topic.add(RecordKind.CLAIM, claimed("c1", "c0", "n1"), "j", "c1")
         self.topic.add(RecordKind.CLAIM, claimed("c2", "c0", "n2"), "j", "c2")
         self.assertEqual(self.board().jobs["j"].node_id, "n1")
@@ -109,14 +109,14 @@
         self.assertEqual(board.expired(100_000, 30_000), [board.jobs["j"]])
         self.assertEqual(board.expired(80_000, 30_000), [])
 
-    def test_unreadable_records_are_passed_over_and_told(self):
+    def test_unreadable_records_are_skipped_and_reported(self):
         board = self.board()
         board.observe(5, "item/j/1/a", b"\xff\xff\xff")
         board.observe(6, "unknown/j", b"x")
         self.assertTrue(board.jobs["j"].open)
         self.assertEqual(board.unreadable, ["item/j/1/a"])
 
-    def test_acceptances_in_another_form_are_told(self):
+    def test_acceptances_in_another_form_are_reported(self):
         board = JobBoard()
         former = accepted()
         for offset, form in enumerate(range(JOB_FORM)):
@@ -124,7 +124,7 @@
             board.observe(offset, "accept/j/c0", bytes(former))
         self.assertEqual((board.jobs, board.unreadable), ({}, ["accept/j/c0"] * JOB_FORM))
 
-    def test_every_claim_is_remembered(self):
+    def test_every_effective_claim_is_recorded(self):
         self.topic.add(RecordKind.CLAIM, claimed("c1", "c0", "n1"), "j", "c1")
         self.topic.add(RecordKind.CLAIM, claimed("c9", "c0", "n2"), "j", "c9")
         job = self.board().jobs["j"]
@@ -147,22 +147,22 @@
     )
 
     @given(ends)
-    def test_an_end_comes_back_as_it_was(self, end):
+    def test_an_end_round_trips(self, end):
         self.assertEqual(unpack_end(end.pack()), end)
 
     @given(ends, st.data())
-    def test_a_cut_end_is_none(self, end, data):
+    def test_a_truncated_end_is_rejected(self, end, data):
         whole = end.pack()
         size = data.draw(st.integers(0, len(whole) - 1))
         with self.assertRaises(ItemEndError):
             unpack_end(whole[:size])
 
     @given(st.binary(max_size=120))
-    def test_other_bytes_are_none_or_an_end(self, data):
+    def test_arbitrary_bytes_are_rejected_or_round_trip(self, data):
         with contextlib.suppress(ItemEndError):
             self.assertEqual(unpack_end(data).pack(), data)
 
-    def test_an_unknown_state_is_none(self):
+    def test_an_unknown_state_is_rejected(self):
         whole = bytearray(ended(1).pack())
         whole[2] = 7
         with self.assertRaises(ItemEndError):
@@ -179,11 +179,11 @@
     ).map(tuple)
 
     @given(items)
-    def test_a_table_comes_back_as_it_was(self, items):
+    def test_a_table_round_trips(self, items):
         self.assertEqual(unpack_items(pack_items(items)), items)
 
     @given(items, st.integers(1, 50))
-    def test_a_cut_table_is_none_or_shorter(self, items, missing):
+    def test_a_truncated_table_is_rejected_or_shorter(self, items, missing):
         data = pack_items(items)
         with contextlib.suppress(JobItemsError):
             read = unpack_items(data[: max(0, len(data) - missing)])
@@ -191,16 +191,16 @@
             self.assertLess(len(read), max(1, len(items)))
 
     @given(st.binary(max_size=100))
-    def test_other_bytes_raise_nothing_else(self, data):
+    def test_arbitrary_bytes_raise_no_other_error(self, data):
         with contextlib.suppress(JobItemsError):
             unpack_items(data)
 
 
-class NewestTest(unittest.TestCase):
+class NewestRecordsTest(unittest.TestCase):
     """A reader of the newest records sees the positions that a follower saw."""
 
     @given(st.lists(st.tuples(st.integers(0, ITEMS - 1), st.booleans()), max_size=12))
-    def test_positions_are_alike(self, ends):
+    def test_positions_are_the_same(self, ends):
         topic = Topic()
         topic.add(RecordKind.ACCEPT, accepted(), "j", "c0")
         for number, (index, repeated) in enumerate(ends):
--- a/tests/test_job_log.py
+++ b/tests/test_job_log.py
@@ -71,7 +71,7 @@
         self.log = job_log(self.topics)
         accept(self.log)
 
-    def test_an_append_done_late_and_repeated_moves_nothing(self):
+    def test_a_delayed_append_that_is_retried_moves_no_position(self):
         self.topics.late_appends = 1
         self.topics.late_by = 0.3
         self.log.append([end_record(0)], 2.0)
@@ -83,7 +83,7 @@
         self.assertEqual(positions(job_log(self.topics)), before)
         self.assertEqual(positions(self.log), before)
 
-    def test_an_append_that_is_never_answered_is_told_so(self):
+    def test_an_append_without_an_answer_may_have_run(self):
         self.topics.lost_answers = 100
         with self.assertRaises(StoreUnavailableError) as caught:
             self.log.append([end_record(0)], 0.2)
@@ -96,8 +96,8 @@
         self.assertIs(caught.exception.verdict, Verdict.NOT_RUN)
 
 
-class ConditionTest(unittest.TestCase):
-    def test_an_acceptance_fails_where_another_came_between(self):
+class ConditionalAppendTest(unittest.TestCase):
+    def test_an_acceptance_fails_after_a_concurrent_append(self):
         topics = MemoryTopics()
         one, two = job_log(topics), job_log(topics)
         one.follower.catch_up()
@@ -129,30 +129,30 @@
         self.log.follower.catch_up()
         return self.log.board.jobs["j"]
 
-    def test_requests_of_any_size_come_back(self):
+    def test_requests_of_any_size_can_be_read_back(self):
         job = self.job()
         read = [self.log.request(job, index) for index in range(len(self.requests))]
         self.assertEqual(read, self.requests)
 
-    def test_requests_come_back_after_the_history_is_dropped(self):
+    def test_requests_can_be_read_after_the_history_is_dropped(self):
         job = self.job()
         self.topics.drop_history()
         read = [self.log.request(job, index) for index in range(len(self.requests))]
         self.assertEqual(read, self.requests)
 
-    def test_requests_come_back_after_lost_answers(self):
+    def test_requests_can_be_read_after_lost_answers(self):
         self.topics.lost_answers = 2
         job = self.job()
         read = [self.log.request(job, index) for index in range(len(self.requests))]
         self.assertEqual(read, self.requests)
 
-    def test_all_requests_of_a_job_come_with_one_call(self):
+    def test_all_requests_of_a_job_are_read_with_one_call(self):
         job = self.job()
         calls = self.topics.calls
         self.assertEqual(self.log.requests(job), self.requests)
         self.assertEqual(self.topics.calls - calls, 1)
 
-    def test_a_request_is_read_without_what_lies_behind_it(self):
+    def test_reading_a_request_fetches_no_later_records(self):
         job = self.job()
         read = []
         whole = self.topics.read
@@ -198,7 +198,7 @@
         texts = log.texts.get(results)
         return {end.item_index: text for end, text in zip(results, texts, strict=True)}
 
-    def test_texts_of_any_size_come_back_at_every_node(self):
+    def test_texts_of_any_size_can_be_read_at_every_node(self):
         self.end(0, 1)
         self.end(2)
         self.assertEqual(self.read(self.log), self.texts)
@@ -216,7 +216,7 @@
         sizes = {len(one.value) for one in self.topics.partition("jobs", 0).newest()[1:]}
         self.assertLess(max(sizes), 100)
 
-    def test_texts_that_were_read_or_written_here_need_no_call(self):
+    def test_cached_texts_need_no_call(self):
         self.end(0, 1)
         other = job_log(self.topics)
         for log in (self.log, other):
@@ -226,7 +226,7 @@
             log.texts.get(results)
             self.assertEqual(self.topics.calls, before)
 
-    def test_a_node_keeps_so_many_bytes_of_texts(self):
+    def test_the_text_cache_is_bounded(self):
         self.end(0, 1, 2)
         with mock.patch.object(result_texts, "CACHE_BYTES", 60):
             reader = job_log(self.topics)
@@ -234,16 +234,16 @@
             self.assertEqual(len(reader.texts._cache), 1)
             self.assertEqual(self.read(reader), self.texts)
 
-    def test_an_end_that_came_second_changes_no_text(self):
+    def test_a_second_end_changes_no_text(self):
         self.end(0)
         self.texts[0] = b"another run"
         self.end(0, claim="c2")
         self.assertEqual(self.read(job_log(self.topics)), {0: b"short"})
 
-    def test_dropped_jobs_leave_no_text_not_even_of_a_second_end(self):
+    def test_dropping_a_job_deletes_the_text_of_a_second_end(self):
         self.drop_after_second_end(b"another run")
 
-    def test_dropped_jobs_leave_no_later_record_of_a_second_end(self):
+    def test_dropping_a_job_deletes_all_records_of_a_second_end(self):
         self.texts[0] = random.Random(5).randbytes(3 * SETTINGS.record_bytes)
         self.drop_after_second_end(self.texts[0])
 
@@ -263,18 +263,18 @@
 
 
 class RestartTest(unittest.TestCase):
-    def test_a_job_taken_while_the_board_is_read_is_found(self):
+    def test_a_job_accepted_while_the_board_is_read_is_found(self):
         """Found by a hunt: a node that starts while others start and take jobs."""
         topics = MemoryTopics()
         for number in range(600):
             topics.append("jobs", 0, [KeyedRecord(f"item/x/{number}", b"\x00")])
         log = job_log(topics)
-        taken = []
+        accepted_during_read = []
 
         def newest(topic, part, after="", read=MemoryTopics.newest):
             answer = read(topics, topic, part, after)
-            if not taken:
-                taken.append(True)
+            if not accepted_during_read:
+                accepted_during_read.append(True)
                 topics.append("jobs", 0, [KeyedRecord("accept/j/c0", bytes(accepted()))])
                 topics.append(
                     "jobs", 0, [KeyedRecord("node/n9", bytes(gateway.NodeStarted(node_id="n9")))]
--- a/tests/test_jobs_of_zones.py
+++ b/tests/test_jobs_of_zones.py
@@ -32,13 +32,13 @@
             zone, BATCH_PATH + "x", headers=headers, body=job_body("j", items=4), request_id="j"
         )
 
-    def look(self, zone, path, method="GET"):
+    def request_as_second(self, zone, path, method="GET"):
         return self.fleet.request(zone, path, method=method, headers=SECOND)
 
     def page(self, zone, position):
-        return self.look(zone, f"/api/lots/j?watchAfter={position}").document
+        return self.request_as_second(zone, f"/api/lots/j?watchAfter={position}").document
 
-    def test_results_from_any_position_at_any_zone_those_given_up_among_them(self):
+    def test_results_from_any_position_at_any_zone_include_items_given_up(self):
         self.engine.plan = [Behaviour(), Behaviour(status=422)]
         self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
         wait_until(lambda: len(self.page(ZONES[1], 0)["results"]) == 4)
@@ -52,7 +52,7 @@
                 self.assertEqual(page["results"], whole[position:], (zone, position))
                 self.assertEqual((page["total"], page["nextToken"]), (4, 4))
 
-    def test_items_that_nobody_could_run_are_listed_as_given_up_at_every_zone(self):
+    def test_items_that_no_engine_accepted_are_listed_as_given_up_at_every_zone(self):
         self.engine.usual = Behaviour(refuse=True)
         with mock.patch.object(item_ends, "GIVE_UP_MARGIN_MS", 0):
             self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
@@ -63,7 +63,7 @@
                 states = [one["state"] for one in self.page(zone, position)["results"]]
                 self.assertEqual(states, ["dead_letter"] * (4 - position), zone)
 
-    def test_bodies_a_second_hand_in_and_ends_by_another_client(self):
+    def test_bodies_resubmission_and_cancel_by_another_client(self):
         self.engine.usual = Behaviour(silent=True)
         self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
         # The same job at once at another zone, by another key of the tenant: taken once.
@@ -71,13 +71,15 @@
         sent = json.loads(job_body("j", items=4))["items"]
         for zone in ZONES:
             for item in sent:
-                answer = self.look(zone, f"/api/items/j?id={item['id']}")
+                answer = self.request_as_second(zone, f"/api/items/j?id={item['id']}")
                 self.assertEqual(
                     (answer.status, answer.body), (200, base64.b64decode(item["body"]))
                 )
             self.assertEqual(self.page(zone, 0)["total"], 4)
         for zone in (*ZONES, *ZONES):
-            self.assertEqual(self.look(zone, "/api/lots/j", method="DELETE").status, 200)
+            self.assertEqual(
+                self.request_as_second(zone, "/api/lots/j", method="DELETE").status, 200
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -6,7 +6,7 @@
 from postvalve.core.batch.lateness import LEAST_ITEMS, WINDOW, Lateness
 
 
-def look(lateness, begin, seconds, late, items=10):
+def feed(lateness, begin, seconds, late, items=10):
     """So many items are due in each second, of which so many are late."""
     due = {begin + number: DueCount(items, late) for number in range(seconds)}
     for number in range(2 * seconds + 1):
@@ -14,35 +14,35 @@
 
 
 class LatenessTest(unittest.TestCase):
-    def test_it_takes_most_to_be_late_and_few_to_be_over(self):
-        lateness, told = Lateness(), []
+    def test_hysteresis_between_the_two_thresholds(self):
+        lateness, states = Lateness(), []
         for number, late in enumerate((4, 6, 4, 2)):
-            look(lateness, 100 + number * 2 * WINDOW, 2 * WINDOW, late)
-            told.append(lateness.mostly)
-        self.assertEqual(told, [False, True, True, False])
+            feed(lateness, 100 + number * 2 * WINDOW, 2 * WINDOW, late)
+            states.append(lateness.mostly)
+        self.assertEqual(states, [False, True, True, False])
 
-    def test_few_items_say_nothing(self):
+    def test_few_items_are_not_significant(self):
         lateness = Lateness()
-        look(lateness, 100, LEAST_ITEMS - 1, 1, items=1)
+        feed(lateness, 100, LEAST_ITEMS - 1, 1, items=1)
         self.assertFalse(lateness.mostly)
 
-    def test_it_is_over_when_nothing_is_due_any_more(self):
+    def test_it_is_cleared_when_nothing_is_due(self):
         lateness = Lateness()
-        look(lateness, 100, WINDOW, 10)
+        feed(lateness, 100, WINDOW, 10)
         self.assertTrue(lateness.mostly)
         lateness.look({}, 100 + 3 * WINDOW)
         self.assertFalse(lateness.mostly)
 
-    def test_what_was_due_before_the_first_look_says_nothing(self):
+    def test_items_due_before_the_first_update_do_not_count(self):
         """A node that starts doesn't know when those ended."""
         lateness = Lateness()
         lateness.look({90 + number: DueCount(10, 10) for number in range(5)}, 100.0)
         lateness.look({}, 101.0)
         self.assertFalse(lateness.mostly)
 
-    def test_a_clock_that_is_set_back_counts_nothing_twice(self):
+    def test_a_clock_that_is_set_back_counts_no_second_twice(self):
         lateness = Lateness()
-        look(lateness, 100, WINDOW, 10)
+        feed(lateness, 100, WINDOW, 10)
         before = lateness.items
         lateness.look({105: DueCount(99, 99)}, 105.0)
         lateness.look({105: DueCount(99, 99)}, 107.0)
@@ -50,7 +50,7 @@
 
 
 class DueCountTest(unittest.TestCase):
-    def test_results_items_given_up_and_jobs_that_were_ended(self):
+    def test_counts_of_results_items_given_up_and_cancelled_jobs(self):
         shares = ItemShares({})
         shares.accepted("a", "ann", 0, 5_500, [1] * 6)
         shares.accepted("b", "bob", 0, 5_900, [1] * 3)
@@ -62,7 +62,7 @@
         shares.forget_due(9)
         self.assertEqual(shares.due, {9: DueCount(1, 1)})
 
-    def test_a_node_that_never_looks_keeps_a_bounded_number(self):
+    def test_counts_are_bounded_without_updates(self):
         shares = ItemShares({})
         for second in range(2 * MAX_DUE_SECONDS):
             shares.accepted(str(second), "ann", 0, second * 1000, [1])
