--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -43,7 +43,9 @@
         self.fleet = GatewayFleet(nodes=self.nodes, engines=2)
         self.addCleanup(self.fleet.stop)
         wait_until(
-            lambda: all(len(one.peers.all()) == self.nodes - 1 for one in self.fleet.nodes.values())
+            lambda: all(
+                len(node.peers.all()) == self.nodes - 1 for node in self.fleet.nodes.values()
+            )
         )
 
     def submit(self, node, job_id, **changes):
@@ -70,9 +72,11 @@
     def test_every_item_ends_once_at_all_nodes(self):
         self.assertEqual(self.submit("n0", "j").status, 202)
         results = self.results("n1", "j")
-        self.assertEqual(sorted(one["id"] for one in results), ["j-0", "j-1", "j-2"])
-        for one in results:
-            self.assertEqual((one["state"], one["text"]), ("completed", whole_text(one["id"])))
+        self.assertEqual(sorted(result["id"] for result in results), ["j-0", "j-1", "j-2"])
+        for result in results:
+            self.assertEqual(
+                (result["state"], result["text"]), ("completed", whole_text(result["id"]))
+            )
         self.assertEqual(self.results("n0", "j"), results)
         self.assertEqual(len(self.runs()), 3)
         self.assertEqual(self.fleet.engines[0].bodies | self.fleet.engines[1].bodies, {
@@ -95,7 +99,7 @@
 
     def test_a_job_sent_to_two_nodes_at_once_runs_once(self):
         sent = [gevent.spawn(self.submit, node, "j") for node in ("n0", "n1")]
-        self.assertEqual([one.get().status for one in sent], [202, 202])
+        self.assertEqual([task.get().status for task in sent], [202, 202])
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
@@ -123,21 +127,21 @@
     def test_a_cancelled_job_stops(self):
         self.usual(pause=0.05, events=300)
         self.submit("n0", "j")
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) == 3)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) == 3)
         for node in ("n1", "n0"):
             self.assertEqual(self.fleet.request(node, "/api/lots/j", method="DELETE").status, 200)
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) == 0)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) == 0)
         self.assertEqual(self.page("n1", "j").document["results"], [])
 
     def test_jobs_beyond_the_queued_token_limit_are_refused(self):
         self.usual(silent=True)
         self.fleet.configure(maxQueuedTokens=650)
         wait_until(
-            lambda: all(one.configuration.revision == 4 for one in self.fleet.nodes.values())
+            lambda: all(node.configuration.revision == 4 for node in self.fleet.nodes.values())
         )
         sent = [gevent.spawn(self.submit, f"n{n % 2}", f"j{n}") for n in range(4)]
-        answers = [one.get() for one in sent]
-        self.assertEqual(sorted(one.status for one in answers), [202, 202, 429, 429])
+        answers = [task.get() for task in sent]
+        self.assertEqual(sorted(answer.status for answer in answers), [202, 202, 429, 429])
         for answer in answers:
             self.assertEqual("retry-after" in answer.headers, answer.status == 429)
 
@@ -147,8 +151,8 @@
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=2), Behaviour(cut_after=0)]
         self.submit("n0", "j")
-        for one in self.results("n1", "j"):
-            self.assertEqual(one["text"], whole_text(one["id"]))
+        for result in self.results("n1", "j"):
+            self.assertEqual(result["text"], whole_text(result["id"]))
         self.assertIn("2", [run[1] for run in self.runs()])
 
     def test_items_that_always_fail_end_after_their_attempts(self):
@@ -169,8 +173,8 @@
         self.submit("n0", "j")
         self.results("n1", "j")
         self.assertEqual(len(sound.runs), 3)
-        failed = {one["engine"] for one in self.fleet.events("n0", Event.ROUTED_ITEM_FAILED)}
-        avoided = {one["engine"] for one in self.fleet.events("n0", Event.ENGINE_SUSPECT)}
+        failed = {event["engine"] for event in self.fleet.events("n0", Event.ROUTED_ITEM_FAILED)}
+        avoided = {event["engine"] for event in self.fleet.events("n0", Event.ENGINE_SUSPECT)}
         self.assertEqual((failed, avoided), ({dead.engine_id}, {dead.engine_id}))
 
     def test_refused_items_run_later(self):
@@ -222,7 +226,7 @@
         fleet.request("n0", BATCH_PATH + "x", body=body, request_id="j")
         there = fleet.nodes["n1"]
         running = there._reports.items
-        wait_until(lambda: [one for _, one in running.at(engine_hash("e0"))] == ["n0"] * 3)
+        wait_until(lambda: [node_id for _, node_id in running.at(engine_hash("e0"))] == ["n0"] * 3)
         # From now on only a message of its own can tell the other zone.
         with mock.patch.object(ZoneReporting, "is_due", return_value=False):
             for number in range(2):
@@ -315,23 +319,23 @@
     def test_jobs_of_a_dead_node_are_taken_over(self):
         self.usual(pause=0.05, events=200)
         self.submit("n0", "j")
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) == 3)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) == 3)
         self.fleet.kill("n0")
         self.usual(events=200)
         results = self.results("n1", "j")
-        self.assertEqual(sorted(one["id"] for one in results), ["j-0", "j-1", "j-2"])
-        for one in results:
-            self.assertEqual(one["text"], whole_text(one["id"], 200))
+        self.assertEqual(sorted(result["id"] for result in results), ["j-0", "j-1", "j-2"])
+        for result in results:
+            self.assertEqual(result["text"], whole_text(result["id"], 200))
         self.assertEqual(self.results("n2", "j"), results)
 
     def test_running_items_of_a_draining_node_finish_there_and_waiting_ones_move(self):
         self.usual(pause=0.05, events=40)
         self.submit("n0", "j", items=12)
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) >= 4)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) >= 4)
         self.fleet.nodes["n0"].request_drain()
         results = self.results("n1", "j", 12)
-        for one in results:
-            self.assertEqual(one["text"], whole_text(one["id"], 40))
+        for result in results:
+            self.assertEqual(result["text"], whole_text(result["id"], 40))
         self.assertEqual(len(self.runs()), 12)
 
     def test_all_nodes_die_right_after_the_acceptance(self):
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -39,7 +39,9 @@
     def test_nodes_with_the_same_view_start_no_more_than_the_free_slots(self, nodes, room):
         """Against a naive version that orders all items in one list."""
         # Items of one node with one due time are one group, and ties go to all.
-        distinct = [sorted(due * 10 + number for due in one) for number, one in enumerate(nodes)]
+        distinct = [
+            sorted(due * 10 + number for due in due_times) for number, due_times in enumerate(nodes)
+        ]
         started = 0
         for number, own in enumerate(distinct):
             others = [
@@ -120,12 +122,12 @@
             views[number] = view = RunningItems()
             for other, due in enumerate(nodes):
                 if other != number:
-                    view.observe(f"n{other}", encode_running((7, one) for one in due))
+                    view.observe(f"n{other}", encode_running((7, urgency_ms) for urgency_ms in due))
         stopped = []
-        for number in sorted(views, key=lambda one: (order + [9] * 6)[one]):
+        for number in sorted(views, key=lambda number: (order + [9] * 6)[number]):
             count = giving_way(f"n{number}", nodes[number], views[number].at(7), excess)
             stopped += sorted(nodes[number], reverse=True)[:count]
-        everything = sorted((due for one in nodes for due in one), reverse=True)
+        everything = sorted((due for due_times in nodes for due in due_times), reverse=True)
         self.assertEqual(sorted(stopped, reverse=True), everything[: max(0, excess)])
 
     def test_reports_replace_each_other(self):
--- a/tests/test_item_heaps.py
+++ b/tests/test_item_heaps.py
@@ -59,7 +59,9 @@
         while self.online_ends and self.online_ends[0][0] <= self.now:
             self.use.leave(heapq.heappop(self.online_ends)[1], batch=False)
         for life, items in self.running.items():
-            for item in [one for one in items if one["left"] <= self.now - one["begun"]]:
+            for item in [
+                running for running in items if running["left"] <= self.now - running["begun"]
+            ]:
                 items.remove(item)
                 self.use.leave(life, batch=True)
                 self.ended += 1
@@ -72,7 +74,7 @@
             self.waiting += self.job()
         for _ in range(self.count(self.rates[0] * times * STEP)):
             drawn = self.random.sample(self.lives, 2)
-            life = min(drawn, key=lambda one: self.use.total(one).total)
+            life = min(drawn, key=lambda drawn_life: self.use.total(drawn_life).total)
             self.use.enter(life, batch=False)
             heapq.heappush(self.online_ends, (self.now + ONLINE_HOLD, life))
             for _ in range(self.use.excess(life, SLOTS)):
@@ -104,8 +106,10 @@
             if self.now >= self.view_at + VIEW_AGE:
                 self.refresh_view()
             rooms = self.rooms[pressing]
-            for item in [one for one in self.waiting if self.is_pressing(one) == pressing]:
-                life = max(rooms, key=lambda one: rooms[one])
+            for item in [
+                waiting for waiting in self.waiting if self.is_pressing(waiting) == pressing
+            ]:
+                life = max(rooms, key=lambda free_life: rooms[free_life])
                 if rooms[life] > 0:
                     self.rooms[True][life] -= 1
                     self.rooms[False][life] -= 1
@@ -164,14 +168,16 @@
         if self.ended > ended:
             for life, items in before.items():
                 for item in items:
-                    if not any(item is one for one in self.running[life]):
+                    if not any(item is running for running in self.running[life]):
                         self.shares.ended(item["job"], item["idx"], ran=True)
 
 
 class BurstTest(unittest.TestCase):
     def counts(self, **how):
         simulations = [BurstSimulation(30, 140, 1.3, seed=seed, **how).run(46) for seed in range(3)]
-        return sum(one.preempted for one in simulations), sum(one.ended for one in simulations)
+        return sum(simulation.preempted for simulation in simulations), sum(
+            simulation.ended for simulation in simulations
+        )
 
     def test_fewer_are_preempted_when_peers_report_item_durations(self):
         """A node where none has ended takes all for pressing, and these leave no room to a heap.
--- a/tests/test_item_preemption.py
+++ b/tests/test_item_preemption.py
@@ -80,7 +80,7 @@
         self.items = [running(0, 50), running(1, 50)]
         self.excess = 1
         self.preemption.look()
-        stopped = next(one for one in self.items if one.preempted)
+        stopped = next(item for item in self.items if item.preempted)
         stopped.running = False
         self.now += 0.2
         self.notify(50)
@@ -95,7 +95,7 @@
             self.items.append(running(1, 50, engine=engine))
             self.now += later
             self.notify(50, engine=engine)
-            self.assertEqual(sum(one.preempted for one in self.items if one.running), 1)
+            self.assertEqual(sum(item.preempted for item in self.items if item.running), 1)
 
     def test_the_local_check_counts_items_already_being_stopped(self):
         self.items = [running(0, 50), running(1, 40), running(2, 30)]
--- a/tests/test_item_progress.py
+++ b/tests/test_item_progress.py
@@ -242,8 +242,8 @@
         self.fleet.kill("n0")
         for engine in self.fleet.engines:
             engine.usual = Behaviour(events=400)
-        for one in self.results("n1", "j"):
-            self.assertEqual(one["text"], whole_text(one["id"], 400))
+        for result in self.results("n1", "j"):
+            self.assertEqual(result["text"], whole_text(result["id"], 400))
         resumed = [run for run in self.runs() if run[1] is not None]
         self.assertEqual(len(resumed), 3)
         self.assertGreaterEqual(min(int(last) for _, last in resumed), LEAST_EVENTS)
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -39,7 +39,7 @@
 
     def accept(self, job_id, tenant, tokens, due=0):
         self.due[job_id] = due
-        specs = [ItemSpec(f"{job_id}-{number}", one, 0, one, 1, 1) for number, one in tokens]
+        specs = [ItemSpec(f"{job_id}-{number}", count, 0, count, 1, 1) for number, count in tokens]
         record = gateway.JobAccepted(
             job_id=job_id, tenant=tenant, items=pack_items(specs), due_at_ms=due, form=JOB_FORM,
             claim_id="c", share_clock=self.board.shares.clock,
@@ -117,7 +117,7 @@
     def test_a_node_started_after_old_jobs_were_dropped_tags_new_ones_alike(self, moves):
         log = simulate_log(moves)
         log.accept("new", "dora", [(0, 100)])
-        closed = {one for one, job in log.board.jobs.items() if not job.open}
+        closed = {job_id for job_id, job in log.board.jobs.items() if not job.open}
         started = log.replay(closed)
         self.assertEqual(started.shares.tag("new", 0), log.board.shares.tag("new", 0))
         self.assertEqual(started.shares.clock, log.board.shares.clock)
@@ -126,7 +126,7 @@
         log = Log()
         log.accept("late", "ann", [(0, 100), (1, 100)], due=20)
         log.accept("soon", "ann", [(0, 100)], due=10)
-        self.assertEqual([one[1] for one in waiting(log.board)], ["soon", "late", "late"])
+        self.assertEqual([entry[1] for entry in waiting(log.board)], ["soon", "late", "late"])
 
     def test_a_record_of_an_earlier_build_has_no_clock(self):
         shares = ItemShares({})
@@ -152,14 +152,17 @@
         mean = (1 + weight) / 2
         log.accept("a", "ann", list(enumerate(ann)), due=1_000)
         log.accept("b", "bob", list(enumerate(bob)), due=2_000)
-        costs = {"a": [mean * one for one in ann], "b": [mean * one / weight for one in bob]}
+        costs = {
+            "a": [mean * tokens for tokens in ann],
+            "b": [mean * tokens / weight for tokens in bob],
+        }
         started, running = {"a": 0.0, "b": 0.0}, []
         chance = random.Random(seed)
         bound = max(costs["a"]) + max(costs["b"]) + TAG_STEP
         while True:
-            order = sorted((key(log, *one[1:]), *one[1:]) for one in waiting(log.board))
-            free = [one[1:] for one in order if one[1:] not in running]
-            if len({one[0] for one in free}) < 2:
+            order = sorted((key(log, *entry[1:]), *entry[1:]) for entry in waiting(log.board))
+            free = [entry[1:] for entry in order if entry[1:] not in running]
+            if len({entry[0] for entry in free}) < 2:
                 break
             if len(running) == slots:
                 log.end(*running.pop(chance.randrange(slots)))
@@ -177,9 +180,11 @@
         for now in range(0, 400, 10):
             log.accept(f"b{now}", "bob", [(0, 15_000)], due=now * 100 + 5_000)
             log.accept(f"c{now}", f"new{now}", [(0, 15_000)], due=now * 100 + 5_000)
-            _, job_id, index = min((key(log, *one[1:]), *one[1:]) for one in waiting(log.board))
+            _, job_id, index = min(
+                (key(log, *entry[1:]), *entry[1:]) for entry in waiting(log.board)
+            )
             log.end(job_id, index)
-        self.assertNotIn("one", {one[1] for one in waiting(log.board)})
+        self.assertNotIn("one", {entry[1] for entry in waiting(log.board)})
 
     def test_one_tenant_with_thirty_jobs_beside_ten_with_one(self):
         """With five slots, the ten are done while the one gets what a tenant of eleven gets.
@@ -188,31 +193,33 @@
         """
         log = Log()
         for number in range(30):
-            log.accept(f"big{number}", "big", [(one, 1_500) for one in range(10)], due=1)
+            log.accept(f"big{number}", "big", [(index, 1_500) for index in range(10)], due=1)
         for number in range(10):
-            log.accept(f"small{number}", f"t{number}", [(one, 1_500) for one in range(10)], due=2)
-        first = [one[1] for one in waiting(log.board)[:110]]
-        self.assertEqual(sum(one.startswith("big") for one in first), 10)
+            log.accept(
+                f"small{number}", f"t{number}", [(index, 1_500) for index in range(10)], due=2
+            )
+        first = [entry[1] for entry in waiting(log.board)[:110]]
+        self.assertEqual(sum(job_id.startswith("big") for job_id in first), 10)
 
     def test_unused_capacity_goes_to_other_tenants_at_once(self):
         log = Log()
         log.accept("a", "ann", [(0, 1_500)])
-        log.accept("b", "bob", [(one, 1_500) for one in range(5)])
+        log.accept("b", "bob", [(index, 1_500) for index in range(5)])
         log.end("a", 0)
-        self.assertEqual([one[1] for one in waiting(log.board)], ["b"] * 5)
+        self.assertEqual([entry[1] for entry in waiting(log.board)], ["b"] * 5)
 
     def test_an_idle_tenant_accumulates_no_credit(self):
         log = Log()
-        log.accept("b", "bob", [(one, 1_000) for one in range(50)])
+        log.accept("b", "bob", [(index, 1_000) for index in range(50)])
         for index in range(40):
             log.end("b", index)
-        log.accept("a", "ann", [(one, 1_000) for one in range(50)])
+        log.accept("a", "ann", [(index, 1_000) for index in range(50)])
         ann = [log.board.shares.tag("a", index) for index in range(2)]
         self.assertEqual(ann, [39_000, 40_000])
 
     def test_cancelled_items_are_not_charged(self):
         log = Log()
-        log.accept("a", "ann", [(one, 1_000) for one in range(50)])
+        log.accept("a", "ann", [(index, 1_000) for index in range(50)])
         log.accept("later", "ann", [(0, 1_000)])
         log.end("a", 0)
         log.cancel("a")
@@ -220,7 +227,7 @@
 
     def test_items_given_up_do_not_advance_the_clock(self):
         log = Log()
-        log.accept("a", "ann", [(one, 1_000) for one in range(50)])
+        log.accept("a", "ann", [(index, 1_000) for index in range(50)])
         log.end("a", 49, ItemState.DEAD)
         self.assertEqual(log.board.shares.clock, 0)
 
@@ -266,9 +273,9 @@
     def test_equal_tags_go_by_due_time(self, due):
         """Against the order of today, to the step in which due times are told."""
         now = 0
-        by_share = sorted(due, key=lambda one: share_urgency(ShareRank(0, 7), one, now, 0.0))
-        by_due = sorted(due, key=lambda one: urgency(one, now, 0.0))
-        self.assertEqual([one // 64 for one in by_share], [one // 64 for one in by_due])
+        by_share = sorted(due, key=lambda due_ms: share_urgency(ShareRank(0, 7), due_ms, now, 0.0))
+        by_due = sorted(due, key=lambda due_ms: urgency(due_ms, now, 0.0))
+        self.assertEqual([due_ms // 64 for due_ms in by_share], [due_ms // 64 for due_ms in by_due])
 
 
 class ReportedEstimateTest(unittest.TestCase):
@@ -281,11 +288,11 @@
         new = DurationEstimate()
         new.hear([b"", b"\x00"])
         self.assertEqual(new.seconds_left(1_000, 0.0), 0.0)
-        new.hear([one.pack() for one in estimates])
+        new.hear([estimate.pack() for estimate in estimates])
         self.assertAlmostEqual(new.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(new.pack(), b"")
         zone = DurationEstimate()
-        zone.hear([merge_paces([one.pack() for one in estimates] + [b""])])
+        zone.hear([merge_paces([estimate.pack() for estimate in estimates] + [b""])])
         self.assertAlmostEqual(zone.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(merge_paces([b""]), b"")
 
--- a/tests/test_item_urgency.py
+++ b/tests/test_item_urgency.py
@@ -76,7 +76,7 @@
         self.features = Feature.NONE
         self.now += LOOK_AGE
         self.assertTrue(self.precedes(soon, late))
-        orders = [one.kwargs["order"] for one in self.events.emit.call_args_list]
+        orders = [call.kwargs["order"] for call in self.events.emit.call_args_list]
         self.assertEqual(orders, ["shares", "due time"])
         self.events.emit.assert_called_with(
             Event.ITEM_ORDER, order="due time", tenants=2, able=False, due=20, late=20
--- a/tests/test_job_board.py
+++ b/tests/test_job_board.py
@@ -71,7 +71,7 @@
         self.topic.add(RecordKind.ITEM, ended(1, 72), "j", "1", "b")
         self.topic.add(RecordKind.ITEM, ended(0), "j", "0", "c")
         results = self.board().jobs["j"].results
-        self.assertEqual([(one.item_index, one.text_offset) for one in results], [(1, 71), (0, 1)])
+        self.assertEqual([(end.item_index, end.text_offset) for end in results], [(1, 71), (0, 1)])
 
     def test_nothing_counts_after_the_end_of_the_job(self):
         self.topic.add(RecordKind.END, gateway.JobEnded(job_id="j"), "j", "a")
--- a/tests/test_job_log.py
+++ b/tests/test_job_log.py
@@ -62,7 +62,7 @@
 
 def positions(log):
     log.follower.catch_up()
-    return [one.item_index for one in log.board.jobs["j"].results]
+    return [end.item_index for end in log.board.jobs["j"].results]
 
 
 class PositionTest(unittest.TestCase):
@@ -99,10 +99,10 @@
 class ConditionalAppendTest(unittest.TestCase):
     def test_an_acceptance_fails_after_a_concurrent_append(self):
         topics = MemoryTopics()
-        one, two = job_log(topics), job_log(topics)
-        one.follower.catch_up()
-        accept(two)
-        self.assertFalse(one.append_at_end([end_record(0)]))
+        first, second = job_log(topics), job_log(topics)
+        first.follower.catch_up()
+        accept(second)
+        self.assertFalse(first.append_at_end([end_record(0)]))
 
 
 class RequestTest(unittest.TestCase):
@@ -159,7 +159,7 @@
 
         def counted(*arguments):
             part = whole(*arguments)
-            read.append(sum(len(one.value) for one in part.records))
+            read.append(sum(len(record.value) for record in part.records))
             return part
 
         with mock.patch.object(self.topics, "read", counted):
@@ -213,7 +213,7 @@
 
     def test_records_of_ends_do_not_grow_with_the_texts(self):
         self.end(0, 1, 2)
-        sizes = {len(one.value) for one in self.topics.partition("jobs", 0).newest()[1:]}
+        sizes = {len(record.value) for record in self.topics.partition("jobs", 0).newest()[1:]}
         self.assertLess(max(sizes), 100)
 
     def test_cached_texts_need_no_call(self):
@@ -257,7 +257,9 @@
         self.log.follower.catch_up()
         self.log.drop_jobs([self.log.board.jobs["j"]])
         left = [
-            one.key for part in range(2) for one in self.topics.partition("texts", part).newest()
+            record.key
+            for part in range(2)
+            for record in self.topics.partition("texts", part).newest()
         ]
         self.assertEqual(left, [])
 
--- a/tests/test_jobs_of_zones.py
+++ b/tests/test_jobs_of_zones.py
@@ -43,7 +43,7 @@
         self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
         wait_until(lambda: len(self.page(ZONES[1], 0)["results"]) == 4)
         whole = self.page(ZONES[0], 0)["results"]
-        states = sorted(one["state"] for one in whole)
+        states = sorted(result["state"] for result in whole)
         self.assertEqual(states, ["completed", "completed", "completed", "dead_letter"])
         for zone in ZONES:
             for position in (3, 1, 0, 2, 4):
@@ -60,7 +60,7 @@
                 wait_until(lambda zone=zone: len(self.page(zone, 0)["results"]) == 4)
         for zone in ZONES:
             for position in (2, 0):
-                states = [one["state"] for one in self.page(zone, position)["results"]]
+                states = [result["state"] for result in self.page(zone, position)["results"]]
                 self.assertEqual(states, ["dead_letter"] * (4 - position), zone)
 
     def test_bodies_resubmission_and_cancel_by_another_client(self):
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -20,7 +20,9 @@
     ids = {engine.engine_id for engine in engines}
     for name in nodes:
         node = fleet.nodes[name]
-        wait_until(lambda node=node: not any(node._fleet.takes_work(one) for one in ids))
+        wait_until(
+            lambda node=node: not any(node._fleet.takes_work(engine_id) for engine_id in ids)
+        )
 
 
 class PoolTest(unittest.TestCase):
