--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs of routed traffic: taken once, ended once, readable everywhere."""
+"""Routed batch jobs: accepted once, ended once, readable at every node."""
 
 import base64
 import json
@@ -56,7 +56,7 @@
         return self.fleet.request(node, f"/api/lots/{job_id}?watchAfter={position}", method="GET")
 
     def results(self, node, job_id, count=3):
-        """All results of a job, waited for."""
+        """Wait until `count` results of a job are listed, and return them."""
         wait_until(lambda: len(self.page(node, job_id).document["results"]) == count)
         return self.page(node, job_id).document["results"]
 
@@ -86,7 +86,7 @@
     def test_pages_continue_where_the_last_ended(self):
         self.submit("n0", "j")
         results = self.results("n0", "j")
-        # Another node may have read them a moment later.
+        # Another node may read them a moment later.
         self.assertEqual(self.results("n1", "j"), results)
         page = self.page("n1", "j", 2).document
         self.assertEqual(page, {"total": 3, "nextToken": 3, "results": results[2:]})
@@ -185,7 +185,8 @@
         self.assertEqual(len(self.runs()), 3)
 
     def test_one_node_runs_no_more_items_than_engines_have_slots(self):
-        # Several nodes may for a moment start more than fit: reports are a tenth of a second old.
+        # Several nodes may briefly start more items than there are slots, since reports are 0.1 s
+        # old.
         self.usual(pause=0.05, events=20)
         self.submit("n0", "a", items=12)
         self.submit("n0", "b", items=12)
@@ -227,7 +228,7 @@
         there = fleet.nodes["n1"]
         running = there._reports.items
         wait_until(lambda: [node_id for _, node_id in running.at(engine_hash("e0"))] == ["n0"] * 3)
-        # From now on only a message of its own can tell the other zone.
+        # From now on only a notice can inform the other zone, since no digests are sent.
         with mock.patch.object(ZoneReporting, "is_due", return_value=False):
             for number in range(2):
                 gevent.spawn(fleet.request, "n1", STREAM_PATH, request_id=f"r{number}")
@@ -253,7 +254,7 @@
         self.assertEqual(len(self.runs()), 3)
 
     def test_acceptance_that_takes_effect_late(self):
-        # The bodies are stored first; their append is not late here.
+        # Only the acceptance is delayed; the append of the bodies before it is not.
         original = self.fleet.topics.append
         delayed = []
 
@@ -289,7 +290,7 @@
         self.fleet.topics.down = True
         for node in ("n0", "n1"):
             self.assertEqual(self.page(node, "j").document["results"], results)
-        # A node that has read none of them can't tell them, and says so.
+        # A node that has cached no results refuses the request.
         fresh = self.fleet.nodes["n1"]._log.texts
         fresh._cache.clear()
         answer = self.page("n1", "j")
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""Single shells of the gateway: claims, ends, configuration, streams' fields."""
+"""Unit tests of single parts of the gateway: claims, ends of items, and fields of event streams."""
 
 import unittest
 from unittest import mock
@@ -36,7 +36,7 @@
 
 
 class ClaimTest(unittest.TestCase):
-    """The job of `accepted` belongs to the first life of node n0."""
+    """The job of `accepted` belongs to the first incarnation of node n0."""
 
     def setUp(self):
         self.clock = Clock()
@@ -106,7 +106,7 @@
         self.assertEqual(self.writer.pending, 40)
         wait_until(lambda: not self.writer.pending)
         self.assertEqual(positions(self.log), list(range(40)))
-        # The acceptance, and at most two ends to a call of 16 KB.
+        # One call for the acceptance, and at most two ends per call of 16 KB.
         self.assertGreaterEqual(self.topics.calls, 20)
 
     def test_ends_survive_a_store_that_is_down(self):
--- a/tests/test_item_attempts.py
+++ b/tests/test_item_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt of an item that was told to give way before its request was sent."""
+"""Attempts of items that are preempted before their request was sent."""
 
 import unittest
 from unittest import mock
@@ -42,7 +42,7 @@
         )
 
     def start(self, *args, wanted):
-        """Open a connection, as the pool does, while the item is told to go."""
+        """Act as the connection pool, which opens a connection while the item is preempted."""
         self.item.preempted = True
         if not wanted():
             raise AttemptError("not wanted", Verdict.NOT_RUN)
@@ -50,7 +50,8 @@
         raise AttemptError("cut", Verdict.MAY_HAVE_RUN)
 
     def test_its_request_is_not_sent(self):
-        """Else the engine reads its prompt in a slot that an online request waits for."""
+        """Guards against an engine processing the prompt in a slot that an online request waits
+        for."""
         self.pool.start = self.start
         self.attempts.run(self.item, self.placement)
         self.assertEqual(self.sent, 0)
@@ -59,7 +60,7 @@
         self.assertFalse(self.item.running)
 
     def test_it_adds_no_sample_to_the_engines_pace(self):
-        """The times of its former attempt are another engine's."""
+        """Guards against adding the times of the previous attempt, which ran at another engine."""
         self.pool.start = self.start
         self.attempts.run(self.item, self.placement)
         for call in self.fleet.paces.note_end.call_args_list:
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions about batch items: their order, who starts, who gives way."""
+"""Decisions about batch items: order, start and preemption."""
 
 import unittest
 
@@ -37,8 +37,9 @@
         st.integers(0, 20),
     )
     def test_nodes_with_the_same_view_start_no_more_than_the_free_slots(self, nodes, room):
-        """Against a naive version that orders all items in one list."""
-        # Items of one node with one due time are one group, and ties go to all.
+        """Compares with a reference model that orders all items in one list."""
+        # Due times are distinct between nodes: equal ones form one group, and a tie counts for all
+        # nodes.
         distinct = [
             sorted(due * 10 + number for due in due_times) for number, due_times in enumerate(nodes)
         ]
@@ -82,7 +83,7 @@
         running = [(10, "a"), (50, "b"), (40, "a")]
         self.assertEqual(self.victims.choose(1, running, 2, 0.0), [(50, "b"), (40, "a")])
         self.assertEqual(self.victims.choose(1, running, 2, 0.1), [])
-        # One has left the reports, and one more should give way.
+        # One item has left the reports, and one more should stop.
         self.assertEqual(self.victims.choose(1, [(10, "a"), (40, "a")], 2, 0.2), [(10, "a")])
 
     def test_equal_items_of_one_node_are_notified_separately(self):
@@ -116,7 +117,8 @@
         st.lists(st.integers(0, 5), max_size=6),
     )
     def test_nodes_together_stop_the_excess_in_any_order(self, nodes, excess, order):
-        """Against one list of all items; nodes hear of each other's stops only afterwards."""
+        """Compares with one list of all items; nodes learn of each other's stops only
+        afterwards."""
         views = {}
         for number in range(len(nodes)):
             views[number] = view = RunningItems()
--- a/tests/test_item_heaps.py
+++ b/tests/test_item_heaps.py
@@ -1,7 +1,8 @@
-"""Batch items beside online work that comes in heaps: few are begun that the next heap cuts.
+"""Batch items beside bursts of online requests: few items start that the next burst preempts.
 
-The load: heaps of 2.4 s at 1.87 times the mean, 0.383 times the mean for 3.4 s between them; jobs
-of ten items that run for 5 s, due after 18 s. One count of what runs, no network.
+The simulated load has bursts of 2.4 s at 1.87 times the mean rate, with 3.4 s at 0.383 times the
+mean between them, and jobs of ten items that run for 5 s and are due after 18 s. All nodes share
+one count of running requests, and there is no network.
 """
 
 import heapq
@@ -19,18 +20,18 @@
 
 SLOTS = 8
 PAUSE, BURST = (3.4, 0.383), (2.4, 1.87)
-"""Seconds, and times the mean rate."""
+"""Duration in seconds, and rate as a multiple of the mean rate."""
 ONLINE_HOLD, ITEM_RUN, DUE = 0.75, 5.0, 18.0
 TOKENS = 2_000
-"""That an item may give at the most."""
+"""Most output tokens of an item."""
 FIRST_EVENT = 0.1
-"""Seconds until an item has given something."""
+"""Seconds until an item has received its first event."""
 STEP = 0.02
 VIEW_AGE = 0.1
 
 
 class BurstSimulation:
-    """Engines of one zone under that load, looked at every 20 ms."""
+    """Simulates the engines of one zone under this load, in steps of 20 ms."""
 
     def __init__(self, engines, online_rate, job_rate, *, known=True, seed=1):
         self.random = random.Random(seed)
@@ -84,7 +85,7 @@
         return [{"due": self.now + DUE, "left": ITEM_RUN} for _ in range(10)]
 
     def order(self, item):
-        """Which item starts first and gives way last: the lowest."""
+        """Return the sort key of an item; the lowest starts first and is preempted last."""
         return item["due"]
 
     def count(self, mean):
@@ -100,7 +101,7 @@
         self.preempted += 1
 
     def start(self):
-        """Start as a node does that hears of the others' requests a tenth of a second late."""
+        """Start items as a node does that learns of the others' requests 0.1 s late."""
         self.waiting.sort(key=self.order)
         for pressing in (True, False):
             if self.now >= self.view_at + VIEW_AGE:
@@ -137,7 +138,7 @@
 
 
 class ShareBurstSimulation(BurstSimulation):
-    """Tenants that compete; `keeps_begun` tells whether items that have begun are told apart."""
+    """Simulates competing tenants; `prefers_begun` says whether begun items rank before others."""
 
     def __init__(self, *arguments, prefers_begun, **how):
         super().__init__(*arguments, **how)
@@ -180,9 +181,11 @@
         )
 
     def test_fewer_are_preempted_when_peers_report_item_durations(self):
-        """A node where none has ended takes all for pressing, and these leave no room to a heap.
+        """Guards against treating all items as pressing at a node where none has finished, since
+        these leave no slots for a burst.
 
-        Cut and ended in three plays of 46 s: 1,339 and 1,527 without, 1,152 and 1,539 with.
+        Preempted and finished items in three simulations of 46 s: 1,339 and 1,527 without the
+        peers' estimates, 1,152 and 1,539 with them.
         """
         preempted, ended = self.counts(known=True)
         blind_preempted, blind_ended = self.counts(known=False)
@@ -190,10 +193,10 @@
         self.assertGreaterEqual(ended, blind_ended)
 
     def test_begun_items_are_not_preempted_for_another_tenant(self):
-        """Tenants that send more than gets done, by shares: 878 items end in time instead of 822.
+        """Under overload ordered by shares, 878 items finish in time instead of 822.
 
-        Guards against runs that are cut for an item whose tenant is further back: most of them end
-        too late afterwards, and what they ran is lost.
+        Guards against preempting running items for a tenant that is further behind: most of the
+        preempted items finish too late, and the work done on them is lost.
         """
         preferred, plain = (
             ShareBurstSimulation(30, 140, 3.6, seed=0, prefers_begun=keeps).run(46)
--- a/tests/test_item_preemption.py
+++ b/tests/test_item_preemption.py
@@ -1,4 +1,4 @@
-"""Which of a node's running items stop: by its own look, and as a peer tells it."""
+"""Selection of a node's running items for preemption, by its own check and by peers' notices."""
 
 import unittest
 from unittest import mock
@@ -64,7 +64,7 @@
         self.assertEqual(len(self.stopped()), 2)
 
     def test_a_late_notice_about_an_item_stopped_locally_is_ignored(self):
-        """The peer that watches over the engine has seen the same excess: one goes for it."""
+        """The watcher of the engine has seen the same excess, so one item stops for both."""
         self.items = [running(0, 50, events=1), running(1, 50)]
         self.excess = 1
         self.preemption.look()
@@ -75,8 +75,9 @@
         self.assertEqual(self.stopped(), [0, 1])
 
     def test_a_notice_about_the_next_excess_stops_an_item(self):
-        """A word about the excess that the own look saw comes as fast as datagrams do; one that
-        comes later is about another online request, which would wait until it is said again."""
+        """Guards against ignoring a notice about another online request, which would wait until the
+        notice is sent again. A notice about an excess that the local check has seen arrives as fast
+        as datagrams do."""
         self.items = [running(0, 50), running(1, 50)]
         self.excess = 1
         self.preemption.look()
--- a/tests/test_item_progress.py
+++ b/tests/test_item_progress.py
@@ -1,4 +1,4 @@
-"""Saved progress of batch items: what is restored is always a true beginning of the item."""
+"""Saved progress of batch items: what is restored is always a prefix of the item's events."""
 
 import unittest
 import zlib
@@ -57,7 +57,8 @@
 
 
 class DelayedTopics(MemoryTopics):
-    """Appends that go as a test says, and are done late when it says so."""
+    """Topics whose next append succeeds, is lost, is refused or takes effect late, as a test sets
+    it."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_item_runner.py
+++ b/tests/test_item_runner.py
@@ -1,4 +1,4 @@
-"""What a look for room costs a node that works on many items."""
+"""Cost of a scheduling pass at a node with many items."""
 
 import unittest
 from unittest import mock
@@ -32,7 +32,7 @@
         )
 
     def test_a_pass_computes_each_urgency_once(self):
-        """It asks several times a tenth of a second; by shares each costs some microseconds."""
+        """Passes run several times in 0.1 s, and by shares each urgency takes some microseconds."""
         self.runner._start_items()
         self.assertEqual(self.runner.urgency.of.call_count, ITEMS)
 
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -1,4 +1,4 @@
-"""The order of batch items where tenants compete: by tags that every node reads from the log."""
+"""Order of batch items of competing tenants, by tags that every node derives from the job log."""
 
 import random
 import unittest
@@ -25,7 +25,7 @@
 
 
 class Log:
-    """Records of jobs, as nodes append them: each names the clock of its board."""
+    """Job records as nodes append them, each with the clock of its writer's board."""
 
     def __init__(self, weights=None):
         self.weights = weights or {}
@@ -56,7 +56,7 @@
         self._append(key, bytes(gateway.JobEnded(job_id=job_id)))
 
     def replay(self, dropped=()):
-        """What a node sees that starts now, after some jobs were dropped from the log."""
+        """Return the board of a node that starts now, after some jobs were dropped from the log."""
         board = JobBoard(self.weights)
         for offset, key, value in self.records:
             if key.split("/")[1] not in dropped:
@@ -65,7 +65,7 @@
 
 
 def waiting(board):
-    """Items without a result, in the order of their tags."""
+    """Return the items without a result, in the order of their tags."""
     found = [
         (board.shares.tag(job.job_id, index), job.job_id, index)
         for job in board.open_jobs()
@@ -75,7 +75,7 @@
 
 
 def key(log, job_id, index):
-    """What nodes tell each other of an item."""
+    """Return an item's sort key as nodes report it."""
     rank = ShareRank(0, log.board.shares.tag(job_id, index))
     return share_urgency(rank, log.due[job_id], 0, 0.0)
 
@@ -104,7 +104,7 @@
     @settings(deadline=None)
     @given(steps, st.integers(0, 60))
     def test_nodes_that_have_read_the_same_log_have_the_same_order(self, moves, cut):
-        """One that reads it at once, and one that reads it in two parts."""
+        """Compares a node that reads the log in one part with one that reads it in two."""
         log = simulate_log(moves)
         late = JobBoard(log.weights)
         for record in [*log.records[:cut], *log.records]:
@@ -147,7 +147,8 @@
     def test_two_backlogged_tenants_differ_by_at_most_a_step_and_one_item_each(
         self, ann, bob, weight, slots, seed
     ):
-        """Whatever the order in which items end: tokens started for the weight, of ann and bob."""
+        """Bounds the difference of started tokens divided by weight, in whatever order items
+        end."""
         log = Log({"ann": 1.0, "bob": weight})
         mean = (1 + weight) / 2
         log.accept("a", "ann", list(enumerate(ann)), due=1_000)
@@ -170,11 +171,12 @@
             job_id, index = free[0]
             running.append((job_id, index))
             started[job_id] += costs[job_id][index]
-            # One more for the tags of a report, which are whole tokens.
+            # Plus one, since reported tags are whole tokens.
             self.assertLessEqual(abs(started["a"] - started["b"]), bound + 1)
 
     def test_no_item_starves_while_others_keep_arriving(self):
-        """Also beside tenants that nobody has heard of: these are equals, and go by due time."""
+        """Also beside tenants that have not sent anything before: all of them rank equally, and due
+        time decides."""
         log = Log()
         log.accept("one", "ann", [(0, 15_000)], due=20_000)
         for now in range(0, 400, 10):
@@ -187,9 +189,10 @@
         self.assertNotIn("one", {entry[1] for entry in waiting(log.board)})
 
     def test_one_tenant_with_thirty_jobs_beside_ten_with_one(self):
-        """With five slots, the ten are done while the one gets what a tenant of eleven gets.
+        """The first 110 items are ten of each of the eleven tenants.
 
-        By due time all thirty would go first: they were sent first.
+        With five slots, the ten small tenants finish while the large one gets an equal share. By due
+        time all thirty jobs would come first, since they were sent first.
         """
         log = Log()
         for number in range(30):
@@ -244,7 +247,8 @@
         return share_urgency(ShareRank(priority, tag), due, 10_000, left)
 
     def test_order_of_the_sort_key(self):
-        """Hopeless ones last; then priority, share, due time."""
+        """Items that would be late come last; the others are ordered by priority, share and due
+        time."""
         ordered = [
             self.rank(0),
             self.rank(TAG_STEP - 1, due=21_000),
@@ -256,8 +260,8 @@
         self.assertEqual(len(set(ordered)), len(ordered))
 
     def test_an_item_overdue_for_long_no_longer_ranks_last(self):
-        """Else a tenant's late items never start while another sends more than there is room for;
-        by due time they do after the same time."""
+        """Guards against a tenant's late items never starting while another tenant sends more than
+        the engines can run. Under due-time order they start after the same delay."""
         due = 20_000
         for late, goes_first in ((HOPELESS_PENALTY_MS - 1, False), (HOPELESS_PENALTY_MS, True)):
             now = due + late
@@ -271,7 +275,8 @@
 
     @given(st.lists(st.integers(1, 10**6), max_size=20))
     def test_equal_tags_go_by_due_time(self, due):
-        """Against the order of today, to the step in which due times are told."""
+        """Compares with the order by due time, at the resolution in which the sort key holds due
+        times."""
         now = 0
         by_share = sorted(due, key=lambda due_ms: share_urgency(ShareRank(0, 7), due_ms, now, 0.0))
         by_due = sorted(due, key=lambda due_ms: urgency(due_ms, now, 0.0))
@@ -280,7 +285,8 @@
 
 class ReportedEstimateTest(unittest.TestCase):
     def test_a_node_without_finished_items_uses_the_peers_estimates(self):
-        """Else all its items press, and start beside a heap that cuts them at once."""
+        """Guards against treating all items as pressing, which start beside a burst and are
+        preempted at once."""
         estimates = []
         for seconds in (4.0, 5.0, 60.0):
             estimates.append(DurationEstimate())
--- a/tests/test_item_urgency.py
+++ b/tests/test_item_urgency.py
@@ -1,4 +1,4 @@
-"""By what a node orders its items: due time, or shares where tenants compete."""
+"""Order of a node's items: by due time, or by shares while tenants compete."""
 
 import unittest
 from unittest import mock
@@ -13,11 +13,11 @@
 
 TOKENS = 1_000
 RUN = 10.0
-"""Seconds that an item of so many tokens runs."""
+"""Seconds that an item of `TOKENS` runs."""
 
 
 RECENTLY_DUE = 20
-"""Items that were due a moment ago."""
+"""Number of items that were due in the last second."""
 
 
 class UrgencyTest(unittest.TestCase):
@@ -38,7 +38,7 @@
         self.urgency.configure(mock.Mock(configuration=configuration))
 
     def make_items_late(self, late=RECENTLY_DUE, due=RECENTLY_DUE):
-        """So many of the items that were due in the last second have no result."""
+        """Let `late` of the `due` items of the last second have no result."""
         shares = self.log.board.shares
         self.urgency.of(self.item("any"))
         shares.accepted("due", "ann", 0, int(self.now * 1000) + 500, [1] * due)
@@ -55,7 +55,7 @@
         return self.urgency.of(first) < self.urgency.of(second)
 
     def test_due_time_decides_without_competing_tenants(self):
-        """With none, with one, or beside a node that can't order by shares: as it was."""
+        """Covers no tenants, one tenant, and a peer that does not support ordering by shares."""
         for tenants, features in (
             ((), Feature.BATCH_SHARES),
             ((RoutedTenant(name="ann"),), Feature.BATCH_SHARES),
@@ -83,7 +83,7 @@
         )
 
     def test_due_time_decides_while_most_items_end_in_time(self):
-        """Guards against late items of large tenants where by due time all wait alike."""
+        """Guards against late items of large tenants while by due time all items wait alike."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.log.board.shares.accepted("a", "ann", 0, 0, [1])
         self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
@@ -93,13 +93,14 @@
         self.assertTrue(self.precedes(soon, late))
 
     def test_priority_delays_no_item_that_is_in_time(self):
-        """Guards against items of the less urgent tenants that all end late."""
+        """Guards against all items of less urgent tenants finishing late."""
         self.configure(RoutedTenant(name="ann", priority=1), RoutedTenant(name="bob", priority=0))
         soon, late = self.item("a", 150.0), self.item("b", 200.0, tenant="bob")
         self.assertTrue(self.precedes(soon, late))
 
     def test_a_node_with_a_stale_log_counts_no_item_as_late(self):
-        """It misses the results, and would order by shares where all others go by due time."""
+        """Guards against ordering by shares because results are missing, while other nodes order by
+        due time."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.log.follower.age = 3.0
         self.make_items_late()
@@ -107,7 +108,8 @@
         self.events.emit.assert_not_called()
 
     def test_begun_items_precede_new_items_of_another_tenants_share(self):
-        """Guards against runs that are lost: what was cut for such an item ends too late."""
+        """Guards against lost work: an item preempted for another tenant's share finishes too
+        late."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.make_items_late()
         self.log.board.shares.accepted("a", "ann", 0, 0, [1])
@@ -123,7 +125,8 @@
         self.assertTrue(self.precedes(bob, ann))
 
     def test_time_already_run_counts_towards_the_estimate(self):
-        """Else it gives way shortly before its end, and one that has to run whole starts."""
+        """Guards against preempting an item shortly before its end in favour of one that must run
+        in full."""
         item = self.item(due=106.0, running=True, started_at=92.0)
         self.assertEqual(self.urgency.of(item), 106_000)
 
--- a/tests/test_job_board.py
+++ b/tests/test_job_board.py
@@ -1,4 +1,5 @@
-"""The board of routed batch jobs: every reader decides alike, also from the newest records."""
+"""Board of routed batch jobs: all readers reach the same state, also from the newest records
+alone."""
 
 import contextlib
 import unittest
@@ -43,7 +44,7 @@
 
 
 class Topic:
-    """A keyed topic: everything in order, and the newest record of each key."""
+    """A keyed topic with its full history and the newest record of each key."""
 
     def __init__(self):
         self.log = []
@@ -197,7 +198,7 @@
 
 
 class NewestRecordsTest(unittest.TestCase):
-    """A reader of the newest records sees the positions that a follower saw."""
+    """A reader of the newest records gets the same positions as one that read the whole topic."""
 
     @given(st.lists(st.tuples(st.integers(0, ITEMS - 1), st.booleans()), max_size=12))
     def test_positions_are_the_same(self, ends):
@@ -206,7 +207,7 @@
         for number, (index, repeated) in enumerate(ends):
             topic.add(RecordKind.ITEM, ended(index, number), "j", str(index), str(number))
             if repeated:
-                # The answer was lost; the repetition has a key of its own.
+                # Simulates a retry after a lost answer, which uses its own key.
                 key = f"{number}/1"
                 topic.add(RecordKind.ITEM, ended(index, number), "j", str(index), key)
         live = JobBoard()
--- a/tests/test_job_log.py
+++ b/tests/test_job_log.py
@@ -1,4 +1,4 @@
-"""The job topic under a store that loses, delays and forgets."""
+"""Job topic on a store that loses answers, delays appends and drops its history."""
 
 import itertools
 import random
@@ -176,7 +176,7 @@
 
 
 class TextTest(unittest.TestCase):
-    """Texts of ended items lie apart from the records that all nodes read."""
+    """Texts of finished items are stored apart from the records that all nodes read."""
 
     def setUp(self):
         self.topics = MemoryTopics()
@@ -266,7 +266,9 @@
 
 class RestartTest(unittest.TestCase):
     def test_a_job_accepted_while_the_board_is_read_is_found(self):
-        """Found by a hunt: a node that starts while others start and take jobs."""
+        """Guards against missing a job that another node accepts while a starting node reads the
+        board in pages. The fault was found by a randomized test in which nodes start and accept
+        jobs at the same time."""
         topics = MemoryTopics()
         for number in range(600):
             topics.append("jobs", 0, [KeyedRecord(f"item/x/{number}", b"\x00")])
--- a/tests/test_jobs_of_zones.py
+++ b/tests/test_jobs_of_zones.py
@@ -1,4 +1,4 @@
-"""What operators and other clients of a tenant may ask of jobs, at nodes of any zone."""
+"""Job requests of operators and of a tenant's other clients, at nodes of any zone."""
 
 import base64
 import json
@@ -16,7 +16,7 @@
 
 
 class JobsOfZonesTest(unittest.TestCase):
-    """Three zones, a node each; a job that another client of its tenant looks at."""
+    """Three zones with one node each, and a job that another client of its tenant reads."""
 
     def setUp(self):
         tenants = [{"name": "ann", "apiKeys": ["first", "second"]}]
@@ -66,7 +66,7 @@
     def test_bodies_resubmission_and_cancel_by_another_client(self):
         self.engine.usual = Behaviour(silent=True)
         self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
-        # The same job at once at another zone, by another key of the tenant: taken once.
+        # The same job sent again to another zone, with another key of the tenant, is accepted once.
         self.assertEqual(self.submit(ZONES[2], SECOND).status, 202)
         sent = json.loads(job_body("j", items=4))["items"]
         for zone in ZONES:
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""Whether most batch items end late, by what the log tells all nodes."""
+"""Detection that most batch items finish late, from what the job log tells all nodes."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 def feed(lateness, begin, seconds, late, items=10):
-    """So many items are due in each second, of which so many are late."""
+    """Update with `items` items due in each second, `late` of them late."""
     due = {begin + number: DueCount(items, late) for number in range(seconds)}
     for number in range(2 * seconds + 1):
         lateness.look(due, begin + number / 2)
@@ -34,7 +34,7 @@
         self.assertFalse(lateness.mostly)
 
     def test_items_due_before_the_first_update_do_not_count(self):
-        """A node that starts doesn't know when those ended."""
+        """Guards against counting items whose end a node that has just started did not see."""
         lateness = Lateness()
         lateness.look({90 + number: DueCount(10, 10) for number in range(5)}, 100.0)
         lateness.look({}, 101.0)
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -1,4 +1,4 @@
-"""What was meant for an engine that has left meanwhile does not reach it."""
+"""Requests meant for an engine that has been drained meanwhile do not reach it."""
 
 import unittest
 from unittest import mock
@@ -14,7 +14,7 @@
 
 
 def leave(fleet, engines, nodes):
-    """Let engines leave, and wait until nodes know it."""
+    """Drain engines, and wait until the nodes know it."""
     for engine in engines:
         fleet.list_engine(engine, "draining")
     ids = {engine.engine_id for engine in engines}
