--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -191,8 +191,8 @@
     def test_one_tenant_with_thirty_jobs_beside_ten_with_one(self):
         """The first 110 items are ten of each of the eleven tenants.
 
-        With five slots, the ten small tenants finish while the large one gets an equal share. By due
-        time all thirty jobs would come first, since they were sent first.
+        With five slots, the ten small tenants finish while the large one gets an equal share. By
+        due time all thirty jobs would come first, since they were sent first.
         """
         log = Log()
         for number in range(30):
