--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -25,7 +25,7 @@
 NEARLY_ENDED_BONUS_MS = 600_000
 """Milliseconds by which running items that are about to finish rank before others. Stopping one
 would waste almost a whole run, and it would need a slot again for the rest."""
-HOPELESS_PENALTY_MS = 600_000
+MISSED_DUE_PENALTY_MS = 600_000
 """Milliseconds by which items that can't finish by their due time rank behind those that can."""
 ESTIMATE_MARGIN = 1.15
 """Safety factor applied to duration estimates."""
@@ -42,7 +42,7 @@
 _DUE_BITS = 24
 _TAG_BITS = 34
 _PRIORITY_BITS = 4
-LEAST_LEFT = 0.15
+MIN_REMAINING_FRACTION = 0.15
 """Least fraction of its estimated duration that an item is assumed to need, however long it has
 run."""
 
@@ -65,7 +65,7 @@
         else:
             self._measured = known + ESTIMATE_WEIGHT * (sample - known)
 
-    def hear(self, parts: Iterable[bytes]) -> None:
+    def learn_from_peers(self, parts: Iterable[bytes]) -> None:
         """Take in the estimates of peers, as encoded by their `pack`."""
         token_times = _decode_token_times(parts)
         if token_times:
@@ -94,7 +94,7 @@
         )
 
     def _minimum_seconds(self, output_tokens: int) -> float:
-        return self._full_seconds(output_tokens) * LEAST_LEFT
+        return self._full_seconds(output_tokens) * MIN_REMAINING_FRACTION
 
     def _full_seconds(self, output_tokens: int) -> float:
         token_time = self._measured if self._measured is not None else self._reported
@@ -105,7 +105,7 @@
     return [_TOKEN_TIME.unpack(part)[0] for part in parts if len(part) == _TOKEN_TIME.size]
 
 
-def merge_paces(parts: Iterable[bytes]) -> bytes:
+def merge_token_times(parts: Iterable[bytes]) -> bytes:
     """Merge the estimates of a zone's nodes into one part of its digest: their median."""
     token_times = _decode_token_times(parts)
     return _TOKEN_TIME.pack(int(median(token_times))) if token_times else b""
@@ -118,7 +118,7 @@
     others, so it ranks behind all that can still finish in time.
     """
     if now_ms + seconds_left * 1000 > due_at_ms:
-        return due_at_ms + HOPELESS_PENALTY_MS
+        return due_at_ms + MISSED_DUE_PENALTY_MS
     return due_at_ms
 
 
@@ -148,7 +148,7 @@
     keep arriving.
     """
     late = now_ms + seconds_left * 1000 > due_at_ms
-    hopeless = late and now_ms < due_at_ms + HOPELESS_PENALTY_MS
+    hopeless = late and now_ms < due_at_ms + MISSED_DUE_PENALTY_MS
     priority = min(rank.priority, (1 << _PRIORITY_BITS) - 1)
     step = 0 if rank.by_due else min(rank.tag // TAG_STEP + 1, (1 << _TAG_BITS) - 1)
     due = due_at_ms // _DUE_STEP_MS % (1 << _DUE_BITS)
@@ -174,7 +174,7 @@
     return seconds_left <= left < PRESSING_FACTOR * seconds_left * (1 + queue)
 
 
-def startable(own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], room: int) -> int:
+def count_startable(own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], room: int) -> int:
     """Return how many of this node's items may start.
 
     Args:
--- a/postvalve/core/batch/item_shares.py
+++ b/postvalve/core/batch/item_shares.py
@@ -20,7 +20,7 @@
 MAX_DUE_SECONDS = 1_024
 """Limit on the seconds for which due items are counted, besides seconds with unfinished items. A
 node that works on no item never reads these counts."""
-EQUAL_WEIGHT = 1.0
+DEFAULT_WEIGHT = 1.0
 """Weight of a tenant that the configuration doesn't name."""
 
 
@@ -51,7 +51,7 @@
     end: float = 0.0
     """Tag of the next item to be added."""
 
-    def take_back(self) -> list[_Item]:
+    def remove_all(self) -> list[_Item]:
         """Remove all items, and return them; the cost of finished items stays in `end`."""
         items, self.items = self.items, []
         self.end -= sum(item.cost for item in items)
@@ -63,7 +63,7 @@
     """Items that are due in the same second, without those of cancelled jobs."""
 
     items: int = 0
-    left: int = 0
+    unfinished: int = 0
     """How many of them have no result."""
 
 
@@ -95,7 +95,7 @@
         item = self._items.get((job_id, index))
         return int(item.tag) if item is not None else self.clock
 
-    def accepted(
+    def add_job(
         self, job_id: str, tenant: str, clock: int, due_at_ms: int, tokens: Sequence[int]
     ) -> None:
         """Add the items of an accepted job.
@@ -120,7 +120,7 @@
         else:
             self._requeue_by_due(tenant, queue, new)
 
-    def ended(self, job_id: str, index: int, *, ran: bool) -> None:
+    def end_item(self, job_id: str, index: int, *, ran: bool) -> None:
         """Remove an item that has a result; if it was given up, the clock does not advance."""
         item = self._items.pop((job_id, index), None)
         if item is None:
@@ -130,7 +130,7 @@
         if ran:
             self._clock = max(self._clock, item.tag)
 
-    def closed(self, job_id: str) -> None:
+    def close_job(self, job_id: str) -> None:
         """Remove the remaining items of a cancelled or dropped job; the tenant's later items move
         forward."""
         tenant = self._tenants.pop(job_id, None)
@@ -143,10 +143,10 @@
         for item in removed:
             del self._items[item.key]
             self._count(item, -1, -1)
-        items = queue.take_back()
+        items = queue.remove_all()
         self._append_tagged(tenant, queue, [item for item in items if item.job_id != job_id])
 
-    def reweigh(self, weights: Mapping[str, float]) -> None:
+    def set_weights(self, weights: Mapping[str, float]) -> None:
         """Replace the weights; all backlogged tenants continue from the present clock."""
         normalized = _normalized(weights)
         if normalized == self._weights:
@@ -161,23 +161,23 @@
         for second in [due for due in self.due if due < before]:
             del self.due[second]
 
-    def _count(self, item: _Item, items: int, left: int) -> None:
+    def _count(self, item: _Item, items: int, unfinished: int) -> None:
         count = self.due.setdefault(item.due_at_ms // 1000, DueCount())
         count.items += items
-        count.left += left
+        count.unfinished += unfinished
         if len(self.due) > MAX_DUE_SECONDS:
-            done = [second for second, count in self.due.items() if count.left <= 0]
+            done = [second for second, count in self.due.items() if count.unfinished <= 0]
             if done:
                 del self.due[min(done)]
 
     def _requeue_by_due(self, tenant: str, queue: _TenantQueue, new: Sequence[_Item]) -> None:
         """Add items to a tenant's queue and sort it by due time; cost already consumed is kept."""
-        items = sorted([*queue.take_back(), *new], key=lambda item: item.due_at_ms)
+        items = sorted([*queue.remove_all(), *new], key=lambda item: item.due_at_ms)
         self._append_tagged(tenant, queue, items)
 
     def _append_tagged(self, tenant: str, queue: _TenantQueue, items: Sequence[_Item]) -> None:
         """Append items with consecutive tags, beginning at the end of the queue."""
-        weight = self._weights.get(tenant, EQUAL_WEIGHT)
+        weight = self._weights.get(tenant, DEFAULT_WEIGHT)
         for item in items:
             item.cost = item.tokens / weight
             item.tag = max(queue.end, item.clock)
--- a/postvalve/core/batch/lateness.py
+++ b/postvalve/core/batch/lateness.py
@@ -13,13 +13,13 @@
 
 from postvalve.core.batch.item_shares import DueCount
 
-WINDOW = 10
+LATENESS_WINDOW = 10
 """Seconds of past due times that are considered: longer than a burst of online requests and the
 pause that follows it."""
-MOST, FEW = 0.5, 0.25
+LATE_SHARE_ON, LATE_SHARE_OFF = 0.5, 0.25
 """Hysteresis of `mostly_late`: shares of late items above which it is set and below which it is
 cleared. In between it keeps its value, since ordering by shares itself makes some items late."""
-LEAST_ITEMS = 20
+MIN_ITEMS = 20
 """Items due in the window below which the share of late ones is not significant."""
 
 
@@ -34,10 +34,10 @@
         """Items due in the window."""
         self.late = 0
         """Late items among them."""
-        self.mostly = False
+        self.mostly_late = False
         """Whether most items finish late."""
 
-    def look(self, due: Mapping[int, DueCount], now: float) -> None:
+    def update(self, due: Mapping[int, DueCount], now: float) -> None:
         """Take in the counts of the seconds that have passed; called several times a second.
 
         Args:
@@ -46,17 +46,21 @@
                 reached its former value.
         """
         second = int(now)
-        first = second if self._updated_to is None else max(self._updated_to, second - WINDOW)
+        first = (
+            second if self._updated_to is None else max(self._updated_to, second - LATENESS_WINDOW)
+        )
         for passed in range(first, second):
             count = due.get(passed)
             if count is not None:
-                self._by_second[passed] = count.items, count.left
+                self._by_second[passed] = count.items, count.unfinished
         self._updated_to = max(second, first)
-        for old in [passed for passed in self._by_second if passed < second - WINDOW]:
+        for old in [passed for passed in self._by_second if passed < second - LATENESS_WINDOW]:
             del self._by_second[old]
         self.items = sum(items for items, _ in self._by_second.values())
         self.late = sum(late for _, late in self._by_second.values())
-        if self.items >= LEAST_ITEMS:
-            self.mostly = self.late > self.items * (FEW if self.mostly else MOST)
+        if self.items >= MIN_ITEMS:
+            self.mostly_late = self.late > self.items * (
+                LATE_SHARE_OFF if self.mostly_late else LATE_SHARE_ON
+            )
         elif not self.items:
-            self.mostly = False
+            self.mostly_late = False
--- a/postvalve/core/batch/giving_way.py
+++ b/postvalve/core/batch/preemption.py
@@ -17,12 +17,12 @@
 _ZONE_ENTRY = struct.Struct("!IQH")
 """Hash of the engine, urgency in milliseconds of the epoch, and index of the zone member that runs
 the item."""
-TOLD_TIME = 0.4
+PREEMPT_NOTICE_TIMEOUT = 0.4
 """Seconds within which an item that was asked to stop disappears from the reports. If it is still
 reported after that, the message was lost and is sent again."""
 
 
-class RunningItems:
+class PeerRunningItems:
     """Urgencies of the items that peers run, by engine."""
 
     def __init__(self) -> None:
@@ -94,7 +94,7 @@
     return b"".join(_ENTRY.pack(engine, due) for engine, due in items)
 
 
-def giving_way(
+def count_preempted(
     node_id: str, own: Sequence[int], others: Sequence[tuple[int, str]], excess: int
 ) -> int:
     """Return how many of a node's items at an engine are preempted, its least urgent ones first.
@@ -111,7 +111,7 @@
     return sum(1 for _, owner in order[:excess] if owner == node_id)
 
 
-class VictimChooser:
+class VictimSelector:
     """Selects the items that the watcher of an engine asks nodes to stop.
 
     Items that were asked to stop remain in the reports for a while, so the selector remembers them
@@ -122,7 +122,7 @@
         self._notified: dict[int, list[tuple[float, tuple[int, str]]]] = {}
         """Time and item of each request to stop, by engine hash."""
 
-    def choose(
+    def select(
         self, engine: int, running: Sequence[tuple[int, str]], excess: int, now: float
     ) -> list[tuple[int, str]]:
         """Return urgency and node id of the items that are asked to stop now.
@@ -139,7 +139,7 @@
         candidates = sorted(running, reverse=True)
         pending = []
         for notified_at, item in self._notified.get(engine, ()):
-            if now - notified_at < TOLD_TIME and item in candidates:
+            if now - notified_at < PREEMPT_NOTICE_TIMEOUT and item in candidates:
                 candidates.remove(item)
                 pending.append((notified_at, item))
         chosen = candidates[: max(0, excess - len(pending))]
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.batch.giving_way import RunningItems, encode_running, giving_way
+from postvalve.core.batch.preemption import PeerRunningItems, count_preempted, encode_running
 from postvalve.core.membership.engine_life import EngineLife
-from postvalve.core.membership.report_pace import GATHER_SHARE, IDLE_INTERVAL
+from postvalve.core.membership.report_schedule import GATHER_SHARE, IDLE_INTERVAL
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.fleet.engine_watch import TELL_DELAY
 from postvalve.gateway.jobs.running_item import RunningItem
 
-FOUND_TIME = TELL_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
+DUPLICATE_NOTICE_WINDOW = TELL_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
 """Seconds within which a peer's notice refers to an excess that this node has already handled: the
 request that caused it is reported out of turn, and datagrams are batched twice on the way. A later
 notice is about another online request, which would keep waiting if this node ignored it."""
@@ -41,7 +41,7 @@
         self,
         node_id: str,
         fleet: EngineFleet,
-        peer_items: RunningItems,
+        peer_items: PeerRunningItems,
         items: Callable[[], Iterable[RunningItem]],
         urgency: Callable[[RunningItem], int],
         now: Callable[[], float],
@@ -66,7 +66,7 @@
         """Items recently stopped by this node's own check, for which no peer's notice has come
         yet."""
 
-    def look(self) -> None:
+    def preempt_excess(self) -> None:
         """Stop items at engines that run more requests than they have slots for."""
         for life, running in self._running().items():
             kept = [item for item in running if not item.preempted]
@@ -75,7 +75,7 @@
                 continue
             others = self._peer_items.at(engine_hash(life))
             urgencies = [self._urgency(item) for item in kept]
-            count = giving_way(self._node_id, urgencies, others, excess)
+            count = count_preempted(self._node_id, urgencies, others, excess)
             # Among equally urgent items, those with the least to process again are stopped first.
             kept.sort(key=lambda item: (-self._urgency(item), len(item.events)))
             for item in kept[:count]:
@@ -83,7 +83,7 @@
                 self._local_stops.append(stop)
                 _stop(item, "look")
 
-    def stop_one(self, engine: int, urgency: int) -> None:
+    def preempt_one(self, engine: int, urgency: int) -> None:
         """Stop one item at an engine that is among the least urgent of all nodes.
 
         Args:
@@ -94,7 +94,7 @@
         if self._already_stopped(engine, urgency):
             return
         for life, running in self._running().items():
-            candidates = [item for item in running if not item.told_to_go]
+            candidates = [item for item in running if not item.preempt_requested]
             if engine_hash(life) != engine or not candidates:
                 continue
             # Prefers an item that is already being stopped; among equals, the one with the least to
@@ -105,7 +105,7 @@
             )
             if self._urgency(item) < urgency:
                 continue
-            item.told_to_go = True
+            item.preempt_requested = True
             self._local_stops = [stop for stop in self._local_stops if stop.item is not item]
             if not item.preempted:
                 _stop(item, "told")
@@ -117,7 +117,9 @@
         The peer has seen the same excess, and a second item would be stopped for it.
         """
         now = self._now()
-        self._local_stops = [stop for stop in self._local_stops if now - stop.at < FOUND_TIME]
+        self._local_stops = [
+            stop for stop in self._local_stops if now - stop.at < DUPLICATE_NOTICE_WINDOW
+        ]
         for stop in self._local_stops:
             if stop.gone and stop.engine == engine and stop.urgency >= urgency:
                 self._local_stops.remove(stop)
@@ -146,6 +148,6 @@
 
 def _stop(item: RunningItem, cause: str) -> None:
     item.preempted = True
-    item.stopped_by = cause
+    item.preempted_by = cause
     if item.answer is not None:
         item.answer.abort()
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -29,20 +29,20 @@
 PROGRESS_TOPIC = "progress"
 SAVE_INTERVAL = 1.0
 """Seconds between saves; output after the last save is lost if the node fails."""
-LEAST_EVENTS = 12
+MIN_EVENTS_TO_SAVE = 12
 """New events from which an item is worth saving."""
 CALL_MARGIN = 8_192
 """Bytes of a call that are reserved for keys and lengths."""
-RESTORE_PATIENCE = 1.5
+RESTORE_TIMEOUT = 1.5
 """Seconds for which reading saved progress is retried; after that the items start from the
 beginning."""
-RESTORE_PAUSE = 0.2
+RESTORE_RETRY_DELAY = 0.2
 SWEEP_INTERVAL = 60.0
 """Seconds between sweeps for segments that their writers left behind."""
 COMPRESSION_LEVEL = 1
 
 
-class Progressing(Protocol):
+class SavableItem(Protocol):
     """Attributes of an item that saving its progress needs."""
 
     job_id: str
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class _Save:
-    item: Progressing
+    item: SavableItem
     record: KeyedRecord
     events: int
     last_id: int
@@ -100,7 +100,7 @@
         self._obsolete_keys: dict[int, list[str]] = defaultdict(list)
         """Keys whose records are no longer needed, by partition."""
         self._lock = RLock()
-        self.unfinished: Callable[[], Iterable[Progressing]] = list
+        self.unfinished: Callable[[], Iterable[SavableItem]] = list
 
     def _partition_of(self, node_id: str) -> int:
         # The partition depends on the node, so that all its items are saved with one call.
@@ -124,7 +124,7 @@
                     return
             self._delete_obsolete()
 
-    def save_failures(self, item: Progressing) -> None:
+    def save_failures(self, item: SavableItem) -> None:
         """Save how often an item has failed, for the node that may take its job over."""
         segment = gateway.ItemProgress(failures=item.failures)
         record = KeyedRecord(failures_key(item.job_id, item.index), bytes(segment))
@@ -154,10 +154,10 @@
                 self._obsolete_keys[self._own_partition].append(save.record.key)
         return True
 
-    def _next_save(self, item: Progressing) -> _Save | None:
+    def _next_save(self, item: SavableItem) -> _Save | None:
         chain, last_id = item.chain, item.last_event_id
         new = item.events[chain.saved_events :]
-        if last_id is None or len(new) < LEAST_EVENTS:
+        if last_id is None or len(new) < MIN_EVENTS_TO_SAVE:
             return None
         if not chain.name:
             chain.name = self._new_id()
@@ -185,7 +185,7 @@
 
     # Deletion of segments
 
-    def forget(self, item: Progressing) -> None:
+    def forget(self, item: SavableItem) -> None:
         """Mark the segments of an item that has ended for deletion with the next save."""
         chain = item.chain
         self._obsolete_keys[self._own_partition] += [
@@ -224,7 +224,7 @@
     def restore(self, job: BoardJob) -> SavedJob:
         """Return the saved progress of a job, or an empty one if the store does not answer in
         time."""
-        deadline = self._clock.monotonic() + RESTORE_PATIENCE
+        deadline = self._clock.monotonic() + RESTORE_TIMEOUT
         partitions = {self._partition_of(node_id) for node_id in job.holders}
         while True:
             try:
@@ -235,10 +235,10 @@
                 ]
                 return assemble(found)
             except StoreUnavailableError as exc:
-                if self._clock.monotonic() + RESTORE_PAUSE >= deadline:
+                if self._clock.monotonic() + RESTORE_RETRY_DELAY >= deadline:
                     self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, job=job.job_id)
                     return SavedJob()
-            gevent.sleep(RESTORE_PAUSE)
+            gevent.sleep(RESTORE_RETRY_DELAY)
 
     def _records(self, partition: int, prefix: str) -> list[tuple[str, bytes]]:
         found: list[tuple[str, bytes]] = []
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -9,7 +9,7 @@
 
 from postvalve.clock import Clock
 from postvalve.core.admission.quarantine import Quarantine
-from postvalve.core.batch.item_order import DurationEstimate, startable
+from postvalve.core.batch.item_order import DurationEstimate, count_startable
 from postvalve.core.batch.job_board import BoardJob
 from postvalve.core.membership import load_report
 from postvalve.core.membership.extensions import Extension
@@ -75,7 +75,7 @@
         self._route_named = route_named
         self._wakeup = GeventEvent()
         self._own = OwnItems(identity, events, log, jobs, progress, self.wake)
-        self._own.on_taken = reports.changed
+        self._own.on_job_added = reports.schedule_report
         self._last_pass_at = float("-inf")
         estimate = DurationEstimate()
         self.urgency = ItemUrgency(clock, events, log, peers, estimate)
@@ -106,7 +106,7 @@
         reports.waiting_due = self.waiting_due
         reports.running_items = self.running_items
         reports.items_running = self._preemption.report
-        reports.watch.on_give_way = self._preemption.stop_one
+        reports.watch.on_preempt = self._preemption.preempt_one
         reports.watch.own_urgencies = self._preemption.urgencies_at
 
     @property
@@ -135,20 +135,20 @@
             for item in self._own.all()
             if item.running
         ]
-        return running + self.ends.lately()
+        return running + self.ends.recent()
 
     def wake(self) -> None:
         """Trigger a scheduling pass."""
         self._wakeup.set()
 
-    def note_peers(self) -> None:
+    def on_peer_update(self) -> None:
         """Trigger a scheduling pass after a peer's report, if this node has any items."""
         if self._own.by_job:
             self._wakeup.set()
 
-    def give_up_old(self) -> None:
+    def expire_items(self) -> None:
         """End items that are past their keep time and can't be run, checking forever."""
-        self.ends.give_up_old()
+        self.ends.expire_items()
 
     def abandon(self) -> None:
         """Stop all items at once, without waiting for running ones."""
@@ -165,15 +165,15 @@
                 gevent.sleep(early)
             self._wakeup.clear()
             self._last_pass_at = self._clock.monotonic()
-            self._fleet.use.means.roll(self._last_pass_at)
-            self._preemption.look()
+            self._fleet.use.online_averages.advance(self._last_pass_at)
+            self._preemption.preempt_excess()
             if not self.draining:
                 self._start_items()
 
     def _waiting(self) -> list[_Ranked]:
         """Return the items that may start, the most urgent first."""
         now = self._clock.monotonic()
-        running_elsewhere = self._peers.running_at_leaving()
+        running_elsewhere = self._peers.running_on_leaving_peers()
         waiting = [
             (self.urgency.of(item), item)
             for item in self._own.all()
@@ -203,7 +203,7 @@
         room = self._fleet.batch_room(service, pressing=pressing)
         # Items that are not pressing stay in their zone, and rank among the items of that zone.
         others = self._peers.waiting(None if pressing else self._identity.zone)
-        count = startable(due, others, room)
+        count = count_startable(due, others, room)
         for _, item in items[:count]:
             if not self._start(item, service, pressing=pressing):
                 break
@@ -227,7 +227,7 @@
         if placement is None:
             return False
         item.running = True
-        item.preempted = item.told_to_go = False
+        item.preempted = item.preempt_requested = False
         item.placement = placement
         item.started_at = self._clock.monotonic()
         self._events.emit(
--- a/postvalve/gateway/jobs/item_urgency.py
+++ b/postvalve/gateway/jobs/item_urgency.py
@@ -13,18 +13,18 @@
     share_urgency,
     urgency,
 )
-from postvalve.core.batch.lateness import WINDOW, Lateness
+from postvalve.core.batch.lateness import LATENESS_WINDOW, Lateness
 from postvalve.core.membership.extensions import Extension, Feature
 from postvalve.core.membership.peers import PeerView
 from postvalve.core.routing.route_table import RouteTable
-from postvalve.core.scheduling.weights import weights_of
+from postvalve.core.scheduling.weights import tenant_weights
 from postvalve.events import Event, EventLog
 from postvalve.gateway.jobs.job_log import JobLog
 from postvalve.gateway.jobs.running_item import RunningItem
-from postvalve.gateway.knowledge.topic_follower import OLD_AFTER
+from postvalve.gateway.knowledge.topic_follower import STALE_AFTER
 from postvalve.settings.routes import RoutedTenant
 
-LOOK_AGE = 0.5
+PEER_REFRESH_INTERVAL = 0.5
 """Seconds for which the peers' reports are cached, since the urgency of every item depends on
 them."""
 
@@ -59,7 +59,7 @@
         self._route_priorities = {
             route.name: route.priority for route in table.configuration.routes
         }
-        self._log.weigh(weights_of(tenants))
+        self._log.set_weights(tenant_weights(tenants))
         self._refreshed_at = float("-inf")
 
     @property
@@ -74,15 +74,15 @@
 
     def _refresh(self) -> None:
         now = self._clock.monotonic()
-        if now - self._refreshed_at < LOOK_AGE:
+        if now - self._refreshed_at < PEER_REFRESH_INTERVAL:
             return
         self._refreshed_at = now
-        self._estimate.hear(self._peers.extension_parts(Extension.ITEM_PACE))
+        self._estimate.learn_from_peers(self._peers.extension_parts(Extension.ITEM_PACE))
         has_competing_tenants = len(self._tenants) >= 2
         self._update_lateness()
         able = Feature.BATCH_SHARES in self._peers.features()
         self._by_shares = has_competing_tenants and able
-        order = "shares" if self._by_shares and self._lateness.mostly else "due time"
+        order = "shares" if self._by_shares and self._lateness.mostly_late else "due time"
         if order != self._order:
             self._order = order
             self._events.emit(
@@ -95,12 +95,12 @@
             )
 
     def _update_lateness(self) -> None:
-        if self._log.follower.age > OLD_AFTER:
+        if self._log.follower.age > STALE_AFTER:
             # Recent results are missing, so all items would appear late.
             return
         shares, now = self._log.board.shares, self._clock.wall()
-        self._lateness.look(shares.due, now)
-        shares.forget_due(int(now) - WINDOW)
+        self._lateness.update(shares.due, now)
+        shares.forget_due(int(now) - LATENESS_WINDOW)
 
     def of(self, item: RunningItem) -> int:
         """Return the sort key of an item; the lowest is the most urgent."""
@@ -124,7 +124,7 @@
         job = self._log.board.jobs.get(item.job_id)
         if job is None:
             return None
-        if not self._lateness.mostly:
+        if not self._lateness.mostly_late:
             return ShareRank(0, 0, True, ends_soon)
         tenant = self._tenants.get(job.accepted.tenant)
         own = tenant.priority if tenant is not None else None
--- a/postvalve/gateway/jobs/job_claims.py
+++ b/postvalve/gateway/jobs/job_claims.py
@@ -19,10 +19,10 @@
 CLAIM_AFTER_START = 1.5
 """Seconds after its start before a node claims jobs of others, since it must first hear from
 them."""
-ALL_HEARD_AFTER = 4.0
+ZONE_DISCOVERY_TIMEOUT = 4.0
 """Seconds after its start from which a node treats zones that it has not heard from as gone. A
 zone's digest lists the members only from time to time."""
-STORE_SILENCE = 3.0
+MAX_STORE_SILENCE = 3.0
 """Seconds without contact to the store after which a node claims nothing."""
 
 
@@ -46,14 +46,14 @@
         self._new_id = new_id
         self._started_at = clock.monotonic()
         self.draining = False
-        self.heard_all: Callable[[], bool] = lambda: True
+        self.all_zones_known: Callable[[], bool] = lambda: True
         """Returns whether the members of every zone are known."""
 
     def run(self) -> None:
         """Check for abandoned jobs forever."""
         while True:
             gevent.sleep(CLAIM_INTERVAL)
-            if self.draining or self._log.silence() > STORE_SILENCE:
+            if self.draining or self._log.silence() > MAX_STORE_SILENCE:
                 continue
             for job in self._log.board.open_jobs():
                 if self._should_claim(job):
@@ -66,13 +66,15 @@
             return job.incarnation != identity.incarnation
         if not self._membership_known():
             return False
-        if self._peers.works(job.node_id, job.incarnation):
+        if self._peers.can_run_jobs(job.node_id, job.incarnation):
             return False
         return self._peers.successor(job.job_id, self_works=True) == identity.node_id
 
     def _membership_known(self) -> bool:
         age = self._clock.monotonic() - self._started_at
-        return age >= ALL_HEARD_AFTER or (age >= CLAIM_AFTER_START and self.heard_all())
+        return age >= ZONE_DISCOVERY_TIMEOUT or (
+            age >= CLAIM_AFTER_START and self.all_zones_known()
+        )
 
     def _claim(self, job: BoardJob) -> None:
         claim = gateway.JobClaimed(
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -71,14 +71,14 @@
             pause=FOLLOW_INTERVAL,
         )
 
-    def listen(self, listener: ChangeListener) -> None:
+    def add_listener(self, listener: ChangeListener) -> None:
         """Register a listener for changed jobs."""
         self._listeners.append(listener)
 
-    def weigh(self, weights: Mapping[str, float]) -> None:
+    def set_weights(self, weights: Mapping[str, float]) -> None:
         """Apply the tenants' weights of the present configuration."""
         self._weights = weights
-        self.board.shares.reweigh(weights)
+        self.board.shares.set_weights(weights)
 
     def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
         changed_jobs: set[str] = set()
@@ -106,7 +106,7 @@
 
     def silence(self) -> float:
         """Return the seconds since the store last answered."""
-        return self._clock.monotonic() - self.follower.heard_at
+        return self._clock.monotonic() - self.follower.answered_at
 
     def is_fresh(self, max_age: float) -> bool:
         """Return whether the board holds everything that was acknowledged `max_age` seconds ago."""
@@ -150,7 +150,7 @@
             offset = self._topics.append(JOB_TOPIC, 0, records, at=self.follower.next_offset)
         except PositionTakenError:
             return False
-        if not self.follower.note_own(records, offset):
+        if not self.follower.record_own_write(records, offset):
             self.follower.catch_up()
         return True
 
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -131,7 +131,7 @@
         self.requests: dict[str, list[gateway.ItemRequest]] = {}
         """Requests of items by job, for open jobs that were submitted to this node or run here."""
         self._in_progress: set[str] = set()
-        log.listen(self._forget_requests)
+        log.add_listener(self._forget_requests)
 
     def submit(self, submission: Submission) -> None:
         """Accept a job; returns once it is durable. A resend of an accepted job changes nothing.
@@ -334,7 +334,7 @@
             return self._log.texts.get(ends[:count])
         except (StoreUnavailableError, NotFoundError) as exc:
             # Texts that this node has cached are returned anyway.
-            at_hand = list(itertools.takewhile(self._log.texts.cached, ends[:count]))
+            at_hand = list(itertools.takewhile(self._log.texts.is_cached, ends[:count]))
             self._events.emit(
                 Event.LOG_UNAVAILABLE, error=exc.message, texts=count, at_hand=len(at_hand)
             )
--- a/postvalve/gateway/jobs/own_items.py
+++ b/postvalve/gateway/jobs/own_items.py
@@ -41,10 +41,10 @@
         self.draining = False
         """Whether this node is shutting down: running items finish here even if another node claims
         the job."""
-        self.on_taken: Callable[[], None] = lambda: None
+        self.on_job_added: Callable[[], None] = lambda: None
         """Called when a job was added."""
         progress.unfinished = self.all
-        log.listen(self._jobs_changed)
+        log.add_listener(self._jobs_changed)
 
     def all(self) -> list[RunningItem]:
         """Return all items that have not ended."""
@@ -92,7 +92,7 @@
             for index in job.unfinished()
         }
         self.by_job[job.job_id] = items
-        self.on_taken()
+        self.on_job_added()
         if job.taken_over:
             for item in items.values():
                 item.not_before = math.inf
--- a/postvalve/gateway/jobs/running_item.py
+++ b/postvalve/gateway/jobs/running_item.py
@@ -7,7 +7,7 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.routing.attempt_times import AttemptTimes
 from postvalve.gateway.engines.engine_connections import EngineAnswer
-from postvalve.gateway.engines.request_guard import RequestGuard
+from postvalve.gateway.engines.quarantine_guard import QuarantineGuard
 from postvalve.gateway.fleet.placement import Placement
 from postvalve.gateway.jobs.item_progress import Chain
 
@@ -32,9 +32,9 @@
     running: bool = False
     cancelled: bool = False
     preempted: bool = False
-    told_to_go: bool = False
+    preempt_requested: bool = False
     """Whether a peer has asked this node to stop the present attempt."""
-    stopped_by: str = ""
+    preempted_by: str = ""
     """Cause of the preemption: "look" for this node's own check, "told" for a peer's request."""
     answer: EngineAnswer | None = None
     placement: Placement | None = None
@@ -44,7 +44,7 @@
     run_seconds: float = 0.0
     """Seconds that its previous attempts ran."""
     failed_engine: EngineLife | None = None
-    guard: RequestGuard | None = None
+    guard: QuarantineGuard | None = None
     """State for the quarantine of its request; None until the request was read."""
     chain: Chain = field(default_factory=Chain)
     """Saved segments of its progress."""
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -204,10 +204,10 @@
         self.addCleanup(fleet.stop)
         runner = fleet.nodes["n0"]._runner
         with mock.patch.object(runner, "_wakeup") as wakeup:
-            runner.note_peers()
+            runner.on_peer_update()
             wakeup.set.assert_not_called()
             runner._own.by_job["j"] = {}
-            runner.note_peers()
+            runner.on_peer_update()
             wakeup.set.assert_called_once_with()
 
 
@@ -216,9 +216,7 @@
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         for module in ("load_reports", "zone_digests"):
-            patch = mock.patch(
-                f"postvalve.gateway.fleet.{module}.tells_by_digest", return_value=True
-            )
+            patch = mock.patch(f"postvalve.gateway.fleet.{module}.uses_digests", return_value=True)
             patch.start()
             self.addCleanup(patch.stop)
         fleet.start_node("n1", zone="y")
--- a/tests/test_item_heaps.py
+++ b/tests/test_item_bursts.py
@@ -42,7 +42,7 @@
         if known:
             peer = DurationEstimate()
             peer.observe(ITEM_RUN, TOKENS)
-            self.estimate.hear([peer.pack()])
+            self.estimate.learn_from_peers([peer.pack()])
         self.waiting, self.running, self.online_ends = [], {life: [] for life in self.lives}, []
         self.view_at = -VIEW_AGE
         self.preempted, self.ended, self.late = 0, 0, 0
@@ -50,7 +50,7 @@
     def run(self, seconds):
         for number in range(round(seconds / STEP)):
             self.now = number * STEP
-            self.use.means.roll(self.now)
+            self.use.online_averages.advance(self.now)
             self.end()
             self.arrive()
             self.start()
@@ -150,7 +150,7 @@
         self.jobs += 1
         job_id, due_ms = str(self.jobs), int((self.now + DUE) * 1000)
         tenant = f"t{int(self.random.expovariate(0.3))}"
-        self.shares.accepted(job_id, tenant, self.shares.clock, due_ms, [TOKENS] * 10)
+        self.shares.add_job(job_id, tenant, self.shares.clock, due_ms, [TOKENS] * 10)
         return [{**item, "job": job_id, "idx": idx} for idx, item in enumerate(super().job())]
 
     def order(self, item):
@@ -170,7 +170,7 @@
             for life, items in before.items():
                 for item in items:
                     if not any(item is running for running in self.running[life]):
-                        self.shares.ended(item["job"], item["idx"], ran=True)
+                        self.shares.end_item(item["job"], item["idx"], ran=True)
 
 
 class BurstTest(unittest.TestCase):
--- a/tests/test_item_urgency.py
+++ b/tests/test_item_urgency.py
@@ -7,7 +7,7 @@
 from postvalve.core.batch.job_board import JobBoard
 from postvalve.core.membership.extensions import Feature
 from postvalve.events import Event
-from postvalve.gateway.jobs.item_urgency import LOOK_AGE, ItemUrgency
+from postvalve.gateway.jobs.item_urgency import PEER_REFRESH_INTERVAL, ItemUrgency
 from postvalve.gateway.jobs.running_item import RunningItem
 from postvalve.settings.routes import RoutedTenant
 
@@ -41,9 +41,9 @@
         """Let `late` of the `due` items of the last second have no result."""
         shares = self.log.board.shares
         self.urgency.of(self.item("any"))
-        shares.accepted("due", "ann", 0, int(self.now * 1000) + 500, [1] * due)
+        shares.add_job("due", "ann", 0, int(self.now * 1000) + 500, [1] * due)
         for idx in range(due - late):
-            shares.ended("due", idx, ran=True)
+            shares.end_item("due", idx, ran=True)
         self.now += 1.0
 
     def item(self, job_id="j", due=200.0, tenant="ann", **how):
@@ -69,12 +69,12 @@
     def test_shares_decide_when_all_nodes_support_them_and_changes_are_logged(self):
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.make_items_late()
-        self.log.board.shares.accepted("a", "ann", 0, 0, [1])
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("a", "ann", 0, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         late, soon = self.item("a", 200.0), self.item("b", 150.0, "bob")
         self.assertTrue(self.precedes(late, soon))
         self.features = Feature.NONE
-        self.now += LOOK_AGE
+        self.now += PEER_REFRESH_INTERVAL
         self.assertTrue(self.precedes(soon, late))
         orders = [call.kwargs["order"] for call in self.events.emit.call_args_list]
         self.assertEqual(orders, ["shares", "due time"])
@@ -85,8 +85,8 @@
     def test_due_time_decides_while_most_items_end_in_time(self):
         """Guards against late items of large tenants while by due time all items wait alike."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
-        self.log.board.shares.accepted("a", "ann", 0, 0, [1])
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("a", "ann", 0, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         late, soon = self.item("a", 200.0), self.item("b", 150.0, "bob")
         self.assertTrue(self.precedes(soon, late))
         self.make_items_late(late=RECENTLY_DUE // 2)
@@ -112,15 +112,15 @@
         late."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.make_items_late()
-        self.log.board.shares.accepted("a", "ann", 0, 0, [1])
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("a", "ann", 0, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         new, begun = self.item("a", 150.0), self.item("b", 150.0, "bob", events=[b"one"])
         self.assertTrue(self.precedes(begun, new))
 
     def test_priority_precedes_share(self):
         self.configure(RoutedTenant(name="ann", priority=1), RoutedTenant(name="bob", priority=0))
         self.make_items_late()
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         ann, bob = self.item("a"), self.item("b", tenant="bob")
         self.assertTrue(self.precedes(bob, ann))
 
@@ -133,8 +133,8 @@
     def test_an_item_about_to_finish_is_preempted_last(self):
         for tenants in ((), (RoutedTenant(name="ann"), RoutedTenant(name="bob"))):
             self.configure(*tenants)
-            self.log.board.shares.accepted("b", "bob", 0, 0, [1])
-            self.log.board.shares.accepted("a", "ann", 10**6, 0, [1])
+            self.log.board.shares.add_job("b", "bob", 0, 0, [1])
+            self.log.board.shares.add_job("a", "ann", 10**6, 0, [1])
             begun = self.item("b", 150.0, "bob", running=True, started_at=self.now)
             ending = self.item("a", 200.0, running=True, started_at=self.now - RUN)
             self.assertTrue(self.precedes(ending, begun))
