--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -174,15 +174,17 @@
     return seconds_left <= left < PRESSING_FACTOR * seconds_left * (1 + queue)
 
 
-def count_startable(own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], room: int) -> int:
+def count_startable(
+    own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], free_slots: int
+) -> int:
     """Return how many of this node's items may start.
 
     Args:
         own_due: Due times of this node's waiting items, ascending, in milliseconds.
         peers_due: Due time and number of the items that wait at other nodes.
-        room: Free slots of all engines.
+        free_slots: Free slots of all engines.
     """
-    if room <= 0:
+    if free_slots <= 0:
         return 0
     groups = sorted(peers_due)
     due_times = [due for due, _ in groups]
@@ -192,7 +194,7 @@
     started = 0
     for due in own_due:
         more_urgent = before[bisect_left(due_times, due)]
-        if started + more_urgent >= room:
+        if started + more_urgent >= free_slots:
             break
         started += 1
     return started
--- a/postvalve/core/batch/job_ledger.py
+++ b/postvalve/core/batch/job_ledger.py
@@ -72,7 +72,7 @@
         elif isinstance(body, records.JobCancelled):
             self._end(JobState.CANCELLED, body.cancelled_at_ms)
         elif isinstance(body, records.JobFinished):
-            self._note_finish(body)
+            self._record_finish(body)
         return []
 
     def submission_outcome(self, request_digest: str) -> SubmissionOutcome | None:
@@ -118,7 +118,7 @@
             self.failed += 1
         return True
 
-    def _note_finish(self, body: records.JobFinished) -> None:
+    def _record_finish(self, body: records.JobFinished) -> None:
         if self.state is JobState.COMPLETED and not self.ended_at_ms:
             self.ended_at_ms = body.finished_at_ms
 
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -79,15 +79,15 @@
     def run(self, item: RunningItem, placement: Placement) -> None:
         """Run an item that was already counted at an engine, and remove it from the count
         afterwards."""
-        held = True
+        occupied_slot = True
         # Discards the times of the previous attempt, at another engine, before this request is
         # sent.
         item.times = AttemptTimes(self._clock.monotonic())
         try:
             self._attempt(item, placement)
         except PostvalveError as error:
-            held = error.verdict is not Verdict.NOT_RUN
-            self._note_failure(item, placement, error)
+            occupied_slot = error.verdict is not Verdict.NOT_RUN
+            self._record_failure(item, placement, error)
         finally:
             if item.answer is not None:
                 item.answer.close()
@@ -98,7 +98,7 @@
             item.placement = None
             seconds = self._clock.monotonic() - item.started_at
             item.run_seconds += seconds
-            if held:
+            if occupied_slot:
                 self._ends.record_run(item, seconds)
             self._fleet.release(placement)
             self._wake()
@@ -109,8 +109,8 @@
             return
         item_id = job.items[item.index].item_id
         req = self._jobs.item_request(job, item.index)
-        named = [(header.name, header.value) for header in req.headers]
-        guard = self._guard_of(item, job, req, named)
+        header_pairs = [(header.name, header.value) for header in req.headers]
+        guard = self._guard_of(item, job, req, header_pairs)
         guard.check()
         engine = placement.engine
 
@@ -122,7 +122,7 @@
             return not item.preempted and self._fleet.takes_work(engine.life)
 
         headers = self._dialect.attempt_headers(
-            self._dialect.item_headers(named, item_id, job.accepted.host),
+            self._dialect.item_headers(header_pairs, item_id, job.accepted.host),
             job.accepted.tenant,
             engine.engine_id,
             None,
@@ -216,7 +216,7 @@
             number = event_id_of(event)
             if number is None:
                 continue
-            self._note_event(item)
+            self._record_event(item)
             if item.guard is not None:
                 item.guard.record_event()
             item.events.append(event_data(event))
@@ -224,7 +224,7 @@
             if not answer.has_event():
                 gevent.sleep(READ_INTERVAL)
 
-    def _note_event(self, item: RunningItem) -> None:
+    def _record_event(self, item: RunningItem) -> None:
         times, placement = item.times, item.placement
         times.record_event(self._clock.monotonic())
         if placement is None:
@@ -233,7 +233,9 @@
         if times.events == 1:
             self._fleet.paces.record_first_event(placement, times.first_event)
 
-    def _note_failure(self, item: RunningItem, placement: Placement, error: PostvalveError) -> None:
+    def _record_failure(
+        self, item: RunningItem, placement: Placement, error: PostvalveError
+    ) -> None:
         if item.cancelled:
             return
         if isinstance(error, QuarantinedError):
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -33,7 +33,7 @@
 from postvalve.messages.generated import gateway
 from postvalve.settings.routes import RouteSpec
 
-START_INTERVAL = 0.1
+PASS_INTERVAL = 0.1
 """Seconds between scheduling passes if no event triggers one."""
 IDLE_INTERVAL = 1.0
 """Seconds between passes while this node works on no job; a new job wakes it."""
@@ -158,11 +158,11 @@
     def run(self) -> None:
         """Run scheduling passes forever."""
         while True:
-            self._wakeup.wait(START_INTERVAL if self._own.by_job else IDLE_INTERVAL)
+            self._wakeup.wait(PASS_INTERVAL if self._own.by_job else IDLE_INTERVAL)
             # Waits here for the minimum interval, so that this wake-up serves the pass; a timer
             # would cause another one.
-            if (early := self._last_pass_at + MIN_PASS_INTERVAL - self._clock.monotonic()) > 0:
-                gevent.sleep(early)
+            if (remaining := self._last_pass_at + MIN_PASS_INTERVAL - self._clock.monotonic()) > 0:
+                gevent.sleep(remaining)
             self._wakeup.clear()
             self._last_pass_at = self._clock.monotonic()
             self._fleet.use.online_averages.advance(self._last_pass_at)
@@ -200,10 +200,10 @@
         """Start the most urgent of these items, as far as slots are left beside the other nodes'
         items."""
         due = [urgency for urgency, _ in items]
-        room = self._fleet.batch_room(service, pressing=pressing)
+        free_slots = self._fleet.batch_room(service, pressing=pressing)
         # Items that are not pressing stay in their zone, and rank among the items of that zone.
         others = self._peers.waiting(None if pressing else self._identity.zone)
-        count = count_startable(due, others, room)
+        count = count_startable(due, others, free_slots)
         for _, item in items[:count]:
             if not self._start(item, service, pressing=pressing):
                 break
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -80,9 +80,9 @@
         self._weights = weights
         self.board.shares.set_weights(weights)
 
-    def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
+    def _observe(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
         changed_jobs: set[str] = set()
-        if whole:
+        if is_snapshot:
             records_read = ((record.offset, record.key, record.value) for record in records)
             self.board = board_of(records_read, self._weights)
             changed_jobs.update(self.board.jobs)
@@ -164,11 +164,11 @@
         Raises:
             StoreUnavailableError: They may not be durable; nothing refers to them.
         """
-        named = [
+        keyed = [
             (_request_prefix(job_id, nonce, index), request)
             for index, request in enumerate(requests)
         ]
-        return self._requests.put(partition, named)
+        return self._requests.put(partition, keyed)
 
     def request(self, job: BoardJob, index: int) -> bytes:
         """Read the request of an item.
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -271,7 +271,7 @@
                 if self._clock.monotonic() + RETRY_DELAY >= deadline:
                     raise self._acceptance_error(submission, tried_at, error) from error
                 gevent.sleep(RETRY_DELAY)
-        self._note_accepted(submission)
+        self._log_accepted(submission)
 
     def _acceptance_error(
         self, submission: Submission, tried_at: int, error: StoreUnavailableError
@@ -281,7 +281,7 @@
         self._events.emit(Event.ROUTED_JOB_UNDECIDED, job=submission.job_id, error=error.message)
         return UndecidedError("the store does not answer")
 
-    def _note_accepted(self, submission: Submission) -> None:
+    def _log_accepted(self, submission: Submission) -> None:
         self._events.emit(
             Event.ROUTED_JOB_ACCEPTED,
             job=submission.job_id,
@@ -334,15 +334,15 @@
             return self._log.texts.get(ends[:count])
         except (StoreUnavailableError, NotFoundError) as exc:
             # Texts that this node has cached are returned anyway.
-            at_hand = list(itertools.takewhile(self._log.texts.is_cached, ends[:count]))
+            cached = list(itertools.takewhile(self._log.texts.is_cached, ends[:count]))
             self._events.emit(
-                Event.LOG_UNAVAILABLE, error=exc.message, texts=count, at_hand=len(at_hand)
+                Event.LOG_UNAVAILABLE, error=exc.message, texts=count, at_hand=len(cached)
             )
-            if not at_hand:
+            if not cached:
                 raise RefusedError(
                     "the store is out of reach", retry_after=STORE_RETRY_AFTER
                 ) from exc
-            return self._log.texts.get(at_hand)
+            return self._log.texts.get(cached)
 
     def _job(self, job_id: str) -> BoardJob:
         job = self._log.board.jobs.get(job_id)
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -294,13 +294,11 @@
         estimate = DurationEstimate()
         estimate.learn_from_peers([b"", b"\x00"])
         self.assertEqual(estimate.seconds_left(1_000, 0.0), 0.0)
-        estimate.learn_from_peers([estimate.pack() for estimate in estimates])
+        estimate.learn_from_peers([peer.pack() for peer in estimates])
         self.assertAlmostEqual(estimate.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(estimate.pack(), b"")
         zone = DurationEstimate()
-        zone.learn_from_peers(
-            [merge_token_times([estimate.pack() for estimate in estimates] + [b""])]
-        )
+        zone.learn_from_peers([merge_token_times([peer.pack() for peer in estimates] + [b""])])
         self.assertAlmostEqual(zone.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(merge_token_times([b""]), b"")
 
