--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -56,8 +56,7 @@
         self._reported: float | None = None
 
     def observe(self, seconds: float, output_tokens: int) -> None:
-        """Add the run time of a completed item; `output_tokens` is the most it may have
-        generated."""
+        """Add the run time of a completed item that may have generated up to `output_tokens`."""
         sample = seconds / max(1, output_tokens)
         known = self._measured
         if known is None:
@@ -148,11 +147,11 @@
     keep arriving.
     """
     late = now_ms + seconds_left * 1000 > due_at_ms
-    hopeless = late and now_ms < due_at_ms + MISSED_DUE_PENALTY_MS
+    misses_due = late and now_ms < due_at_ms + MISSED_DUE_PENALTY_MS
     priority = min(rank.priority, (1 << _PRIORITY_BITS) - 1)
     step = 0 if rank.by_due else min(rank.tag // TAG_STEP + 1, (1 << _TAG_BITS) - 1)
     due = due_at_ms // _DUE_STEP_MS % (1 << _DUE_BITS)
-    key = int(hopeless) << _PRIORITY_BITS | priority
+    key = int(misses_due) << _PRIORITY_BITS | priority
     key = key << 1 | int(not rank.nearly_ended)
     key = key << _TAG_BITS | step
     return key << _DUE_BITS | due
--- a/postvalve/core/batch/item_shares.py
+++ b/postvalve/core/batch/item_shares.py
@@ -131,8 +131,7 @@
             self._clock = max(self._clock, item.tag)
 
     def close_job(self, job_id: str) -> None:
-        """Remove the remaining items of a cancelled or dropped job; the tenant's later items move
-        forward."""
+        """Remove the remaining items of a job; the tenant's later items move forward."""
         tenant = self._tenants.pop(job_id, None)
         if tenant is None:
             return
--- a/postvalve/core/batch/job_board.py
+++ b/postvalve/core/batch/job_board.py
@@ -83,8 +83,7 @@
 
     @property
     def taken_over(self) -> bool:
-        """Whether another node, or an earlier incarnation of this one, has worked on the job
-        before."""
+        """Whether another node, or another incarnation of this one, worked on the job before."""
         return self.claim_id != self.accepted.claim_id
 
     @property
@@ -218,8 +217,7 @@
         )
 
     def expired(self, now_ms: int, status_ms: int) -> list[BoardJob]:
-        """Return the jobs that no longer have to be readable; both arguments are in
-        milliseconds."""
+        """Return the jobs that no longer have to be readable; times are in milliseconds."""
         return [
             job
             for job in self.jobs.values()
--- a/postvalve/core/batch/preemption.py
+++ b/postvalve/core/batch/preemption.py
@@ -61,8 +61,7 @@
         self._by_source.pop(source, None)
 
     def at(self, engine: int) -> list[tuple[int, str]]:
-        """Return urgency and node id of each item that peers run at an engine, given the engine's
-        hash."""
+        """Return urgency and node id of the items that peers run at the engine with this hash."""
         return [entry for engines in self._by_source.values() for entry in engines.get(engine, ())]
 
 
@@ -80,8 +79,7 @@
 
 
 def encode_zone_running(reports: Iterable[bytes]) -> bytes:
-    """Encode the running items of a zone for its digest, from one report per member in member
-    order."""
+    """Encode a zone's running items for its digest, from one report per member in order."""
     return b"".join(
         _ZONE_ENTRY.pack(engine, due, idx)
         for idx, report in enumerate(reports)
--- a/postvalve/core/batch/progress.py
+++ b/postvalve/core/batch/progress.py
@@ -16,8 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedItem:
-    """Saved progress of an item that another node, or an earlier incarnation of this one, has
-    run."""
+    """Saved progress of an item that another node, or an earlier incarnation, has run."""
 
     last_event_id: int
     texts: tuple[bytes, ...]
--- a/postvalve/core/batch/scheduler.py
+++ b/postvalve/core/batch/scheduler.py
@@ -197,8 +197,7 @@
             job.returned.append(key.item_index)
 
     def withhold(self, key: ItemKey) -> None:
-        """Exclude a taken item from being handed out, since an earlier start of it may still
-        run."""
+        """Exclude a taken item from dispatch, since an earlier start of it may still run."""
         self._decrement_running(key)
         job = self._jobs.get(key.job_id)
         if job is not None:
--- a/postvalve/gateway/jobs/end_writer.py
+++ b/postvalve/gateway/jobs/end_writer.py
@@ -106,8 +106,7 @@
                 self._events.emit(Event.LOG_UNAVAILABLE, error=error.message, ends=len(batch))
 
     def _store_texts(self, batch: list[EndedItem]) -> dict[str, ValueRef]:
-        """Store the texts, retrying until the store accepts them; returns their locations by
-        prefix."""
+        """Store the texts, retrying until it succeeds; returns their locations by prefix."""
         texts = [(ended.prefix, ended.text) for ended in batch if ended.text]
         while texts:
             try:
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -77,8 +77,7 @@
         self._wake = wake
 
     def run(self, item: RunningItem, placement: Placement) -> None:
-        """Run an item that was already counted at an engine, and remove it from the count
-        afterwards."""
+        """Run an item that was already counted at an engine, and uncount it afterwards."""
         occupied_slot = True
         # Discards the times of the previous attempt, at another engine, before this request is
         # sent.
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -111,8 +111,7 @@
                 _stop(item, "told")
 
     def _already_stopped(self, engine: int, urgency: int) -> bool:
-        """Return whether this node's own check has already stopped the item that a notice refers
-        to.
+        """Return whether a notice refers to an item that this node has already stopped itself.
 
         The peer has seen the same excess, and a second item would be stopped for it.
         """
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -77,8 +77,10 @@
 
 
 class ProgressLog:
-    """Saved progress of one node's items. It avoids repeated work; correctness does not depend on
-    it."""
+    """Saved progress of one node's items.
+
+    It avoids repeated work; correctness does not depend on it.
+    """
 
     def __init__(
         self,
@@ -113,8 +115,7 @@
             self.save()
 
     def save(self) -> None:
-        """Save the events received since the last save, and delete segments of items that have
-        ended."""
+        """Save newly received events, and delete the segments of items that have ended."""
         with self._lock:
             saves = [
                 save for item in self.unfinished() if (save := self._next_save(item)) is not None
@@ -222,8 +223,7 @@
     # Restoring
 
     def restore(self, job: BoardJob) -> SavedJob:
-        """Return the saved progress of a job, or an empty one if the store does not answer in
-        time."""
+        """Return the saved progress of a job; empty if the store does not answer in time."""
         deadline = self._clock.monotonic() + RESTORE_TIMEOUT
         partitions = {self._partition_of(node_id) for node_id in job.holders}
         while True:
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -128,8 +128,7 @@
         return [] if self.draining else [urgency for urgency, _ in self._waiting()]
 
     def running_items(self) -> list[load_report.RunningItem]:
-        """Return the items that run here, and those whose ends other nodes may not have read
-        yet."""
+        """Return the running items, and those whose ends other nodes may not have read yet."""
         running = [
             load_report.RunningItem(job_id=item.job_id, item_index=item.index)
             for item in self._own.all()
@@ -197,8 +196,7 @@
             self._start_group(rest, service, pressing=False)
 
     def _start_group(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
-        """Start the most urgent of these items, as far as slots are left beside the other nodes'
-        items."""
+        """Start the most urgent of these items, as far as other nodes' items leave slots."""
         due = [urgency for urgency, _ in items]
         free_slots = self._fleet.batch_room(service, pressing=pressing)
         # Items that are not pressing stay in their zone, and rank among the items of that zone.
--- a/postvalve/gateway/jobs/item_urgency.py
+++ b/postvalve/gateway/jobs/item_urgency.py
@@ -113,8 +113,7 @@
         return max(0, due - NEARLY_ENDED_BONUS_MS) if ends_soon else due
 
     def _ends_soon(self, item: RunningItem, now_ms: int, left: float) -> bool:
-        """Return whether a running item is about to finish in time, so that it is preempted
-        last."""
+        """Return whether a running item is about to finish in time; it is preempted last."""
         if not item.running or now_ms + left * 1000 > item.due_at_ms:
             return False
         run = item.seconds_run(self._clock.monotonic())
@@ -138,7 +137,6 @@
         return self._estimate.seconds_left(item.output_tokens, run)
 
     def is_pressing(self, item: RunningItem, queue: float) -> bool:
-        """Return whether an item must start soon to finish in time; see
-        `item_order.is_pressing`."""
+        """Return whether an item must start soon to finish in time (`item_order.is_pressing`)."""
         now_ms = milliseconds(self._clock.wall())
         return is_pressing(item.due_at_ms, now_ms, self.seconds_left(item), queue)
--- a/tests/test_item_attempts.py
+++ b/tests/test_item_attempts.py
@@ -50,8 +50,7 @@
         raise AttemptError("cut", Verdict.MAY_HAVE_RUN)
 
     def test_its_request_is_not_sent(self):
-        """Guards against an engine processing the prompt in a slot that an online request waits
-        for."""
+        """Guards against processing the prompt in a slot that an online request waits for."""
         self.pool.send_request = self.start
         self.attempts.run(self.item, self.placement)
         self.assertEqual(self.sent, 0)
--- a/tests/test_item_bursts.py
+++ b/tests/test_item_bursts.py
@@ -181,11 +181,10 @@
         )
 
     def test_fewer_are_preempted_when_peers_report_item_durations(self):
-        """Guards against treating all items as pressing at a node where none has finished, since
-        these leave no slots for a burst.
+        """Guards against a node where no item has finished treating all items as pressing.
 
-        Preempted and finished items in three simulations of 46 s: 1,339 and 1,527 without the
-        peers' estimates, 1,152 and 1,539 with them.
+        These would leave no slots for a burst. Preempted and finished items in three simulations of
+        46 s: 1,339 and 1,527 without the peers' estimates, 1,152 and 1,539 with them.
         """
         preempted, ended = self.counts(known=True)
         blind_preempted, blind_ended = self.counts(known=False)
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -117,8 +117,7 @@
         st.lists(st.integers(0, 5), max_size=6),
     )
     def test_nodes_together_stop_the_excess_in_any_order(self, nodes, excess, order):
-        """Compares with one list of all items; nodes learn of each other's stops only
-        afterwards."""
+        """Compares with one list of all items; nodes learn of each other's stops afterwards."""
         views = {}
         for number in range(len(nodes)):
             views[number] = view = PeerRunningItems()
--- a/tests/test_item_preemption.py
+++ b/tests/test_item_preemption.py
@@ -75,9 +75,11 @@
         self.assertEqual(self.stopped(), [0, 1])
 
     def test_a_notice_about_the_next_excess_stops_an_item(self):
-        """Guards against ignoring a notice about another online request, which would wait until the
-        notice is sent again. A notice about an excess that the local check has seen arrives as fast
-        as datagrams do."""
+        """Guards against ignoring a notice about another online request.
+
+        That request would wait until the notice is sent again. A notice about an excess that the
+        local check has seen arrives as fast as datagrams do.
+        """
         self.items = [running(0, 50), running(1, 50)]
         self.excess = 1
         self.preemption.preempt_excess()
--- a/tests/test_item_progress.py
+++ b/tests/test_item_progress.py
@@ -57,8 +57,7 @@
 
 
 class DelayedTopics(MemoryTopics):
-    """Topics whose next append succeeds, is lost, is refused or takes effect late, as a test sets
-    it."""
+    """Topics whose next append succeeds, is lost, is refused or is delayed, as a test sets."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -147,8 +147,7 @@
     def test_two_backlogged_tenants_differ_by_at_most_a_step_and_one_item_each(
         self, ann, bob, weight, slots, seed
     ):
-        """Bounds the difference of started tokens divided by weight, in whatever order items
-        end."""
+        """Bounds the difference of started tokens divided by weight, for any order of ends."""
         log = Log({"ann": 1.0, "bob": weight})
         mean = (1 + weight) / 2
         log.accept("a", "ann", list(enumerate(ann)), due=1_000)
@@ -175,8 +174,7 @@
             self.assertLessEqual(abs(started["a"] - started["b"]), bound + 1)
 
     def test_no_item_starves_while_others_keep_arriving(self):
-        """Also beside tenants that have not sent anything before: all of them rank equally, and due
-        time decides."""
+        """Also beside tenants that are new: all of them rank equally, and due time decides."""
         log = Log()
         log.accept("one", "ann", [(0, 15_000)], due=20_000)
         for now in range(0, 400, 10):
@@ -247,8 +245,7 @@
         return share_urgency(ShareRank(priority, tag), due, 10_000, left)
 
     def test_order_of_the_sort_key(self):
-        """Items that would be late come last; the others are ordered by priority, share and due
-        time."""
+        """Items that would be late come last; then priority, share and due time decide."""
         ordered = [
             self.rank(0),
             self.rank(TAG_STEP - 1, due=21_000),
@@ -260,8 +257,11 @@
         self.assertEqual(len(set(ordered)), len(ordered))
 
     def test_an_item_overdue_for_long_no_longer_ranks_last(self):
-        """Guards against a tenant's late items never starting while another tenant sends more than
-        the engines can run. Under due-time order they start after the same delay."""
+        """Guards against a tenant's late items never starting while another tenant overloads the
+        fleet.
+
+        Under due-time order they start after the same delay.
+        """
         due = 20_000
         for late, goes_first in ((MISSED_DUE_PENALTY_MS - 1, False), (MISSED_DUE_PENALTY_MS, True)):
             now = due + late
@@ -275,8 +275,7 @@
 
     @given(st.lists(st.integers(1, 10**6), max_size=20))
     def test_equal_tags_go_by_due_time(self, due):
-        """Compares with the order by due time, at the resolution in which the sort key holds due
-        times."""
+        """Compares with the order by due time, at the resolution of the sort key."""
         now = 0
         by_share = sorted(due, key=lambda due_ms: share_urgency(ShareRank(0, 7), due_ms, now, 0.0))
         by_due = sorted(due, key=lambda due_ms: urgency(due_ms, now, 0.0))
@@ -285,8 +284,7 @@
 
 class ReportedEstimateTest(unittest.TestCase):
     def test_a_node_without_finished_items_uses_the_peers_estimates(self):
-        """Guards against treating all items as pressing, which start beside a burst and are
-        preempted at once."""
+        """Guards against treating all items as pressing, which a burst then preempts at once."""
         estimates = []
         for seconds in (4.0, 5.0, 60.0):
             estimates.append(DurationEstimate())
--- a/tests/test_item_urgency.py
+++ b/tests/test_item_urgency.py
@@ -99,8 +99,7 @@
         self.assertTrue(self.precedes(soon, late))
 
     def test_a_node_with_a_stale_log_counts_no_item_as_late(self):
-        """Guards against ordering by shares because results are missing, while other nodes order by
-        due time."""
+        """Guards against one node ordering by shares because it lacks results that others have."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.log.follower.age = 3.0
         self.make_items_late()
@@ -108,8 +107,7 @@
         self.events.emit.assert_not_called()
 
     def test_begun_items_precede_new_items_of_another_tenants_share(self):
-        """Guards against lost work: an item preempted for another tenant's share finishes too
-        late."""
+        """Guards against lost work: items preempted for another tenant's share end too late."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.make_items_late()
         self.log.board.shares.add_job("a", "ann", 0, 0, [1])
@@ -125,8 +123,8 @@
         self.assertTrue(self.precedes(bob, ann))
 
     def test_time_already_run_counts_towards_the_estimate(self):
-        """Guards against preempting an item shortly before its end in favour of one that must run
-        in full."""
+        """Guards against preempting an item shortly before its end for one that must run in
+        full."""
         item = self.item(due=106.0, running=True, started_at=92.0)
         self.assertEqual(self.urgency.of(item), 106_000)
 
--- a/tests/test_job_board.py
+++ b/tests/test_job_board.py
@@ -1,5 +1,4 @@
-"""Board of routed batch jobs: all readers reach the same state, also from the newest records
-alone."""
+"""Board of routed batch jobs: all readers, also of the newest records alone, agree on its state."""
 
 import contextlib
 import unittest
--- a/tests/test_job_log.py
+++ b/tests/test_job_log.py
@@ -266,9 +266,12 @@
 
 class RestartTest(unittest.TestCase):
     def test_a_job_accepted_while_the_board_is_read_is_found(self):
-        """Guards against missing a job that another node accepts while a starting node reads the
-        board in pages. The fault was found by a randomized test in which nodes start and accept
-        jobs at the same time."""
+        """Guards against missing a job that is accepted while a starting node reads the board in
+        pages.
+
+        The fault was found by a randomized test in which nodes start and accept jobs at the same
+        time.
+        """
         topics = MemoryTopics()
         for number in range(600):
             topics.append("jobs", 0, [KeyedRecord(f"item/x/{number}", b"\x00")])
