--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -124,7 +124,7 @@
                 attempt may have taken effect.
         """
         deadline = self._clock.monotonic() + timeout
-        verdict, pause = Verdict.NOT_RUN, RETRY_DELAY
+        verdict, delay = Verdict.NOT_RUN, RETRY_DELAY
         for attempt in itertools.count():
             try:
                 self._topics.append(JOB_TOPIC, 0, _for_attempt(records, attempt))
@@ -132,10 +132,10 @@
             except StoreUnavailableError as error:
                 if error.verdict is not Verdict.NOT_RUN:
                     verdict = error.verdict
-                if self._clock.monotonic() + pause >= deadline:
+                if self._clock.monotonic() + delay >= deadline:
                     raise StoreUnavailableError(error.message, verdict) from error
-            gevent.sleep(pause)
-            pause = min(MAX_RETRY_DELAY, pause * 2)
+            gevent.sleep(delay)
+            delay = min(MAX_RETRY_DELAY, delay * 2)
 
     def append_at_end(self, records: Sequence[KeyedRecord]) -> bool:
         """Append if the topic holds nothing that this board does not, and apply the records to it.
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -98,8 +98,8 @@
         self.assertEqual(len(self.runs()), 3)
 
     def test_a_job_sent_to_two_nodes_at_once_runs_once(self):
-        sent = [gevent.spawn(self.submit, node, "j") for node in ("n0", "n1")]
-        self.assertEqual([task.get().status for task in sent], [202, 202])
+        tasks = [gevent.spawn(self.submit, node, "j") for node in ("n0", "n1")]
+        self.assertEqual([task.get().status for task in tasks], [202, 202])
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
@@ -139,8 +139,8 @@
         wait_until(
             lambda: all(node.configuration.revision == 4 for node in self.fleet.nodes.values())
         )
-        sent = [gevent.spawn(self.submit, f"n{n % 2}", f"j{n}") for n in range(4)]
-        answers = [task.get() for task in sent]
+        tasks = [gevent.spawn(self.submit, f"n{n % 2}", f"j{n}") for n in range(4)]
+        answers = [task.get() for task in tasks]
         self.assertEqual(sorted(answer.status for answer in answers), [202, 202, 429, 429])
         for answer in answers:
             self.assertEqual("retry-after" in answer.headers, answer.status == 429)
@@ -168,11 +168,11 @@
         self.assertEqual(len(self.runs()), 1)
 
     def test_an_engine_that_takes_no_connection_is_avoided(self):
-        dead, sound = self.fleet.engines
+        dead, healthy = self.fleet.engines
         dead.stop()
         self.submit("n0", "j")
         self.results("n1", "j")
-        self.assertEqual(len(sound.runs), 3)
+        self.assertEqual(len(healthy.runs), 3)
         failed = {event["engine"] for event in self.fleet.events("n0", Event.ROUTED_ITEM_FAILED)}
         avoided = {event["engine"] for event in self.fleet.events("n0", Event.ENGINE_SUSPECT)}
         self.assertEqual((failed, avoided), ({dead.engine_id}, {dead.engine_id}))
@@ -223,8 +223,8 @@
         fleet.engines[0].usual = Behaviour(pause=0.05, events=1_000)
         body = job_body("j", items=3)
         fleet.request("n0", BATCH_PATH + "x", body=body, request_id="j")
-        there = fleet.nodes["n1"]
-        running = there._reports.items
+        remote = fleet.nodes["n1"]
+        running = remote._reports.items
         wait_until(lambda: [node_id for _, node_id in running.at(engine_hash("e0"))] == ["n0"] * 3)
         # From now on only a notice can inform the other zone, since no digests are sent.
         with mock.patch.object(ZoneReporting, "is_due", return_value=False):
--- a/tests/test_item_attempts.py
+++ b/tests/test_item_attempts.py
@@ -20,7 +20,7 @@
         clock = mock.Mock(monotonic=lambda: 10.0, wall=lambda: 10.0)
         self.item = RunningItem("j", 0, "c", 20_000, running=True, started_at=9.0)
         self.item.guard = mock.Mock()
-        self.item.times = self.former = AttemptTimes(1.0)
+        self.item.times = self.previous_times = AttemptTimes(1.0)
         self.placement = self.item.placement = mock.Mock()
         job = mock.Mock(items=[mock.Mock(item_id="i")])
         req = mock.Mock(headers=[], target="/", body=b"")
@@ -63,7 +63,7 @@
         self.pool.send_request = self.start
         self.attempts.run(self.item, self.placement)
         for call in self.fleet.paces.record_end.call_args_list:
-            self.assertIsNot(call.args[1], self.former)
+            self.assertIsNot(call.args[1], self.previous_times)
             self.assertEqual(call.args[1].events, 0)
 
 
--- a/tests/test_item_bursts.py
+++ b/tests/test_item_bursts.py
@@ -21,7 +21,7 @@
 SLOTS = 8
 PAUSE, BURST = (3.4, 0.383), (2.4, 1.87)
 """Duration in seconds, and rate as a multiple of the mean rate."""
-ONLINE_HOLD, ITEM_RUN, DUE = 0.75, 5.0, 18.0
+ONLINE_SLOT_TIME, ITEM_RUN, DUE = 0.75, 5.0, 18.0
 TOKENS = 2_000
 """Most output tokens of an item."""
 FIRST_EVENT = 0.1
@@ -70,14 +70,14 @@
 
     def arrive(self):
         phase = self.now % (PAUSE[0] + BURST[0])
-        times = (PAUSE if phase < PAUSE[0] else BURST)[1]
+        rate_factor = (PAUSE if phase < PAUSE[0] else BURST)[1]
         if self.random.random() < self.rates[1] * STEP:
             self.waiting += self.job()
-        for _ in range(self.count(self.rates[0] * times * STEP)):
+        for _ in range(self.count(self.rates[0] * rate_factor * STEP)):
             drawn = self.random.sample(self.lives, 2)
             life = min(drawn, key=lambda drawn_life: self.use.total(drawn_life).total)
             self.use.enter(life, batch=False)
-            heapq.heappush(self.online_ends, (self.now + ONLINE_HOLD, life))
+            heapq.heappush(self.online_ends, (self.now + ONLINE_SLOT_TIME, life))
             for _ in range(self.use.excess(life, SLOTS)):
                 self.preempt(life)
 
@@ -106,19 +106,19 @@
         for pressing in (True, False):
             if self.now >= self.view_at + VIEW_AGE:
                 self.refresh_view()
-            rooms = self.rooms[pressing]
+            free_slots = self.free_slots[pressing]
             for item in [
                 waiting for waiting in self.waiting if self.is_pressing(waiting) == pressing
             ]:
-                life = max(rooms, key=lambda free_life: rooms[free_life])
-                if rooms[life] > 0:
-                    self.rooms[True][life] -= 1
-                    self.rooms[False][life] -= 1
+                life = max(free_slots, key=lambda free_life: free_slots[free_life])
+                if free_slots[life] > 0:
+                    self.free_slots[True][life] -= 1
+                    self.free_slots[False][life] -= 1
                     self.begin(item, life)
 
     def refresh_view(self):
         self.view_at = self.now
-        self.rooms = {
+        self.free_slots = {
             pressing: {
                 life: self.use.batch_room(life, SLOTS, pressing=pressing) for life in self.lives
             }
@@ -140,8 +140,8 @@
 class ShareBurstSimulation(BurstSimulation):
     """Simulates competing tenants; `prefers_begun` says whether begun items rank before others."""
 
-    def __init__(self, *arguments, prefers_begun, **how):
-        super().__init__(*arguments, **how)
+    def __init__(self, *arguments, prefers_begun, **options):
+        super().__init__(*arguments, **options)
         self.prefers_begun = prefers_begun
         self.shares = ItemShares({})
         self.jobs = 0
@@ -157,9 +157,9 @@
         runs = "begun" in item
         done = ITEM_RUN - item["left"] + (self.now - item["begun"] if runs else 0.0)
         left = self.estimate.seconds_left(TOKENS, done)
-        soon = runs and self.estimate.nearly_ended(TOKENS, done)
+        about_to_finish = runs and self.estimate.nearly_ended(TOKENS, done)
         tag = self.shares.tag(item["job"], item["idx"])
-        rank = ShareRank(0, tag, self.prefers_begun and done > FIRST_EVENT, soon)
+        rank = ShareRank(0, tag, self.prefers_begun and done > FIRST_EVENT, about_to_finish)
         return share_urgency(rank, int(item["due"] * 1000), int(self.now * 1000), left)
 
     def end(self):
@@ -174,8 +174,10 @@
 
 
 class BurstTest(unittest.TestCase):
-    def counts(self, **how):
-        simulations = [BurstSimulation(30, 140, 1.3, seed=seed, **how).run(46) for seed in range(3)]
+    def counts(self, **options):
+        simulations = [
+            BurstSimulation(30, 140, 1.3, seed=seed, **options).run(46) for seed in range(3)
+        ]
         return sum(simulation.preempted for simulation in simulations), sum(
             simulation.ended for simulation in simulations
         )
@@ -198,8 +200,8 @@
         preempted items finish too late, and the work done on them is lost.
         """
         preferred, plain = (
-            ShareBurstSimulation(30, 140, 3.6, seed=0, prefers_begun=keeps).run(46)
-            for keeps in (True, False)
+            ShareBurstSimulation(30, 140, 3.6, seed=0, prefers_begun=prefers).run(46)
+            for prefers in (True, False)
         )
         self.assertGreater(preferred.ended - preferred.late, 1.03 * (plain.ended - plain.late))
 
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -88,14 +88,14 @@
 
 def simulate_log(moves):
     log = Log({"ann": 1.0, "bob": 2.0})
-    for number, (move, draw) in enumerate(moves):
-        chance = random.Random(draw)
+    for number, (move, seed) in enumerate(moves):
+        rng = random.Random(seed)
         if move == "accept":
-            tokens = list(enumerate(chance.choices((200, 1_500, 9_000), k=chance.randint(1, 4))))
-            due = chance.randint(0, 30_000)
-            log.accept(f"j{number}", chance.choice(TENANTS), tokens, due)
+            tokens = list(enumerate(rng.choices((200, 1_500, 9_000), k=rng.randint(1, 4))))
+            due = rng.randint(0, 30_000)
+            log.accept(f"j{number}", rng.choice(TENANTS), tokens, due)
         elif found := waiting(log.board):
-            _, job_id, index = chance.choice(found[:3])
+            _, job_id, index = rng.choice(found[:3])
             log.cancel(job_id) if move == "cancel" else log.end(job_id, index)
     return log
 
@@ -157,7 +157,7 @@
             "b": [mean * tokens / weight for tokens in bob],
         }
         started, running = {"a": 0.0, "b": 0.0}, []
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         bound = max(costs["a"]) + max(costs["b"]) + TAG_STEP
         while True:
             order = sorted((key(log, *entry[1:]), *entry[1:]) for entry in waiting(log.board))
@@ -165,7 +165,7 @@
             if len({entry[0] for entry in free}) < 2:
                 break
             if len(running) == slots:
-                log.end(*running.pop(chance.randrange(slots)))
+                log.end(*running.pop(rng.randrange(slots)))
                 continue
             job_id, index = free[0]
             running.append((job_id, index))
--- a/tests/test_item_urgency.py
+++ b/tests/test_item_urgency.py
@@ -46,10 +46,10 @@
             shares.end_item("due", idx, ran=True)
         self.now += 1.0
 
-    def item(self, job_id="j", due=200.0, tenant="ann", **how):
+    def item(self, job_id="j", due=200.0, tenant="ann", **fields):
         accepted = mock.Mock(tenant=tenant, route="r")
         self.log.board.jobs[job_id] = mock.Mock(accepted=accepted)
-        return RunningItem(job_id, 0, "c", int(due * 1000), TOKENS, **how)
+        return RunningItem(job_id, 0, "c", int(due * 1000), TOKENS, **fields)
 
     def precedes(self, first, second):
         return self.urgency.of(first) < self.urgency.of(second)
@@ -71,11 +71,11 @@
         self.make_items_late()
         self.log.board.shares.add_job("a", "ann", 0, 0, [1])
         self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
-        late, soon = self.item("a", 200.0), self.item("b", 150.0, "bob")
-        self.assertTrue(self.precedes(late, soon))
+        late, early = self.item("a", 200.0), self.item("b", 150.0, "bob")
+        self.assertTrue(self.precedes(late, early))
         self.features = Feature.NONE
         self.now += PEER_REFRESH_INTERVAL
-        self.assertTrue(self.precedes(soon, late))
+        self.assertTrue(self.precedes(early, late))
         orders = [call.kwargs["order"] for call in self.events.emit.call_args_list]
         self.assertEqual(orders, ["shares", "due time"])
         self.events.emit.assert_called_with(
@@ -87,16 +87,16 @@
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.log.board.shares.add_job("a", "ann", 0, 0, [1])
         self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
-        late, soon = self.item("a", 200.0), self.item("b", 150.0, "bob")
-        self.assertTrue(self.precedes(soon, late))
+        late, early = self.item("a", 200.0), self.item("b", 150.0, "bob")
+        self.assertTrue(self.precedes(early, late))
         self.make_items_late(late=RECENTLY_DUE // 2)
-        self.assertTrue(self.precedes(soon, late))
+        self.assertTrue(self.precedes(early, late))
 
     def test_priority_delays_no_item_that_is_in_time(self):
         """Guards against all items of less urgent tenants finishing late."""
         self.configure(RoutedTenant(name="ann", priority=1), RoutedTenant(name="bob", priority=0))
-        soon, late = self.item("a", 150.0), self.item("b", 200.0, tenant="bob")
-        self.assertTrue(self.precedes(soon, late))
+        early, late = self.item("a", 150.0), self.item("b", 200.0, tenant="bob")
+        self.assertTrue(self.precedes(early, late))
 
     def test_a_node_with_a_stale_log_counts_no_item_as_late(self):
         """Guards against one node ordering by shares because it lacks results that others have."""
--- a/tests/test_job_board.py
+++ b/tests/test_job_board.py
@@ -118,10 +118,10 @@
 
     def test_acceptances_in_another_form_are_reported(self):
         board = JobBoard()
-        former = accepted()
+        older = accepted()
         for offset, form in enumerate(range(JOB_FORM)):
-            former.form = form
-            board.observe(offset, "accept/j/c0", bytes(former))
+            older.form = form
+            board.observe(offset, "accept/j/c0", bytes(older))
         self.assertEqual((board.jobs, board.unreadable), ({}, ["accept/j/c0"] * JOB_FORM))
 
     def test_every_effective_claim_is_recorded(self):
@@ -209,11 +209,11 @@
                 # Simulates a retry after a lost answer, which uses its own key.
                 key = f"{number}/1"
                 topic.add(RecordKind.ITEM, ended(index, number), "j", str(index), key)
-        live = JobBoard()
+        followed = JobBoard()
         for offset, key, value in topic.log:
-            live.observe(offset, key, value)
-        again = board_of(topic.newest())
-        self.assertEqual(live.jobs["j"].results, again.jobs["j"].results)
+            followed.observe(offset, key, value)
+        replayed = board_of(topic.newest())
+        self.assertEqual(followed.jobs["j"].results, replayed.jobs["j"].results)
 
 
 if __name__ == "__main__":
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -13,7 +13,7 @@
 from tests.waiting import wait_until
 
 
-def leave(fleet, engines, nodes):
+def drain(fleet, engines, nodes):
     """Drain engines, and wait until the nodes know it."""
     for engine in engines:
         fleet.list_engine(engine, "draining")
@@ -42,45 +42,45 @@
 
 class ItemTest(JobCase):
     def test_an_item_whose_request_took_long_to_read_goes_elsewhere(self):
-        former = list(self.fleet.engines)
+        drained_engines = list(self.fleet.engines)
         read = JobService.item_request
-        left = []
+        drained = []
 
         def slow_read(jobs, job, index):
-            if not left:
-                left.append(True)
+            if not drained:
+                drained.append(True)
                 other = StandInEngine("e9")
                 self.fleet.engines.append(other)
                 self.fleet.list_engine(other)
-                leave(self.fleet, former, self.fleet.nodes)
+                drain(self.fleet, drained_engines, self.fleet.nodes)
             return read(jobs, job, index)
 
         with mock.patch.object(JobService, "item_request", slow_read):
             self.assertEqual(self.submit("n0", "j", items=1).status, 202)
             self.assertEqual(len(self.results("n0", "j", 1)), 1)
-        self.assertTrue(left)
-        self.assertEqual([engine.runs for engine in former], [[], []])
+        self.assertTrue(drained)
+        self.assertEqual([engine.runs for engine in drained_engines], [[], []])
 
 
 class RequestTest(unittest.TestCase):
     def test_a_request_that_waited_for_its_connection_goes_elsewhere(self):
         fleet = GatewayFleet(nodes=1, engines=2)
         self.addCleanup(fleet.stop)
-        opened, former = ConnectionPool._open, list(fleet.engines)
-        left = []
+        opened, drained_engines = ConnectionPool._open, list(fleet.engines)
+        drained = []
 
         def slow_open(pool, *arguments):
-            if not left:
-                left.append(True)
+            if not drained:
+                drained.append(True)
                 other = StandInEngine("e9")
                 fleet.engines.append(other)
                 fleet.list_engine(other)
-                leave(fleet, former, ["n0"])
+                drain(fleet, drained_engines, ["n0"])
             return opened(pool, *arguments)
 
         with mock.patch.object(ConnectionPool, "_open", slow_open):
             self.assertEqual(fleet.request("n0", STREAM_PATH).status, 200)
-        self.assertEqual([engine.runs for engine in former], [[], []])
+        self.assertEqual([engine.runs for engine in drained_engines], [[], []])
 
 
 if __name__ == "__main__":
