--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of items at engines: sending, reading, and what an attempt's end says of both."""
+"""Attempts of items at engines: sends requests, reads responses, and handles how attempts end."""
 
 from __future__ import annotations
 
@@ -29,22 +29,23 @@
 from postvalve.gateway.jobs.running_item import RunningItem
 from postvalve.messages.generated import gateway
 
-EVENT_SILENCE = 2.0
-"""Seconds without a byte until an engine counts as failed."""
-READ_PAUSE = 0.08
-"""Seconds between reads of one stream, in which events gather."""
-FAILED_PAUSE = 0.3
+EVENT_TIMEOUT = 2.0
+"""Seconds without a byte after which an engine counts as failed."""
+READ_INTERVAL = 0.08
+"""Seconds between reads of one stream, during which events accumulate."""
+RETRY_DELAY = 0.3
 """Seconds before an item whose attempt failed is tried again."""
-QUARANTINE_LOOK = 5.0
-"""Seconds until an item that is held back looks whether it still is: it may have been cleared."""
-ANSWERS = frozenset((Judgement.ACCEPTED, Judgement.FAILED, Judgement.HOPELESS))
-"""What only the engine itself can have said."""
-ITEM_TIME = 120.0
+QUARANTINE_RECHECK_INTERVAL = 5.0
+"""Seconds after which a quarantined item is checked again, since its quarantine may have been
+cleared."""
+ENGINE_JUDGEMENTS = frozenset((Judgement.ACCEPTED, Judgement.FAILED, Judgement.HOPELESS))
+"""Judgements that only the engine itself can have caused."""
+ATTEMPT_TIMEOUT = 120.0
 """Seconds that one attempt may take."""
 
 
 class ItemAttempts:
-    """Runs an item at an engine until it ends, gives way or fails."""
+    """Runs an item at an engine until it ends, is preempted or fails."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         estimate: DurationEstimate,
         wake: Callable[[], None],
     ) -> None:
-        """Set up; `wake` is called when an item may be started again, or a slot is free."""
+        """Set up; `wake` is called when an item may be started again or a slot is free."""
         self._clock = clock
         self._events = events
         self._log = log
@@ -76,15 +77,16 @@
         self._wake = wake
 
     def run(self, item: RunningItem, placement: Placement) -> None:
-        """Run an item that was counted in at an engine, and count it out."""
-        held = True
-        # Until the request is sent those of the former attempt, at another engine, would stand.
+        """Run an item that was already counted at an engine, and uncount it afterwards."""
+        occupied_slot = True
+        # Discards the times of the previous attempt, at another engine, before this request is
+        # sent.
         item.times = AttemptTimes(self._clock.monotonic())
         try:
             self._attempt(item, placement)
         except PostvalveError as error:
-            held = error.verdict is not Verdict.NOT_RUN
-            self._note_failure(item, placement, error)
+            occupied_slot = error.verdict is not Verdict.NOT_RUN
+            self._record_failure(item, placement, error)
         finally:
             if item.answer is not None:
                 item.answer.close()
@@ -95,7 +97,7 @@
             item.placement = None
             seconds = self._clock.monotonic() - item.started_at
             item.run_seconds += seconds
-            if held:
+            if occupied_slot:
                 self._ends.record_run(item, seconds)
             self._fleet.release(placement)
             self._wake()
@@ -106,8 +108,8 @@
             return
         item_id = job.items[item.index].item_id
         req = self._jobs.item_request(job, item.index)
-        named = [(one.name, one.value) for one in req.headers]
-        guard = self._guard_of(item, job, req, named)
+        header_pairs = [(header.name, header.value) for header in req.headers]
+        guard = self._guard_of(item, job, req, header_pairs)
         guard.check()
         engine = placement.engine
 
@@ -115,18 +117,18 @@
             return
 
         def still_usable() -> bool:
-            # One that was told to go has no answer to abort yet.
+            # An item that is preempted before its request was sent has no response to abort yet.
             return not item.preempted and self._fleet.takes_work(engine.life)
 
         headers = self._dialect.attempt_headers(
-            self._dialect.item_headers(named, item_id, job.accepted.host),
+            self._dialect.item_headers(header_pairs, item_id, job.accepted.host),
             job.accepted.tenant,
             engine.engine_id,
             None,
             item.last_event_id,
         )
         data = request_bytes("POST", req.target, headers, req.body)
-        deadline = self._clock.monotonic() + ITEM_TIME
+        deadline = self._clock.monotonic() + ATTEMPT_TIMEOUT
         guard.begin(engine.life)
         answer = item.answer = self._pool.send_request(
             engine.address, data, deadline, still_usable=still_usable
@@ -136,9 +138,9 @@
             return
         if item.preempted:
             answer.abort()
-            raise AttemptError("the attempt was ended", Verdict.MAY_HAVE_RUN)
+            raise AttemptError("attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN)
         item.times = AttemptTimes(self._clock.monotonic())
-        answer.read_head(EVENT_SILENCE)
+        answer.read_head(EVENT_TIMEOUT)
         self._judge(item, placement, item_id, answer)
         if not item.cancelled and answer.status == 200:
             self._read_stream(item, answer)
@@ -179,7 +181,7 @@
         read_load(self._dialect, self._clock, paces, placement, judgement, answer.headers)
         life = placement.engine.life
         guard = item.guard
-        if guard is not None and judgement in ANSWERS:
+        if guard is not None and judgement in ENGINE_JUDGEMENTS:
             guard.record_head()
         if guard is not None and judgement in (Judgement.FAILED, Judgement.HOPELESS):
             guard.record_engine_failure()
@@ -195,31 +197,33 @@
                 self._ends.end(item, ItemState.DEAD)
                 return
             gevent.spawn(self._progress.save_failures, item)
-            raise AttemptError(f"the item failed: {answer.status}", Verdict.RAN)
+            raise AttemptError(f"item failed with status {answer.status}", Verdict.RAN)
         if judgement is Judgement.REPLACED:
             self._fleet.record_replaced(life)
         verdict = Verdict.MAY_HAVE_RUN if judgement is Judgement.FOREIGN else Verdict.NOT_RUN
-        raise AttemptError(f"the engine did not take it: {answer.status}", verdict)
+        raise AttemptError(f"engine did not accept the item: status {answer.status}", verdict)
 
     def _read_stream(self, item: RunningItem, answer: EngineAnswer) -> None:
         while True:
-            event = answer.read_event(EVENT_SILENCE)
+            event = answer.read_event(EVENT_TIMEOUT)
             if not event:
                 return
             if item.cancelled or item.preempted:
-                raise AttemptError("the attempt was ended", Verdict.MAY_HAVE_RUN)
+                raise AttemptError(
+                    "attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN
+                )
             number = event_id_of(event)
             if number is None:
                 continue
-            self._note_event(item)
+            self._record_event(item)
             if item.guard is not None:
                 item.guard.record_event()
             item.events.append(event_data(event))
             item.last_event_id = number
             if not answer.has_event():
-                gevent.sleep(READ_PAUSE)
+                gevent.sleep(READ_INTERVAL)
 
-    def _note_event(self, item: RunningItem) -> None:
+    def _record_event(self, item: RunningItem) -> None:
         times, placement = item.times, item.placement
         times.record_event(self._clock.monotonic())
         if placement is None:
@@ -228,25 +232,29 @@
         if times.events == 1:
             self._fleet.paces.record_first_event(placement, times.first_event)
 
-    def _note_failure(self, item: RunningItem, placement: Placement, error: PostvalveError) -> None:
+    def _record_failure(
+        self, item: RunningItem, placement: Placement, error: PostvalveError
+    ) -> None:
         if item.cancelled:
             return
         if isinstance(error, QuarantinedError):
-            item.not_before = self._clock.monotonic() + min(error.seconds, QUARANTINE_LOOK)
+            item.not_before = self._clock.monotonic() + min(
+                error.seconds, QUARANTINE_RECHECK_INTERVAL
+            )
             return
         life = placement.engine.life
         if item.guard is not None:
             item.guard.record_failure(error)
         if item.preempted:
             self._fleet.paces.record_end(placement, item.times, whole=False)
-            self._tell_preempted(item, life)
+            self._log_preempted(item, life)
             return
         item.failed_engine = life
-        item.not_before = self._clock.monotonic() + FAILED_PAUSE
-        gevent.spawn_later(FAILED_PAUSE, self._forgive, item)
+        item.not_before = self._clock.monotonic() + RETRY_DELAY
+        gevent.spawn_later(RETRY_DELAY, self._clear_failed_engine, item)
         refused = item.answer is not None and error.verdict is Verdict.NOT_RUN
         if isinstance(error, AttemptError) and error.verdict is not Verdict.RAN and not refused:
-            # It gave no answer, or one that can't be trusted.
+            # The engine gave no response, or one that can't be trusted.
             self._fleet.record_failure(life, error.message)
         self._events.emit(
             Event.ROUTED_ITEM_FAILED,
@@ -261,7 +269,7 @@
             error=error.message,
         )
 
-    def _tell_preempted(self, item: RunningItem, life: EngineLife) -> None:
+    def _log_preempted(self, item: RunningItem, life: EngineLife) -> None:
         now = self._clock.monotonic()
         use = self._fleet.use.total(life)
         self._events.emit(
@@ -277,8 +285,8 @@
             batch=use.batch,
         )
 
-    def _forgive(self, item: RunningItem) -> None:
-        # Where the failed engine is the only one with room, it is tried again.
+    def _clear_failed_engine(self, item: RunningItem) -> None:
+        # If the failed engine is the only one with free slots, it is tried again.
         item.failed_engine = None
         self._wake()
 
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -1,4 +1,4 @@
-"""Saves what running items have given, and reads what other nodes saved."""
+"""Saves the progress of running items, and restores what other nodes saved."""
 
 from __future__ import annotations
 
@@ -28,21 +28,22 @@
 
 PROGRESS_TOPIC = "progress"
 SAVE_INTERVAL = 1.0
-"""Seconds between saves; what an item gave since the last one is lost with its node."""
+"""Seconds between saves; output after the last save is lost if the node fails."""
 MIN_EVENTS_TO_SAVE = 12
 """New events from which an item is worth saving."""
 CALL_MARGIN = 8_192
-"""Bytes of a call that are left for keys and lengths."""
+"""Bytes of a call that are reserved for keys and lengths."""
 RESTORE_TIMEOUT = 1.5
-"""Seconds in which saved progress is looked for; then items begin anew."""
+"""Seconds for which reading saved progress is retried; after that the items start from the
+beginning."""
 RESTORE_RETRY_DELAY = 0.2
 SWEEP_INTERVAL = 60.0
-"""Seconds between looks for segments that their writers left behind."""
+"""Seconds between sweeps for segments that their writers left behind."""
 COMPRESSION_LEVEL = 1
 
 
 class SavableItem(Protocol):
-    """An item as far as its progress goes."""
+    """Attributes of an item that saving its progress needs."""
 
     job_id: str
     index: int
@@ -53,13 +54,13 @@
     chain: Chain
 
     def seconds_run(self, now: float) -> float:
-        """Seconds that it has run, at monotonic time `now`."""
+        """Return the seconds that the item has run, at monotonic time `now`."""
         ...
 
 
 @dataclass(slots=True)
 class Chain:
-    """Segments of one item that this node has saved."""
+    """State of the chain of segments that this node has saved for one item."""
 
     name: str = ""
     segments: int = 0
@@ -76,7 +77,10 @@
 
 
 class ProgressLog:
-    """Progress of the items of one node. It saves work; no promise hangs on it."""
+    """Saved progress of one node's items.
+
+    It avoids repeated work; correctness does not depend on it.
+    """
 
     def __init__(
         self,
@@ -95,61 +99,63 @@
         self._clock = clock
         self._events = events
         self._new_id = new_id
-        self._dropped: dict[int, list[str]] = defaultdict(list)
-        """Keys whose records are not needed any more, by partition."""
+        self._obsolete_keys: dict[int, list[str]] = defaultdict(list)
+        """Keys whose records are no longer needed, by partition."""
         self._lock = RLock()
         self.unfinished: Callable[[], Iterable[SavableItem]] = list
 
     def _partition_of(self, node_id: str) -> int:
-        # By node, so that all its items are saved with one call.
+        # The partition depends on the node, so that all its items are saved with one call.
         return xxhash.xxh32_intdigest(node_id.encode()) % self._partitions
 
     def run(self) -> None:
-        """Save for ever."""
+        """Save periodically, forever."""
         while True:
             gevent.sleep(SAVE_INTERVAL)
             self.save()
 
     def save(self) -> None:
-        """Save what the items have given since the last time, and drop what has ended."""
+        """Save newly received events, and delete the segments of items that have ended."""
         with self._lock:
-            saves = [save for item in self.unfinished() if (save := self._next(item)) is not None]
-            for part in self._calls(saves):
+            saves = [
+                save for item in self.unfinished() if (save := self._next_save(item)) is not None
+            ]
+            for part in self._split_calls(saves):
                 if not self._append(part):
                     return
-            self._drop()
+            self._delete_obsolete()
 
     def save_failures(self, item: SavableItem) -> None:
-        """Let whoever takes the item's job over know how often the item failed."""
+        """Save how often an item has failed, for the node that may take its job over."""
         segment = gateway.ItemProgress(failures=item.failures)
         record = KeyedRecord(failures_key(item.job_id, item.index), bytes(segment))
         try:
             self._topics.append(PROGRESS_TOPIC, self._own_partition, [record])
         except StoreUnavailableError as exc:
-            # The next failure tells it again.
+            # The next failure saves the count again.
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, job=item.job_id)
         if item.cancelled:
-            self._dropped[self._own_partition].append(record.key)
+            self._obsolete_keys[self._own_partition].append(record.key)
 
     def _append(self, part: Sequence[_Save]) -> bool:
-        records = [one.record for one in part]
+        records = [save.record for save in part]
         try:
             self._topics.append(PROGRESS_TOPIC, self._own_partition, records)
         except StoreUnavailableError as exc:
-            # It may be done late, so its keys must not be used again.
-            for one in part:
-                one.item.chain = Chain()
+            # The append may still take effect late, so its keys must not be reused.
+            for save in part:
+                save.item.chain = Chain()
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, items=len(part))
             return False
-        for one in part:
-            chain = one.item.chain
+        for save in part:
+            chain = save.item.chain
             chain.segments += 1
-            chain.saved_events, chain.saved_id = one.events, one.last_id
-            if one.item.cancelled:
-                self._dropped[self._own_partition].append(one.record.key)
+            chain.saved_events, chain.saved_id = save.events, save.last_id
+            if save.item.cancelled:
+                self._obsolete_keys[self._own_partition].append(save.record.key)
         return True
 
-    def _next(self, item: SavableItem) -> _Save | None:
+    def _next_save(self, item: SavableItem) -> _Save | None:
         chain, last_id = item.chain, item.last_event_id
         new = item.events[chain.saved_events :]
         if last_id is None or len(new) < MIN_EVENTS_TO_SAVE:
@@ -166,7 +172,7 @@
         key = segment_key(item.job_id, item.index, chain.name, chain.segments)
         return _Save(item, KeyedRecord(key, bytes(segment)), len(item.events), last_id)
 
-    def _calls(self, saves: Sequence[_Save]) -> list[list[_Save]]:
+    def _split_calls(self, saves: Sequence[_Save]) -> list[list[_Save]]:
         calls: list[list[_Save]] = []
         left = 0
         for save in saves:
@@ -178,46 +184,46 @@
             left -= size
         return calls
 
-    # Dropping
+    # Deletion of segments
 
     def forget(self, item: SavableItem) -> None:
-        """An item has ended: its segments are dropped with the next save."""
+        """Mark the segments of an item that has ended for deletion with the next save."""
         chain = item.chain
-        self._dropped[self._own_partition] += [
+        self._obsolete_keys[self._own_partition] += [
             segment_key(item.job_id, item.index, chain.name, number)
             for number in range(chain.segments)
         ]
         if item.failures:
-            self._dropped[self._own_partition].append(failures_key(item.job_id, item.index))
+            self._obsolete_keys[self._own_partition].append(failures_key(item.job_id, item.index))
 
-    def _drop(self) -> None:
-        for partition, keys in list(self._dropped.items()):
+    def _delete_obsolete(self) -> None:
+        for partition, keys in list(self._obsolete_keys.items()):
             try:
                 if keys:
                     records = [KeyedRecord(key, b"") for key in keys]
                     self._topics.append(PROGRESS_TOPIC, partition, records)
-                del self._dropped[partition]
+                del self._obsolete_keys[partition]
             except StoreUnavailableError:
                 return
 
     def sweep(self, open_jobs: Collection[str]) -> None:
-        """Drop what nodes left behind that are gone, with the next save.
+        """Mark the segments that failed nodes left behind for deletion with the next save.
 
         Args:
             open_jobs: Ids of the jobs that still have items to run.
 
         Raises:
-            StoreUnavailableError: the next sweep goes on.
+            StoreUnavailableError: The next sweep continues.
         """
         for partition in range(self._partitions):
             found = self._records(partition, "")
             left = [key for key, _ in found if job_of_key(key) not in open_jobs]
-            self._dropped[partition] += left
+            self._obsolete_keys[partition] += left
 
     # Restoring
 
     def restore(self, job: BoardJob) -> SavedJob:
-        """What is saved of a job; nothing when the store does not tell in time."""
+        """Return the saved progress of a job; empty if the store does not answer in time."""
         deadline = self._clock.monotonic() + RESTORE_TIMEOUT
         partitions = {self._partition_of(node_id) for node_id in job.holders}
         while True:
@@ -239,8 +245,8 @@
         after, more = prefix, True
         while more:
             part, more = self._topics.newest(PROGRESS_TOPIC, partition, after)
-            wanted = [one for one in part.records if one.key.startswith(prefix)]
-            found += [(one.key, one.value) for one in wanted]
+            wanted = [record for record in part.records if record.key.startswith(prefix)]
+            found += [(record.key, record.value) for record in wanted]
             if not part.records or len(wanted) < len(part.records):
                 break
             after = part.records[-1].key
@@ -248,5 +254,5 @@
 
 
 def unpack_segment(text: bytes) -> bytes:
-    """The events' data of a saved segment."""
+    """Decompress the event data of a saved segment."""
     return zlib.decompress(text)
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -1,4 +1,4 @@
-"""Starts the items of the jobs that this node works on, as there is room for them."""
+"""Starts the items of the jobs that this node works on, as engines have free slots."""
 
 from __future__ import annotations
 
@@ -33,19 +33,20 @@
 from postvalve.messages.generated import gateway
 from postvalve.settings.routes import RouteSpec
 
-START_INTERVAL = 0.1
-"""Seconds between looks for room, when no event tells of any."""
+PASS_INTERVAL = 0.1
+"""Seconds between scheduling passes if no event triggers one."""
 IDLE_INTERVAL = 1.0
-"""The same while this node works on no job; a job that it gets wakes it."""
-LOOK_PAUSE = 0.02
-"""Seconds between looks at the least: each request that is sent somewhere may ask for one."""
+"""Seconds between passes while this node works on no job; a new job wakes it."""
+MIN_PASS_INTERVAL = 0.02
+"""Minimum seconds between passes, since each request that is sent anywhere may trigger one."""
 
 _Ranked = tuple[int, RunningItem]
-"""Urgency and item: each is worked out once for a look, since a node may have thousands."""
+"""Urgency and item. Urgencies are computed once per pass, since a node may have thousands of
+items."""
 
 
 class ItemRunner:
-    """Items by job."""
+    """Schedules this node's items onto engines."""
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
         self._wakeup = GeventEvent()
         self._own = OwnItems(identity, events, log, jobs, progress, self.wake)
         self._own.on_job_added = reports.schedule_report
-        self._looked_at = float("-inf")
+        self._last_pass_at = float("-inf")
         estimate = DurationEstimate()
         self.urgency = ItemUrgency(clock, events, log, peers, estimate)
         self.ends = ItemEnds(clock, events, log, self._own, ends, progress, metrics)
@@ -110,7 +111,7 @@
 
     @property
     def draining(self) -> bool:
-        """Whether this node is about to end: it starts nothing any more."""
+        """Whether this node is shutting down, and starts nothing any more."""
         return self._own.draining
 
     @draining.setter
@@ -119,15 +120,15 @@
 
     @property
     def in_progress(self) -> int:
-        """Items that run, and ends that are not durable yet."""
-        return sum(one.running for one in self._own.all()) + self.ends.pending
+        """Number of running items and of ends that are not durable yet."""
+        return sum(item.running for item in self._own.all()) + self.ends.pending
 
     def waiting_due(self) -> list[int]:
-        """Urgencies of the items that wait here, ascending."""
+        """Return the urgencies of the items that wait here, ascending."""
         return [] if self.draining else [urgency for urgency, _ in self._waiting()]
 
     def running_items(self) -> list[load_report.RunningItem]:
-        """Items that run here, and those whose ends may not be read everywhere yet."""
+        """Return the running items, and those whose ends other nodes may not have read yet."""
         running = [
             load_report.RunningItem(job_id=item.job_id, item_index=item.index)
             for item in self._own.all()
@@ -136,49 +137,50 @@
         return running + self.ends.recent()
 
     def wake(self) -> None:
-        """Look for room soon."""
+        """Trigger a scheduling pass."""
         self._wakeup.set()
 
     def on_peer_update(self) -> None:
-        """Peers have told something: a look is worth it only where this node has items."""
+        """Trigger a scheduling pass after a peer's report, if this node has any items."""
         if self._own.by_job:
             self._wakeup.set()
 
     def expire_items(self) -> None:
-        """End items that may be given up and can't be run, for ever."""
+        """End items that are past their keep time and can't be run, checking forever."""
         self.ends.expire_items()
 
     def abandon(self) -> None:
-        """Drop everything at once."""
+        """Stop all items at once, without waiting for running ones."""
         self.draining = True
         self._own.drop_all()
 
     def run(self) -> None:
-        """Start items for ever, as there is room."""
+        """Run scheduling passes forever."""
         while True:
-            self._wakeup.wait(START_INTERVAL if self._own.by_job else IDLE_INTERVAL)
-            # A look that is due goes with what woke this node up; a timer would wake it up again.
-            if (early := self._looked_at + LOOK_PAUSE - self._clock.monotonic()) > 0:
-                gevent.sleep(early)
+            self._wakeup.wait(PASS_INTERVAL if self._own.by_job else IDLE_INTERVAL)
+            # Waits here for the minimum interval, so that this wake-up serves the pass; a timer
+            # would cause another one.
+            if (remaining := self._last_pass_at + MIN_PASS_INTERVAL - self._clock.monotonic()) > 0:
+                gevent.sleep(remaining)
             self._wakeup.clear()
-            self._looked_at = self._clock.monotonic()
-            self._fleet.use.online_averages.advance(self._looked_at)
+            self._last_pass_at = self._clock.monotonic()
+            self._fleet.use.online_averages.advance(self._last_pass_at)
             self._preemption.preempt_excess()
             if not self.draining:
                 self._start_items()
 
     def _waiting(self) -> list[_Ranked]:
-        """Items that may start, the most urgent first."""
+        """Return the items that may start, the most urgent first."""
         now = self._clock.monotonic()
-        elsewhere = self._peers.running_on_leaving_peers()
+        running_elsewhere = self._peers.running_on_leaving_peers()
         waiting = [
             (self.urgency.of(item), item)
             for item in self._own.all()
             if not item.running
             and item.not_before <= now
-            and (item.job_id, item.index) not in elsewhere
+            and (item.job_id, item.index) not in running_elsewhere
         ]
-        return sorted(waiting, key=lambda one: (one[0], one[1].job_id, one[1].index))
+        return sorted(waiting, key=lambda ranked: (ranked[0], ranked[1].job_id, ranked[1].index))
 
     def _start_items(self) -> None:
         by_service: dict[str, list[_Ranked]] = {}
@@ -188,30 +190,30 @@
                 by_service.setdefault(self._service_of(job), []).append(ranked)
         for service, items in by_service.items():
             queue = self._zone_queue(items) / self._fleet.relaxed_slots(service)
-            pressing = [one for one in items if self.urgency.is_pressing(one[1], queue)]
-            self._start_those(pressing, service, pressing=True)
-            rest = [one for one in items if not one[1].running]
-            self._start_those(rest, service, pressing=False)
+            pressing = [ranked for ranked in items if self.urgency.is_pressing(ranked[1], queue)]
+            self._start_group(pressing, service, pressing=True)
+            rest = [ranked for ranked in items if not ranked[1].running]
+            self._start_group(rest, service, pressing=False)
 
-    def _start_those(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
-        """Start the most urgent of these, as far as there is room beside the other nodes' ones."""
+    def _start_group(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
+        """Start the most urgent of these items, as far as other nodes' items leave slots."""
         due = [urgency for urgency, _ in items]
-        room = self._fleet.batch_room(service, pressing=pressing)
-        # Items that have time stay in their zone, and rank among those of it.
+        free_slots = self._fleet.batch_room(service, pressing=pressing)
+        # Items that are not pressing stay in their zone, and rank among the items of that zone.
         others = self._peers.waiting(None if pressing else self._identity.zone)
-        count = count_startable(due, others, room)
+        count = count_startable(due, others, free_slots)
         for _, item in items[:count]:
             if not self._start(item, service, pressing=pressing):
                 break
 
     def _zone_queue(self, items: list[_Ranked]) -> int:
-        """Items that wait in this zone, these here among them."""
+        """Return the number of items that wait in this zone, including this node's."""
         return len(items) + sum(count for _, count in self._peers.waiting(self._identity.zone))
 
     def _service_of(self, job: BoardJob) -> str:
-        # The configuration in force decides, as it does for every other request.
+        # The present configuration decides, as for any other request.
         route = self._route_named(job.accepted.route)
-        services = [one.service for one in route.targets] if route else []
+        services = [target.service for target in route.targets] if route else []
         known = job.accepted.service
         return known if known in services or not services else services[0]
 
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -1,4 +1,4 @@
-"""Writes and reads the topic of batch jobs, and what their items are sent as."""
+"""Reads and writes the topic of batch jobs, and the stored requests of their items."""
 
 from __future__ import annotations
 
@@ -25,22 +25,23 @@
 
 JOB_TOPIC = "jobs"
 REQUEST_TOPIC = "requests"
-FOLLOW_WAIT = 2.0
-"""Seconds that a read of the job topic waits for a record. Answers that need the board to be up to
-date read beside it (`is_fresh`), so a way that falls silent may be noticed so much later."""
-FOLLOW_PAUSE = 0.4
-"""Seconds between such reads. Each is priced, and what was acknowledged need not be known for a
-second; a result that is waited for comes this much later at the most."""
-REPEAT_PAUSE = 0.1
-"""Seconds before a failed call is repeated, doubled for each later one."""
-MAX_REPEAT_PAUSE = 0.8
+FOLLOW_POLL_TIMEOUT = 2.0
+"""Seconds that a read of the job topic waits for a record. Answers that need an up-to-date board
+read separately (see `is_fresh`), so this only delays noticing that the path to the store has
+failed."""
+FOLLOW_INTERVAL = 0.4
+"""Seconds between such reads. Each read has a cost, and an acknowledged write need not be known for
+a second; a client that waits for a result gets it at most this much later."""
+RETRY_DELAY = 0.1
+"""Seconds before a failed call is repeated, doubled with each repetition."""
+MAX_RETRY_DELAY = 0.8
 
 ChangeListener = Callable[[set[str]], None]
-"""Takes the ids of the jobs that changed."""
+"""Called with the ids of the jobs that changed."""
 
 
 class JobLog:
-    """The board of all jobs, and appends to their topic."""
+    """Board of all jobs, kept up to date from their topic, and appends to it."""
 
     def __init__(
         self,
@@ -61,63 +62,69 @@
         self.changed = GeventEvent()
         self._listeners: list[ChangeListener] = []
         self.follower = TopicFollower(
-            topics, clock, events, JOB_TOPIC, self._observe, wait=FOLLOW_WAIT, pause=FOLLOW_PAUSE
+            topics,
+            clock,
+            events,
+            JOB_TOPIC,
+            self._observe,
+            wait=FOLLOW_POLL_TIMEOUT,
+            pause=FOLLOW_INTERVAL,
         )
 
     def add_listener(self, listener: ChangeListener) -> None:
-        """Be told of changed jobs."""
+        """Register a listener for changed jobs."""
         self._listeners.append(listener)
 
     def set_weights(self, weights: Mapping[str, float]) -> None:
-        """Take weights of tenants as the configuration has them now."""
+        """Apply the tenants' weights of the present configuration."""
         self._weights = weights
         self.board.shares.set_weights(weights)
 
-    def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
-        touched: set[str] = set()
-        if whole:
-            records_read = ((one.offset, one.key, one.value) for one in records)
+    def _observe(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
+        changed_jobs: set[str] = set()
+        if is_snapshot:
+            records_read = ((record.offset, record.key, record.value) for record in records)
             self.board = board_of(records_read, self._weights)
-            touched.update(self.board.jobs)
+            changed_jobs.update(self.board.jobs)
         else:
             for record in records:
                 job_id = self.board.observe(record.offset, record.key, record.value)
                 if job_id is not None:
-                    touched.add(job_id)
-        self._tell_unreadable()
-        if not touched:
+                    changed_jobs.add(job_id)
+        self._log_unreadable()
+        if not changed_jobs:
             return
         for listener in self._listeners:
-            listener(touched)
+            listener(changed_jobs)
         changed, self.changed = self.changed, GeventEvent()
         changed.set()
 
-    def _tell_unreadable(self) -> None:
+    def _log_unreadable(self) -> None:
         keys, self.board.unreadable = self.board.unreadable, []
         for key in keys:
             self._events.emit(Event.LOG_RECORD_INVALID, topic=JOB_TOPIC, key=key)
 
     def silence(self) -> float:
-        """Seconds since the store was heard last."""
+        """Return the seconds since the store last answered."""
         return self._clock.monotonic() - self.follower.answered_at
 
-    def is_fresh(self, patience: float) -> bool:
-        """Whether all that was acknowledged `patience` seconds ago is on the board."""
-        return self._clock.monotonic() - self.follower.fresh_at <= patience
+    def is_fresh(self, max_age: float) -> bool:
+        """Return whether the board holds everything that was acknowledged `max_age` seconds ago."""
+        return self._clock.monotonic() - self.follower.fresh_at <= max_age
 
-    def append(self, records: Sequence[KeyedRecord], patience: float) -> None:
-        """Append records, repeated until the store takes them.
+    def append(self, records: Sequence[KeyedRecord], timeout: float) -> None:
+        """Append records, retrying until the store accepts them.
 
-        A try without an answer may have been done. The topic keeps the newest record of a key
-        only, and a repetition under the same key would move the record behind others; so each
-        repetition has keys of its own, and readers pass over what stands already.
+        An attempt without an answer may have taken effect. The topic keeps only the newest record
+        of a key, and a retry under the same key would move the record behind others. So each retry
+        uses new keys, and readers ignore what they already have.
 
         Raises:
-            StoreUnavailableError: after `patience` seconds; NOT_RUN only when no try may
-                have taken effect.
+            StoreUnavailableError: After `timeout` seconds; the verdict is NOT_RUN only if no
+                attempt may have taken effect.
         """
-        deadline = self._clock.monotonic() + patience
-        verdict, pause = Verdict.NOT_RUN, REPEAT_PAUSE
+        deadline = self._clock.monotonic() + timeout
+        verdict, delay = Verdict.NOT_RUN, RETRY_DELAY
         for attempt in itertools.count():
             try:
                 self._topics.append(JOB_TOPIC, 0, _for_attempt(records, attempt))
@@ -125,19 +132,19 @@
             except StoreUnavailableError as error:
                 if error.verdict is not Verdict.NOT_RUN:
                     verdict = error.verdict
-                if self._clock.monotonic() + pause >= deadline:
+                if self._clock.monotonic() + delay >= deadline:
                     raise StoreUnavailableError(error.message, verdict) from error
-            gevent.sleep(pause)
-            pause = min(MAX_REPEAT_PAUSE, pause * 2)
+            gevent.sleep(delay)
+            delay = min(MAX_RETRY_DELAY, delay * 2)
 
     def append_at_end(self, records: Sequence[KeyedRecord]) -> bool:
-        """Append if nothing was written that this board does not hold, and put it there.
+        """Append if the topic holds nothing that this board does not, and apply the records to it.
 
         Returns:
             Whether the records were appended; if not, the board must catch up first.
 
         Raises:
-            StoreUnavailableError: with the verdict.
+            StoreUnavailableError: With the verdict of the attempt.
         """
         try:
             offset = self._topics.append(JOB_TOPIC, 0, records, at=self.follower.next_offset)
@@ -152,53 +159,53 @@
     def store_requests(
         self, job_id: str, nonce: str, partition: int, requests: Sequence[bytes]
     ) -> list[ValueRef]:
-        """Store what the items of a job are sent as, one after the other.
+        """Store the requests of a job's items in consecutive records.
 
         Raises:
-            StoreUnavailableError: they can't be relied on; nothing refers to them.
+            StoreUnavailableError: They may not be durable; nothing refers to them.
         """
-        named = [
+        keyed = [
             (_request_prefix(job_id, nonce, index), request)
             for index, request in enumerate(requests)
         ]
-        return self._requests.put(partition, named)
+        return self._requests.put(partition, keyed)
 
     def request(self, job: BoardJob, index: int) -> bytes:
-        """Read what an item is sent as.
+        """Read the request of an item.
 
         Raises:
-            NotFoundError: it is not there any more.
-            StoreUnavailableError: no answer.
+            NotFoundError: It is no longer stored.
+            StoreUnavailableError: The store does not answer.
         """
         return self._requests.get([_request_refs(job)[index]])[0]
 
     def requests(self, job: BoardJob) -> list[bytes]:
-        """Read what all items of a job are sent as.
+        """Read the requests of all items of a job.
 
         Raises:
-            NotFoundError: one is not there any more.
-            StoreUnavailableError: no answer.
+            NotFoundError: One of them is no longer stored.
+            StoreUnavailableError: The store does not answer.
         """
         return self._requests.get(_request_refs(job))
 
     def drop_jobs(self, jobs: Sequence[BoardJob]) -> None:
-        """Drop all records of old jobs.
+        """Delete all records of expired jobs.
 
         Raises:
-            StoreUnavailableError: the next try goes on.
+            StoreUnavailableError: The next call continues.
         """
         for job in jobs:
             self.texts.drop(job)
             keys = [key for ref in _request_refs(job) for key in ref.keys]
             self._requests.drop(job.accepted.request_partition, keys)
-            # Last, since a job that is not on the board any more can't be dropped.
+            # This comes last, since a job that is no longer on the board can't be deleted.
             self._topics.append(JOB_TOPIC, 0, [KeyedRecord(key, b"") for key in reversed(job.keys)])
 
 
 def _for_attempt(records: Sequence[KeyedRecord], attempt: int) -> Sequence[KeyedRecord]:
     if not attempt:
         return records
-    return [KeyedRecord(f"{one.key}/{attempt}", one.value) for one in records]
+    return [KeyedRecord(f"{record.key}/{attempt}", record.value) for record in records]
 
 
 def _request_prefix(job_id: str, nonce: str, index: int) -> str:
--- a/postvalve/gateway/jobs/own_items.py
+++ b/postvalve/gateway/jobs/own_items.py
@@ -1,4 +1,4 @@
-"""The items of the jobs that this node works on: which they are, as the log of jobs tells."""
+"""Items of the jobs that this node works on, kept up to date from the job log."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OwnItems:
-    """Items by job and index."""
+    """This node's unfinished items by job and index."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         progress: ProgressLog,
         wake: Callable[[], None],
     ) -> None:
-        """Follow the log of jobs; `wake` is called when there may be something to start."""
+        """Follow the job log; `wake` is called when there may be items to start."""
         self._identity = identity
         self._events = events
         self._log = log
@@ -37,47 +37,48 @@
         self._progress = progress
         self._wake = wake
         self.by_job: dict[str, dict[int, RunningItem]] = {}
-        self._told_lost: set[str] = set()
+        self._logged_lost: set[str] = set()
         self.draining = False
-        """Whether this node is about to end: what runs ends here, whoever has the job."""
+        """Whether this node is shutting down: running items finish here even if another node claims
+        the job."""
         self.on_job_added: Callable[[], None] = lambda: None
-        """Called when a job was taken."""
+        """Called when a job was added."""
         progress.unfinished = self.all
         log.add_listener(self._jobs_changed)
 
     def all(self) -> list[RunningItem]:
-        """Every item that has not ended."""
+        """Return all items that have not ended."""
         return [item for items in self.by_job.values() for item in items.values()]
 
     def remove(self, item: RunningItem) -> None:
-        """An item has ended."""
+        """Remove an item that has ended."""
         self.by_job.get(item.job_id, {}).pop(item.index, None)
         item.cancelled = True
 
     def drop_all(self) -> None:
-        """Drop everything at once."""
+        """Remove all jobs and abort their running items."""
         for job_id in list(self.by_job):
             self._drop_job(job_id)
 
-    def _jobs_changed(self, touched: set[str]) -> None:
-        for job_id in touched:
+    def _jobs_changed(self, changed_jobs: set[str]) -> None:
+        for job_id in changed_jobs:
             job = self._log.board.jobs.get(job_id)
             if job is None or not job.open:
                 self._drop_job(job_id)
-            elif not self._is_mine(job):
-                self._lose_job(job)
+            elif not self._is_held_here(job):
+                self._release_job(job)
             elif job_id in self.by_job:
                 for index in job.finished & self.by_job[job_id].keys():
                     self._drop_item(job_id, index)
             else:
-                self._take_job(job)
+                self._add_job(job)
         self._wake()
 
-    def _is_mine(self, job: BoardJob) -> bool:
+    def _is_held_here(self, job: BoardJob) -> bool:
         identity = self._identity
         return job.node_id == identity.node_id and job.incarnation == identity.incarnation
 
-    def _take_job(self, job: BoardJob) -> None:
+    def _add_job(self, job: BoardJob) -> None:
         due = job.accepted.due_at_ms
         items = {
             index: RunningItem(
@@ -98,7 +99,7 @@
             gevent.spawn(self._restore, job, items)
 
     def _restore(self, job: BoardJob, items: dict[int, RunningItem]) -> None:
-        """Let the items of a job that was taken over go on where they are known to be."""
+        """Restore the saved progress of a job's items after this node took the job over."""
         saved = SavedJob()
         try:
             self._jobs.fetch_requests(job)
@@ -110,7 +111,7 @@
                     item.events = [unpack_segment(text) for text in known.texts]
                     item.last_event_id = known.last_event_id
                     item.run_seconds = known.run_ms / 1000
-                # Failures may have been counted here while the saved ones were read.
+                # This node may have counted failures while the saved count was being read.
                 item.failures += saved.failures.get(index, 0)
                 item.not_before = 0.0
             self._events.emit(
@@ -122,16 +123,16 @@
             )
             self._wake()
 
-    def _lose_job(self, job: BoardJob) -> None:
+    def _release_job(self, job: BoardJob) -> None:
         if job.job_id not in self.by_job:
             return
-        if job.job_id not in self._told_lost:
-            self._told_lost.add(job.job_id)
+        if job.job_id not in self._logged_lost:
+            self._logged_lost.add(job.job_id)
             self._events.emit(Event.ROUTED_JOB_LOST, job=job.job_id, to=job.node_id)
         if not self.draining:
             self._drop_job(job.job_id)
             return
-        # What runs at a leaving node ends here; its reports say so.
+        # Running items of a node that is shutting down finish here, as its reports tell the peers.
         for index, item in list(self.by_job[job.job_id].items()):
             if not item.running or index in job.finished:
                 self._drop_item(job.job_id, index)
@@ -140,7 +141,7 @@
         for index in list(self.by_job.get(job_id, ())):
             self._drop_item(job_id, index)
         self.by_job.pop(job_id, None)
-        self._told_lost.discard(job_id)
+        self._logged_lost.discard(job_id)
 
     def _drop_item(self, job_id: str, index: int) -> None:
         item = self.by_job[job_id].pop(index)
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs of routed traffic: taken once, ended once, readable everywhere."""
+"""Routed batch jobs: accepted once, ended once, readable at every node."""
 
 import base64
 import json
@@ -43,7 +43,9 @@
         self.fleet = GatewayFleet(nodes=self.nodes, engines=2)
         self.addCleanup(self.fleet.stop)
         wait_until(
-            lambda: all(len(one.peers.all()) == self.nodes - 1 for one in self.fleet.nodes.values())
+            lambda: all(
+                len(node.peers.all()) == self.nodes - 1 for node in self.fleet.nodes.values()
+            )
         )
 
     def submit(self, node, job_id, **changes):
@@ -54,7 +56,7 @@
         return self.fleet.request(node, f"/api/lots/{job_id}?watchAfter={position}", method="GET")
 
     def results(self, node, job_id, count=3):
-        """All results of a job, waited for."""
+        """Wait until `count` results of a job are listed, and return them."""
         wait_until(lambda: len(self.page(node, job_id).document["results"]) == count)
         return self.page(node, job_id).document["results"]
 
@@ -70,19 +72,21 @@
     def test_every_item_ends_once_at_all_nodes(self):
         self.assertEqual(self.submit("n0", "j").status, 202)
         results = self.results("n1", "j")
-        self.assertEqual(sorted(one["id"] for one in results), ["j-0", "j-1", "j-2"])
-        for one in results:
-            self.assertEqual((one["state"], one["text"]), ("completed", whole_text(one["id"])))
+        self.assertEqual(sorted(result["id"] for result in results), ["j-0", "j-1", "j-2"])
+        for result in results:
+            self.assertEqual(
+                (result["state"], result["text"]), ("completed", whole_text(result["id"]))
+            )
         self.assertEqual(self.results("n0", "j"), results)
         self.assertEqual(len(self.runs()), 3)
         self.assertEqual(self.fleet.engines[0].bodies | self.fleet.engines[1].bodies, {
             f"j-{number}": f"body {number}".encode() for number in range(3)
         })  # fmt: skip
 
-    def test_pages_go_on_where_the_last_ended(self):
+    def test_pages_continue_where_the_last_ended(self):
         self.submit("n0", "j")
         results = self.results("n0", "j")
-        # Another node may have read them a moment later.
+        # Another node may read them a moment later.
         self.assertEqual(self.results("n1", "j"), results)
         page = self.page("n1", "j", 2).document
         self.assertEqual(page, {"total": 3, "nextToken": 3, "results": results[2:]})
@@ -94,8 +98,8 @@
         self.assertEqual(len(self.runs()), 3)
 
     def test_a_job_sent_to_two_nodes_at_once_runs_once(self):
-        sent = [gevent.spawn(self.submit, node, "j") for node in ("n0", "n1")]
-        self.assertEqual([one.get().status for one in sent], [202, 202])
+        tasks = [gevent.spawn(self.submit, node, "j") for node in ("n0", "n1")]
+        self.assertEqual([task.get().status for task in tasks], [202, 202])
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
@@ -113,42 +117,42 @@
         self.assertEqual(self.submit("n0", "j" * 101).status, 400)
         self.assertEqual(self.submit("n0", "j" * 100).status, 202)
 
-    def test_bodies_are_given_at_every_node(self):
+    def test_bodies_are_served_at_every_node(self):
         self.usual(silent=True)
         self.submit("n0", "j")
         for node in ("n0", "n1"):
             answer = self.fleet.request(node, "/api/items/j?id=j-1", method="GET")
             self.assertEqual((answer.status, answer.body), (200, b"body 1"))
 
-    def test_an_ended_job_stops(self):
+    def test_a_cancelled_job_stops(self):
         self.usual(pause=0.05, events=300)
         self.submit("n0", "j")
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) == 3)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) == 3)
         for node in ("n1", "n0"):
             self.assertEqual(self.fleet.request(node, "/api/lots/j", method="DELETE").status, 200)
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) == 0)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) == 0)
         self.assertEqual(self.page("n1", "j").document["results"], [])
 
-    def test_jobs_beyond_the_waiting_tokens_are_refused(self):
+    def test_jobs_beyond_the_queued_token_limit_are_refused(self):
         self.usual(silent=True)
         self.fleet.configure(maxQueuedTokens=650)
         wait_until(
-            lambda: all(one.configuration.revision == 4 for one in self.fleet.nodes.values())
+            lambda: all(node.configuration.revision == 4 for node in self.fleet.nodes.values())
         )
-        sent = [gevent.spawn(self.submit, f"n{n % 2}", f"j{n}") for n in range(4)]
-        answers = [one.get() for one in sent]
-        self.assertEqual(sorted(one.status for one in answers), [202, 202, 429, 429])
+        tasks = [gevent.spawn(self.submit, f"n{n % 2}", f"j{n}") for n in range(4)]
+        answers = [task.get() for task in tasks]
+        self.assertEqual(sorted(answer.status for answer in answers), [202, 202, 429, 429])
         for answer in answers:
             self.assertEqual("retry-after" in answer.headers, answer.status == 429)
 
 
-class EngineTroubleTest(JobCase):
-    def test_cut_items_go_on_after_their_last_event(self):
+class EngineFailureTest(JobCase):
+    def test_interrupted_items_resume_after_their_last_event(self):
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=2), Behaviour(cut_after=0)]
         self.submit("n0", "j")
-        for one in self.results("n1", "j"):
-            self.assertEqual(one["text"], whole_text(one["id"]))
+        for result in self.results("n1", "j"):
+            self.assertEqual(result["text"], whole_text(result["id"]))
         self.assertIn("2", [run[1] for run in self.runs()])
 
     def test_items_that_always_fail_end_after_their_attempts(self):
@@ -157,20 +161,20 @@
         self.assertEqual(self.results("n1", "j", 1)[0]["state"], "dead_letter")
         self.assertEqual(len(self.runs()), 3)
 
-    def test_impossible_items_end_at_once(self):
+    def test_rejected_items_end_at_once(self):
         self.usual(status=422)
         self.submit("n0", "j", items=1)
         self.assertEqual(self.results("n1", "j", 1)[0]["state"], "dead_letter")
         self.assertEqual(len(self.runs()), 1)
 
     def test_an_engine_that_takes_no_connection_is_avoided(self):
-        dead, sound = self.fleet.engines
+        dead, healthy = self.fleet.engines
         dead.stop()
         self.submit("n0", "j")
         self.results("n1", "j")
-        self.assertEqual(len(sound.runs), 3)
-        failed = {one["engine"] for one in self.fleet.events("n0", Event.ROUTED_ITEM_FAILED)}
-        avoided = {one["engine"] for one in self.fleet.events("n0", Event.ENGINE_SUSPECT)}
+        self.assertEqual(len(healthy.runs), 3)
+        failed = {event["engine"] for event in self.fleet.events("n0", Event.ROUTED_ITEM_FAILED)}
+        avoided = {event["engine"] for event in self.fleet.events("n0", Event.ENGINE_SUSPECT)}
         self.assertEqual((failed, avoided), ({dead.engine_id}, {dead.engine_id}))
 
     def test_refused_items_run_later(self):
@@ -180,8 +184,9 @@
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
-    def test_one_node_runs_no_more_items_than_engines_have_room_for(self):
-        # Several nodes may for a moment start more than fit: reports are a tenth of a second old.
+    def test_one_node_runs_no_more_items_than_engines_have_slots(self):
+        # Several nodes may briefly start more items than there are slots, since reports are 0.1 s
+        # old.
         self.usual(pause=0.05, events=20)
         self.submit("n0", "a", items=12)
         self.submit("n0", "b", items=12)
@@ -193,8 +198,8 @@
         self.assertGreaterEqual(most, 2)
 
 
-class QuietNodeTest(unittest.TestCase):
-    def test_news_of_peers_wake_only_nodes_with_items_up(self):
+class IdleNodeTest(unittest.TestCase):
+    def test_peer_reports_wake_only_nodes_with_items(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         runner = fleet.nodes["n0"]._runner
@@ -206,8 +211,8 @@
             wakeup.set.assert_called_once_with()
 
 
-class GivingWayTest(unittest.TestCase):
-    def test_an_item_of_another_zone_gives_way_before_its_digest_tells_of_the_request(self):
+class RemotePreemptionTest(unittest.TestCase):
+    def test_an_item_of_another_zone_is_preempted_before_the_next_digest(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         for module in ("load_reports", "zone_digests"):
@@ -218,10 +223,10 @@
         fleet.engines[0].usual = Behaviour(pause=0.05, events=1_000)
         body = job_body("j", items=3)
         fleet.request("n0", BATCH_PATH + "x", body=body, request_id="j")
-        there = fleet.nodes["n1"]
-        running = there._reports.items
-        wait_until(lambda: [one for _, one in running.at(engine_hash("e0"))] == ["n0"] * 3)
-        # From now on only a message of its own can tell the other zone.
+        remote = fleet.nodes["n1"]
+        running = remote._reports.items
+        wait_until(lambda: [node_id for _, node_id in running.at(engine_hash("e0"))] == ["n0"] * 3)
+        # From now on only a notice can inform the other zone, since no digests are sent.
         with mock.patch.object(ZoneReporting, "is_due", return_value=False):
             for number in range(2):
                 gevent.spawn(fleet.request, "n1", STREAM_PATH, request_id=f"r{number}")
@@ -229,7 +234,7 @@
         self.assertFalse(fleet.events("n1", Event.ROUTED_JOB_CLAIMED))
 
 
-class StoreTroubleTest(JobCase):
+class StoreFailureTest(JobCase):
     def test_lost_answers_move_no_position(self):
         self.submit("n0", "j")
         self.fleet.topics.lost_answers = 3
@@ -246,8 +251,8 @@
         self.results("n1", "j")
         self.assertEqual(len(self.runs()), 3)
 
-    def test_acceptance_that_is_done_late(self):
-        # The bodies are stored first; their append is not late here.
+    def test_acceptance_that_takes_effect_late(self):
+        # Only the acceptance is delayed; the append of the bodies before it is not.
         original = self.fleet.topics.append
         delayed = []
 
@@ -275,7 +280,7 @@
         answer = self.fleet.request("n2", "/api/items/k?id=k-2", method="GET")
         self.assertEqual((answer.status, answer.body), (200, b"body 2"))
 
-    def test_results_that_were_read_here_are_told_while_the_store_is_down(self):
+    def test_cached_results_are_served_while_the_store_is_down(self):
         self.submit("n0", "j")
         results = self.results("n1", "j")
         for node in ("n0", "n1"):
@@ -283,7 +288,7 @@
         self.fleet.topics.down = True
         for node in ("n0", "n1"):
             self.assertEqual(self.page(node, "j").document["results"], results)
-        # A node that has read none of them can't tell them, and says so.
+        # A node that has cached no results refuses the request.
         fresh = self.fleet.nodes["n1"]._log.texts
         fresh._cache.clear()
         answer = self.page("n1", "j")
@@ -307,29 +312,29 @@
         self.assertEqual(len(self.runs()), 6)
 
 
-class NodeTroubleTest(JobCase):
+class NodeFailureTest(JobCase):
     nodes = 3
 
     def test_jobs_of_a_dead_node_are_taken_over(self):
         self.usual(pause=0.05, events=200)
         self.submit("n0", "j")
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) == 3)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) == 3)
         self.fleet.kill("n0")
         self.usual(events=200)
         results = self.results("n1", "j")
-        self.assertEqual(sorted(one["id"] for one in results), ["j-0", "j-1", "j-2"])
-        for one in results:
-            self.assertEqual(one["text"], whole_text(one["id"], 200))
+        self.assertEqual(sorted(result["id"] for result in results), ["j-0", "j-1", "j-2"])
+        for result in results:
+            self.assertEqual(result["text"], whole_text(result["id"], 200))
         self.assertEqual(self.results("n2", "j"), results)
 
-    def test_items_of_a_leaving_node_end_there_and_those_that_wait_go_elsewhere(self):
+    def test_running_items_of_a_draining_node_finish_there_and_waiting_ones_move(self):
         self.usual(pause=0.05, events=40)
         self.submit("n0", "j", items=12)
-        wait_until(lambda: sum(one.running for one in self.fleet.engines) >= 4)
+        wait_until(lambda: sum(engine.running for engine in self.fleet.engines) >= 4)
         self.fleet.nodes["n0"].request_drain()
         results = self.results("n1", "j", 12)
-        for one in results:
-            self.assertEqual(one["text"], whole_text(one["id"], 40))
+        for result in results:
+            self.assertEqual(result["text"], whole_text(result["id"], 40))
         self.assertEqual(len(self.runs()), 12)
 
     def test_all_nodes_die_right_after_the_acceptance(self):
--- a/tests/test_item_attempts.py
+++ b/tests/test_item_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt of an item that was told to give way before its request was sent."""
+"""Attempts of items that are preempted before their request was sent."""
 
 import unittest
 from unittest import mock
@@ -10,7 +10,7 @@
 from postvalve.gateway.jobs.running_item import RunningItem
 
 
-class GivesWayEarlyTest(unittest.TestCase):
+class PreemptedBeforeSendTest(unittest.TestCase):
     def setUp(self):
         self.events, self.fleet, self.pool = mock.Mock(), mock.Mock(), mock.Mock()
         self.fleet.takes_work.return_value = True
@@ -20,7 +20,7 @@
         clock = mock.Mock(monotonic=lambda: 10.0, wall=lambda: 10.0)
         self.item = RunningItem("j", 0, "c", 20_000, running=True, started_at=9.0)
         self.item.guard = mock.Mock()
-        self.item.times = self.former = AttemptTimes(1.0)
+        self.item.times = self.previous_times = AttemptTimes(1.0)
         self.placement = self.item.placement = mock.Mock()
         job = mock.Mock(items=[mock.Mock(item_id="i")])
         req = mock.Mock(headers=[], target="/", body=b"")
@@ -42,7 +42,7 @@
         )
 
     def start(self, *args, still_usable):
-        """Open a connection, as the pool does, while the item is told to go."""
+        """Act as the connection pool, which opens a connection while the item is preempted."""
         self.item.preempted = True
         if not still_usable():
             raise AttemptError("not wanted", Verdict.NOT_RUN)
@@ -50,7 +50,7 @@
         raise AttemptError("cut", Verdict.MAY_HAVE_RUN)
 
     def test_its_request_is_not_sent(self):
-        """Else the engine reads its prompt in a slot that an online request waits for."""
+        """Guards against processing the prompt in a slot that an online request waits for."""
         self.pool.send_request = self.start
         self.attempts.run(self.item, self.placement)
         self.assertEqual(self.sent, 0)
@@ -58,12 +58,12 @@
         self.fleet.record_failure.assert_not_called()
         self.assertFalse(self.item.running)
 
-    def test_it_says_nothing_of_the_engines_pace(self):
-        """The times of its former attempt are another engine's."""
+    def test_it_adds_no_sample_to_the_engines_pace(self):
+        """Guards against adding the times of the previous attempt, which ran at another engine."""
         self.pool.send_request = self.start
         self.attempts.run(self.item, self.placement)
         for call in self.fleet.paces.record_end.call_args_list:
-            self.assertIsNot(call.args[1], self.former)
+            self.assertIsNot(call.args[1], self.previous_times)
             self.assertEqual(call.args[1].events, 0)
 
 
--- a/tests/test_item_bursts.py
+++ b/tests/test_item_bursts.py
@@ -1,7 +1,8 @@
-"""Batch items beside online work that comes in heaps: few are begun that the next heap cuts.
+"""Batch items beside bursts of online requests: few items start that the next burst preempts.
 
-The load: heaps of 2.4 s at 1.87 times the mean, 0.383 times the mean for 3.4 s between them; jobs
-of ten items that run for 5 s, due after 18 s. One count of what runs, no network.
+The simulated load has bursts of 2.4 s at 1.87 times the mean rate, with 3.4 s at 0.383 times the
+mean between them, and jobs of ten items that run for 5 s and are due after 18 s. All nodes share
+one count of running requests, and there is no network.
 """
 
 import heapq
@@ -18,19 +19,19 @@
 from postvalve.core.batch.item_shares import ItemShares
 
 SLOTS = 8
-LULL, HEAP = (3.4, 0.383), (2.4, 1.87)
-"""Seconds, and times the mean rate."""
-ONLINE_HOLD, ITEM_RUN, DUE = 0.75, 5.0, 18.0
+PAUSE, BURST = (3.4, 0.383), (2.4, 1.87)
+"""Duration in seconds, and rate as a multiple of the mean rate."""
+ONLINE_SLOT_TIME, ITEM_RUN, DUE = 0.75, 5.0, 18.0
 TOKENS = 2_000
-"""That an item may give at the most."""
+"""Most output tokens of an item."""
 FIRST_EVENT = 0.1
-"""Seconds until an item has given something."""
+"""Seconds until an item has received its first event."""
 STEP = 0.02
 VIEW_AGE = 0.1
 
 
-class Play:
-    """Engines of one zone under that load, looked at every 20 ms."""
+class BurstSimulation:
+    """Simulates the engines of one zone under this load, in steps of 20 ms."""
 
     def __init__(self, engines, online_rate, job_rate, *, known=True, seed=1):
         self.random = random.Random(seed)
@@ -43,8 +44,8 @@
             peer.observe(ITEM_RUN, TOKENS)
             self.estimate.learn_from_peers([peer.pack()])
         self.waiting, self.running, self.online_ends = [], {life: [] for life in self.lives}, []
-        self.looked_at = -VIEW_AGE
-        self.cuts, self.ended, self.late = 0, 0, 0
+        self.view_at = -VIEW_AGE
+        self.preempted, self.ended, self.late = 0, 0, 0
 
     def run(self, seconds):
         for number in range(round(seconds / STEP)):
@@ -59,61 +60,65 @@
         while self.online_ends and self.online_ends[0][0] <= self.now:
             self.use.leave(heapq.heappop(self.online_ends)[1], batch=False)
         for life, items in self.running.items():
-            for item in [one for one in items if one["left"] <= self.now - one["begun"]]:
+            for item in [
+                running for running in items if running["left"] <= self.now - running["begun"]
+            ]:
                 items.remove(item)
                 self.use.leave(life, batch=True)
                 self.ended += 1
                 self.late += self.now > item["due"]
 
     def arrive(self):
-        phase = self.now % (LULL[0] + HEAP[0])
-        times = (LULL if phase < LULL[0] else HEAP)[1]
+        phase = self.now % (PAUSE[0] + BURST[0])
+        rate_factor = (PAUSE if phase < PAUSE[0] else BURST)[1]
         if self.random.random() < self.rates[1] * STEP:
             self.waiting += self.job()
-        for _ in range(self.count(self.rates[0] * times * STEP)):
+        for _ in range(self.count(self.rates[0] * rate_factor * STEP)):
             drawn = self.random.sample(self.lives, 2)
-            life = min(drawn, key=lambda one: self.use.total(one).total)
+            life = min(drawn, key=lambda drawn_life: self.use.total(drawn_life).total)
             self.use.enter(life, batch=False)
-            heapq.heappush(self.online_ends, (self.now + ONLINE_HOLD, life))
+            heapq.heappush(self.online_ends, (self.now + ONLINE_SLOT_TIME, life))
             for _ in range(self.use.excess(life, SLOTS)):
-                self.cut(life)
+                self.preempt(life)
 
     def job(self):
         return [{"due": self.now + DUE, "left": ITEM_RUN} for _ in range(10)]
 
     def order(self, item):
-        """Which item starts first and gives way last: the lowest."""
+        """Return the sort key of an item; the lowest starts first and is preempted last."""
         return item["due"]
 
     def count(self, mean):
         whole = int(mean)
         return whole + (self.random.random() < mean - whole)
 
-    def cut(self, life):
+    def preempt(self, life):
         item = max(self.running[life], key=self.order)
         self.running[life].remove(item)
         self.use.leave(life, batch=True)
         item["left"] -= self.now - item.pop("begun")
         self.waiting.append(item)
-        self.cuts += 1
+        self.preempted += 1
 
     def start(self):
-        """Start as a node does that hears of the others' requests a tenth of a second late."""
+        """Start items as a node does that learns of the others' requests 0.1 s late."""
         self.waiting.sort(key=self.order)
         for pressing in (True, False):
-            if self.now >= self.looked_at + VIEW_AGE:
-                self.look()
-            rooms = self.rooms[pressing]
-            for item in [one for one in self.waiting if self.is_pressing(one) == pressing]:
-                life = max(rooms, key=lambda one: rooms[one])
-                if rooms[life] > 0:
-                    self.rooms[True][life] -= 1
-                    self.rooms[False][life] -= 1
+            if self.now >= self.view_at + VIEW_AGE:
+                self.refresh_view()
+            free_slots = self.free_slots[pressing]
+            for item in [
+                waiting for waiting in self.waiting if self.is_pressing(waiting) == pressing
+            ]:
+                life = max(free_slots, key=lambda free_life: free_slots[free_life])
+                if free_slots[life] > 0:
+                    self.free_slots[True][life] -= 1
+                    self.free_slots[False][life] -= 1
                     self.begin(item, life)
 
-    def look(self):
-        self.looked_at = self.now
-        self.rooms = {
+    def refresh_view(self):
+        self.view_at = self.now
+        self.free_slots = {
             pressing: {
                 life: self.use.batch_room(life, SLOTS, pressing=pressing) for life in self.lives
             }
@@ -132,12 +137,12 @@
         self.use.enter(life, batch=True)
 
 
-class SharesPlay(Play):
-    """Tenants that compete; `keeps_begun` tells whether items that have begun are told apart."""
+class ShareBurstSimulation(BurstSimulation):
+    """Simulates competing tenants; `prefers_begun` says whether begun items rank before others."""
 
-    def __init__(self, *arguments, keeps_begun, **how):
-        super().__init__(*arguments, **how)
-        self.keeps_begun = keeps_begun
+    def __init__(self, *arguments, prefers_begun, **options):
+        super().__init__(*arguments, **options)
+        self.prefers_begun = prefers_begun
         self.shares = ItemShares({})
         self.jobs = 0
 
@@ -152,9 +157,9 @@
         runs = "begun" in item
         done = ITEM_RUN - item["left"] + (self.now - item["begun"] if runs else 0.0)
         left = self.estimate.seconds_left(TOKENS, done)
-        soon = runs and self.estimate.nearly_ended(TOKENS, done)
+        about_to_finish = runs and self.estimate.nearly_ended(TOKENS, done)
         tag = self.shares.tag(item["job"], item["idx"])
-        rank = ShareRank(0, tag, self.keeps_begun and done > FIRST_EVENT, soon)
+        rank = ShareRank(0, tag, self.prefers_begun and done > FIRST_EVENT, about_to_finish)
         return share_urgency(rank, int(item["due"] * 1000), int(self.now * 1000), left)
 
     def end(self):
@@ -164,35 +169,41 @@
         if self.ended > ended:
             for life, items in before.items():
                 for item in items:
-                    if not any(item is one for one in self.running[life]):
+                    if not any(item is running for running in self.running[life]):
                         self.shares.end_item(item["job"], item["idx"], ran=True)
 
 
-class HeapTest(unittest.TestCase):
-    def cuts_and_ends(self, **how):
-        plays = [Play(30, 140, 1.3, seed=seed, **how).run(46) for seed in range(3)]
-        return sum(one.cuts for one in plays), sum(one.ended for one in plays)
+class BurstTest(unittest.TestCase):
+    def counts(self, **options):
+        simulations = [
+            BurstSimulation(30, 140, 1.3, seed=seed, **options).run(46) for seed in range(3)
+        ]
+        return sum(simulation.preempted for simulation in simulations), sum(
+            simulation.ended for simulation in simulations
+        )
 
-    def test_fewer_are_cut_where_peers_tell_how_long_items_run(self):
-        """A node where none has ended takes all for pressing, and these leave no room to a heap.
+    def test_fewer_are_preempted_when_peers_report_item_durations(self):
+        """Guards against a node where no item has finished treating all items as pressing.
 
-        Cut and ended in three plays of 46 s: 1,339 and 1,527 without, 1,152 and 1,539 with.
+        These would leave no slots for a burst. Preempted and finished items in three simulations of
+        46 s: 1,339 and 1,527 without the peers' estimates, 1,152 and 1,539 with them.
         """
-        cuts, ended = self.cuts_and_ends(known=True)
-        blind_cuts, blind_ended = self.cuts_and_ends(known=False)
-        self.assertLess(cuts, blind_cuts)
+        preempted, ended = self.counts(known=True)
+        blind_preempted, blind_ended = self.counts(known=False)
+        self.assertLess(preempted, blind_preempted)
         self.assertGreaterEqual(ended, blind_ended)
 
-    def test_what_has_begun_is_not_lost_for_another_tenants_item(self):
-        """Tenants that send more than gets done, by shares: 878 items end in time instead of 822.
+    def test_begun_items_are_not_preempted_for_another_tenant(self):
+        """Under overload ordered by shares, 878 items finish in time instead of 822.
 
-        Guards against runs that are cut for an item whose tenant is further back: most of them end
-        too late afterwards, and what they ran is lost.
+        Guards against preempting running items for a tenant that is further behind: most of the
+        preempted items finish too late, and the work done on them is lost.
         """
-        kept, lost = (
-            SharesPlay(30, 140, 3.6, seed=0, keeps_begun=keeps).run(46) for keeps in (True, False)
+        preferred, plain = (
+            ShareBurstSimulation(30, 140, 3.6, seed=0, prefers_begun=prefers).run(46)
+            for prefers in (True, False)
         )
-        self.assertGreater(kept.ended - kept.late, 1.03 * (lost.ended - lost.late))
+        self.assertGreater(preferred.ended - preferred.late, 1.03 * (plain.ended - plain.late))
 
 
 if __name__ == "__main__":
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""Whether most batch items end late, by what the log tells all nodes."""
+"""Detection that most batch items finish late, from what the job log tells all nodes."""
 
 import unittest
 
@@ -6,43 +6,43 @@
 from postvalve.core.batch.lateness import LATENESS_WINDOW, MIN_ITEMS, Lateness
 
 
-def look(lateness, begin, seconds, late, items=10):
-    """So many items are due in each second, of which so many are late."""
+def feed(lateness, begin, seconds, late, items=10):
+    """Update with `items` items due in each second, `late` of them late."""
     due = {begin + number: DueCount(items, late) for number in range(seconds)}
     for number in range(2 * seconds + 1):
         lateness.update(due, begin + number / 2)
 
 
 class LatenessTest(unittest.TestCase):
-    def test_it_takes_most_to_be_late_and_few_to_be_over(self):
-        lateness, told = Lateness(), []
+    def test_hysteresis_between_the_two_thresholds(self):
+        lateness, states = Lateness(), []
         for number, late in enumerate((4, 6, 4, 2)):
-            look(lateness, 100 + number * 2 * LATENESS_WINDOW, 2 * LATENESS_WINDOW, late)
-            told.append(lateness.mostly_late)
-        self.assertEqual(told, [False, True, True, False])
+            feed(lateness, 100 + number * 2 * LATENESS_WINDOW, 2 * LATENESS_WINDOW, late)
+            states.append(lateness.mostly_late)
+        self.assertEqual(states, [False, True, True, False])
 
-    def test_few_items_say_nothing(self):
+    def test_few_items_are_not_significant(self):
         lateness = Lateness()
-        look(lateness, 100, MIN_ITEMS - 1, 1, items=1)
+        feed(lateness, 100, MIN_ITEMS - 1, 1, items=1)
         self.assertFalse(lateness.mostly_late)
 
-    def test_it_is_over_when_nothing_is_due_any_more(self):
+    def test_it_is_cleared_when_nothing_is_due(self):
         lateness = Lateness()
-        look(lateness, 100, LATENESS_WINDOW, 10)
+        feed(lateness, 100, LATENESS_WINDOW, 10)
         self.assertTrue(lateness.mostly_late)
         lateness.update({}, 100 + 3 * LATENESS_WINDOW)
         self.assertFalse(lateness.mostly_late)
 
-    def test_what_was_due_before_the_first_look_says_nothing(self):
-        """A node that starts doesn't know when those ended."""
+    def test_items_due_before_the_first_update_do_not_count(self):
+        """Guards against counting items whose end a node that has just started did not see."""
         lateness = Lateness()
         lateness.update({90 + number: DueCount(10, 10) for number in range(5)}, 100.0)
         lateness.update({}, 101.0)
         self.assertFalse(lateness.mostly_late)
 
-    def test_a_clock_that_is_set_back_counts_nothing_twice(self):
+    def test_a_clock_that_is_set_back_counts_no_second_twice(self):
         lateness = Lateness()
-        look(lateness, 100, LATENESS_WINDOW, 10)
+        feed(lateness, 100, LATENESS_WINDOW, 10)
         before = lateness.items
         lateness.update({105: DueCount(99, 99)}, 105.0)
         lateness.update({105: DueCount(99, 99)}, 107.0)
@@ -50,7 +50,7 @@
 
 
 class DueCountTest(unittest.TestCase):
-    def test_results_items_given_up_and_jobs_that_were_ended(self):
+    def test_counts_of_results_items_given_up_and_cancelled_jobs(self):
         shares = ItemShares({})
         shares.add_job("a", "ann", 0, 5_500, [1] * 6)
         shares.add_job("b", "bob", 0, 5_900, [1] * 3)
@@ -62,7 +62,7 @@
         shares.forget_due(9)
         self.assertEqual(shares.due, {9: DueCount(1, 1)})
 
-    def test_a_node_that_never_looks_keeps_a_bounded_number(self):
+    def test_counts_are_bounded_without_updates(self):
         shares = ItemShares({})
         for second in range(2 * MAX_DUE_SECONDS):
             shares.add_job(str(second), "ann", 0, second * 1000, [1])
