--- a/postvalve/gateway/engines/__init__.py
+++ b/postvalve/gateway/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to engines, the events of their answers, and what holds requests back from them."""
+"""Connections to engines, server-sent event parsing and the quarantine check of each request."""
--- a/postvalve/gateway/engines/engine_connections.py
+++ b/postvalve/gateway/engines/engine_connections.py
@@ -1,7 +1,7 @@
-"""Connections to engines: one request at a time on each, kept for the next one.
+"""HTTP/1.1 connection pool for engines; each connection carries one request at a time.
 
-A connection is used again only when its last answer was whole, nothing came after it, and
-nothing came while it rested. Every failure says whether the request may have run.
+A connection is reused only if its last response was complete and no bytes arrived after it or
+while the connection was idle. Every error carries a verdict on whether the request may have run.
 """
 
 from __future__ import annotations
@@ -24,79 +24,79 @@
 from postvalve.sockets import send_at_once
 
 CONNECT_TIMEOUT = 0.6
-"""Seconds to open a connection to an engine."""
-SEND_PATIENCE = 2.0
-"""Seconds that an engine may fall behind in reading a request."""
+"""Longest time-out for opening a connection to an engine, in seconds."""
+MAX_SEND_LAG = 2.0
+"""Seconds by which an engine may fall behind `MIN_SEND_RATE` in reading a request."""
 MIN_SEND_RATE = 125_000
-"""Bytes a second that an engine must read at over that: a hundredth of the links of an engine's
-machine, which it shares."""
+"""Bytes per second at which an engine must read a request: a hundredth of the bandwidth of its
+machine's network links, which it shares."""
 MIN_SEND_WAIT = 0.05
-"""Seconds that a send waits at least, however late it is."""
+"""Least time-out of one `send` call in seconds, even if the deadline is closer."""
 SEND_TIMEOUT_MS = 1_500
-"""Milliseconds that sent bytes may stay unacknowledged."""
-READ_BLOCK = 32 * 1024
-"""Bytes asked of a socket at once."""
-REST_MARGIN = 1.0
-"""Seconds before an engine's own limit at which a resting connection is not used any more."""
-DEFAULT_REST = 4.0
-"""Seconds that a connection may rest where the engine tells no limit."""
-EVENT_END = b"\n\n"
+"""TCP_USER_TIMEOUT: milliseconds for which sent bytes may stay unacknowledged."""
+READ_SIZE = 32 * 1024
+"""Buffer size of one `recv` call in bytes."""
+KEEP_ALIVE_MARGIN = 1.0
+"""Seconds before the end of an engine's keep-alive time-out at which an idle connection expires."""
+DEFAULT_KEEP_ALIVE = 4.0
+"""Seconds that a connection may be idle if the engine announces no keep-alive time-out."""
+EVENT_DELIMITER = b"\n\n"
 
 
-class _AnswerParser(HTTPResponse):
-    """Parses one answer; bytes after it are no part of it."""
+class _ResponseParser(HTTPResponse):
+    """HTTP parser for a single response that records whether further bytes follow it."""
 
-    surplus = False
+    has_trailing_data = False
 
     def _on_message_begin(self) -> None:
         if self.message_complete and self.get_code() >= 200:
-            self.surplus = True
-            raise HTTPParseError("bytes after a whole answer")
+            self.has_trailing_data = True
+            raise HTTPParseError("bytes after the end of the response")
         super()._on_message_begin()
 
     def feed(self, data: str | bytes) -> None:
         try:
             super().feed(data)
         except Exception:
-            # What came before the surplus stands.
+            # The response itself is valid even if other bytes follow it.
             if not (self.message_complete and self.headers_complete):
                 raise
-            self.surplus = True
+            self.has_trailing_data = True
 
     def take_body(self) -> bytes:
-        """Body bytes that were parsed and not yet taken."""
+        """Remove and return the body bytes that have been parsed."""
         body = bytes(self._body_buffer)
         self._body_buffer.clear()
         return body
 
     def has_event(self) -> bool:
-        """Whether a whole event was parsed and not yet taken."""
-        return EVENT_END in self._body_buffer
+        """Whether a complete event has been parsed."""
+        return EVENT_DELIMITER in self._body_buffer
 
     def take_event(self) -> bytes:
-        """The next whole event, or nothing."""
-        end = self._body_buffer.find(EVENT_END)
+        """Remove and return the next complete event; empty if there is none yet."""
+        end = self._body_buffer.find(EVENT_DELIMITER)
         if end < 0:
             return b""
-        size = end + len(EVENT_END)
+        size = end + len(EVENT_DELIMITER)
         event = bytes(self._body_buffer[:size])
         del self._body_buffer[:size]
         return event
 
 
 @dataclass(slots=True)
-class _Resting:
+class _IdleConnection:
     connection: Any
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
 class _Engine:
-    resting: list[_Resting] = field(default_factory=list)
+    resting: list[_IdleConnection] = field(default_factory=list)
 
 
 class EngineAnswer:
-    """The answer to one attempt, as it comes."""
+    """Response of an engine to one attempt, read incrementally."""
 
     def __init__(
         self, pool: ConnectionPool, address: str, connection: Any, deadline: float
@@ -105,49 +105,50 @@
         self._address = address
         self._connection = connection
         self._deadline = deadline
-        self._parser = _AnswerParser("POST")
+        self._parser = _ResponseParser("POST")
         self._ended = False
         self.aborted = False
         self.received = False
-        """Whether any byte came."""
+        """Whether any byte of the response has been received."""
 
     @property
     def status(self) -> int:
-        """Status code."""
+        """HTTP status code."""
         return int(self._parser.get_code())
 
     @property
     def reason(self) -> str:
-        """Reason phrase."""
+        """HTTP reason phrase; "-" if the engine sent none."""
         return self._parser.status_message or "-"
 
     @property
     def headers(self) -> Headers:
-        """Headers in their order."""
+        """Response headers in the order in which they were received."""
         return list(self._parser.items())
 
     def header(self, name: str) -> str | None:
-        """One header."""
+        """Return the first value of a header; None if it is absent."""
         value = self._parser.get(name.lower())
         return value[0] if isinstance(value, list) else value
 
-    def read_head(self, silence: float) -> None:
-        """Read until the head is whole.
+    def read_head(self, read_timeout: float) -> None:
+        """Read until the status line and all headers have been received.
 
         Raises:
-            AttemptError: with MAY_HAVE_RUN.
+            AttemptError: The connection failed or timed out; the verdict is MAY_HAVE_RUN.
         """
         while not self._parser.headers_complete or self._parser.get_code() < 200:
-            self._receive(silence)
+            self._receive(read_timeout)
 
-    def read_event(self, silence: float) -> bytes:
-        """The next whole event; nothing at the whole end of the stream.
+    def read_event(self, read_timeout: float) -> bytes:
+        """Read the next event; empty at the regular end of the stream.
 
         Args:
-            silence: Seconds without a byte after which the engine counts as failed.
+            read_timeout: Seconds without a byte after which the engine counts as failed.
 
         Raises:
-            AttemptError: with MAY_HAVE_RUN, when the stream is cut or silent.
+            AttemptError: The stream was truncated or the read timed out; the verdict is
+                MAY_HAVE_RUN.
         """
         while True:
             event = self._parser.take_event()
@@ -155,33 +156,33 @@
                 return event
             if self._parser.message_complete:
                 return b""
-            self._receive(silence)
+            self._receive(read_timeout)
 
-    def read_body(self, silence: float) -> bytes:
-        """The whole body.
+    def read_body(self, read_timeout: float) -> bytes:
+        """Read the body to its end.
 
         Raises:
-            AttemptError: with MAY_HAVE_RUN, when it is cut.
+            AttemptError: The body was truncated or the read timed out; the verdict is MAY_HAVE_RUN.
         """
         while not self._parser.message_complete:
-            self._receive(silence)
+            self._receive(read_timeout)
         return self._parser.take_body()
 
     def has_event(self) -> bool:
-        """Whether the next event, or the end, needs no more bytes."""
+        """Whether `read_event` can return without receiving more bytes."""
         return self._parser.has_event() or self._parser.message_complete
 
     def rest_of_body(self) -> bytes:
-        """What a stream has after its last event."""
+        """Remove and return the bytes that follow the last complete event of a stream."""
         return self._parser.take_body()
 
-    def _receive(self, silence: float) -> None:
+    def _receive(self, read_timeout: float) -> None:
         left = self._deadline - self._pool.clock.monotonic()
         if self.aborted:
             raise AttemptError("the attempt was ended", Verdict.MAY_HAVE_RUN)
         if left <= 0:
             raise AttemptError("the deadline passed", Verdict.MAY_HAVE_RUN)
-        data = self._receive_bytes(min(silence, left))
+        data = self._receive_bytes(min(read_timeout, left))
         try:
             self._parser.feed(data)
         except Exception as error:  # the parser raises whatever its callbacks raise
@@ -190,11 +191,11 @@
         if not data and not self._parser.message_complete:
             raise EngineCutError("the engine cut its answer", Verdict.MAY_HAVE_RUN)
 
-    def _receive_bytes(self, patience: float) -> bytes:
-        """What comes next; nothing where the engine closed the connection."""
+    def _receive_bytes(self, timeout: float) -> bytes:
+        """Receive some bytes; empty if the engine closed the connection."""
         try:
-            self._connection.settimeout(patience)
-            data: bytes = self._connection.recv(READ_BLOCK)
+            self._connection.settimeout(timeout)
+            data: bytes = self._connection.recv(READ_SIZE)
         except TimeoutError as error:
             raise AttemptError(f"the engine failed: {error!r}", Verdict.MAY_HAVE_RUN) from error
         except OSError as error:
@@ -207,32 +208,32 @@
         return data
 
     def abort(self) -> None:
-        """End the attempt from another greenlet; the read under way fails."""
+        """End the attempt from another greenlet; a pending read fails."""
         self.aborted = True
         self._connection.close()
 
     def close(self) -> None:
-        """Give the connection back, or end it when the answer was not read whole."""
+        """Return the connection to the pool, or close it if it can't be reused."""
         if self._ended:
             return
         self._ended = True
         parser = self._parser
-        if self.aborted or parser.surplus or parser.should_close():
+        if self.aborted or parser.has_trailing_data or parser.should_close():
             self._connection.close()
             return
         self._pool.rest(self._address, self._connection, self.header("keep-alive"))
 
 
 class ConnectionPool:
-    """Connections by the address of their engine."""
+    """Pool of idle connections, by engine address."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self._engines: dict[str, _Engine] = defaultdict(_Engine)
-        self._resting_limit = MAX_RESTING
-        self._patience = ConnectPatience()
+        self._idle_limit = MAX_RESTING
+        self._connect_timeout = ConnectPatience()
         self.opened = 0
-        """Connections opened since the start."""
+        """Connections opened since the process started."""
 
     def start(
         self,
@@ -244,23 +245,24 @@
         fresh: bool = False,
         hurried: bool = False,
     ) -> EngineAnswer:
-        """Send a request; returns its answer, of which nothing was read yet.
+        """Send a request and return its response, of which nothing has been read yet.
 
         Args:
             address: IP:PORT of the engine.
-            request: Head and body.
+            request: Head and body as bytes for the wire.
             deadline: Monotonic seconds.
-            wanted: Tells, once there is a connection, whether the engine still takes work: it may
-                have left while one was opened.
-            fresh: Whether it takes a connection of its own: many that rest may have fallen
-                silent at the same time.
-            hurried: Whether another engine may have the request where a connection does not come
-                up as soon as they do.
+            wanted: Called once a connection is open; returns whether the engine still accepts
+                work, as it may have left while the connection was being opened.
+            fresh: Whether to open a new connection instead of using an idle one. Many idle
+                connections may have stopped responding at the same time.
+            hurried: Whether to give up early on a connection that opens much more slowly than
+                usual, because another engine can take the request.
 
         Raises:
-            AttemptError: NOT_RUN when nothing was sent, else MAY_HAVE_RUN.
+            AttemptError: No byte was sent (verdict NOT_RUN), or sending failed after it began
+                (verdict MAY_HAVE_RUN).
         """
-        resting = None if fresh else self._take(address)
+        resting = None if fresh else self._take_idle(address)
         connection = resting or self._open(address, deadline, hurried)
         if not wanted():
             connection.close()
@@ -275,9 +277,9 @@
         return answer
 
     def _send(self, connection: Any, request: bytes, deadline: float) -> None:
-        """Send a request to an engine that reads it in time; mostly its socket takes it at once."""
+        """Send a request; raise TimeoutError if the engine reads it too slowly."""
         now = self.clock.monotonic()
-        pace = TransferPace(MIN_SEND_RATE, SEND_PATIENCE, now)
+        pace = TransferPace(MIN_SEND_RATE, MAX_SEND_LAG, now)
         rest = memoryview(request)
         while rest:
             connection.settimeout(max(MIN_SEND_WAIT, min(pace.left(now), deadline - now)))
@@ -288,12 +290,12 @@
             if rest and (pace.left(now) <= 0 or now >= deadline):
                 raise TimeoutError("the engine reads too slowly")
 
-    def _take(self, address: str) -> Any | None:
+    def _take_idle(self, address: str) -> Any | None:
         resting = self._engines[address].resting
         now = self.clock.monotonic()
         while resting:
             one = resting.pop()
-            if one.until > now and not _readable(one.connection):
+            if one.expires_at > now and not _readable(one.connection):
                 return one.connection
             one.connection.close()
         return None
@@ -301,41 +303,47 @@
     def _open(self, address: str, deadline: float, hurried: bool) -> Any:
         host, _, port = address.rpartition(":")
         started_at = self.clock.monotonic()
-        longest = self._patience.seconds(CONNECT_TIMEOUT) if hurried else CONNECT_TIMEOUT
-        patience = min(longest, deadline - started_at)
-        if patience <= 0:
+        limit = self._connect_timeout.seconds(CONNECT_TIMEOUT) if hurried else CONNECT_TIMEOUT
+        timeout = min(limit, deadline - started_at)
+        if timeout <= 0:
             raise AttemptError("the deadline passed", Verdict.NOT_RUN)
         connection = gevent_socket.socket(sockets.AF_INET, sockets.SOCK_STREAM)
         try:
             send_at_once(connection)
             connection.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_USER_TIMEOUT, SEND_TIMEOUT_MS)
-            connection.settimeout(patience)
+            connection.settimeout(timeout)
             connection.connect((host, int(port)))
         except OSError as error:
             connection.close()
             raise AttemptError(f"connecting failed: {error!r}", Verdict.NOT_RUN) from error
-        self._patience.note(self.clock.monotonic() - started_at)
+        self._connect_timeout.note(self.clock.monotonic() - started_at)
         self.opened += 1
         return connection
 
     def rest(self, address: str, connection: Any, keep_alive: str | None) -> None:
-        """Keep a connection whose last answer was whole."""
+        """Put a connection whose last response was complete back into the pool.
+
+        Args:
+            address: IP:PORT of the engine.
+            connection: The open connection.
+            keep_alive: The engine's Keep-Alive header; None if it sent none.
+        """
         resting = self._engines[address].resting
-        seconds = _kept_seconds(keep_alive)
-        if len(resting) >= self._resting_limit or seconds <= 0:
+        seconds = _keep_alive_seconds(keep_alive)
+        if len(resting) >= self._idle_limit or seconds <= 0:
             connection.close()
             return
-        resting.append(_Resting(connection, self.clock.monotonic() + seconds))
+        resting.append(_IdleConnection(connection, self.clock.monotonic() + seconds))
 
     def limit_resting(self, connections: int) -> None:
-        """Set how many connections to one engine may rest, from the next `expire` on."""
-        self._resting_limit = connections
+        """Set the number of idle connections kept for each engine, from the next `expire` on."""
+        self._idle_limit = connections
 
     def expire(self) -> None:
-        """Close connections that have rested too long or are too many; called now and then."""
+        """Close idle connections that have expired or exceed the limit; called periodically."""
         now = self.clock.monotonic()
         for address, engine in list(self._engines.items()):
-            kept = [one for one in engine.resting if one.until > now][-self._resting_limit :]
+            kept = [one for one in engine.resting if one.expires_at > now][-self._idle_limit :]
             for one in engine.resting:
                 if one not in kept:
                     one.connection.close()
@@ -344,14 +352,14 @@
                 del self._engines[address]
 
     def drop(self, address: str) -> None:
-        """Close what rests at an address: its engine failed or is gone."""
+        """Close all idle connections to an address whose engine has failed or is gone."""
         engine = self._engines.pop(address, None)
         for one in engine.resting if engine else ():
             one.connection.close()
 
 
 def _readable(connection: Any) -> bool:
-    # Bytes or an end that came while it rested make it useless.
+    # Unexpected bytes or an end of stream make an idle connection unusable.
     connection.settimeout(0.0)
     try:
         connection.recv(1, sockets.MSG_PEEK)
@@ -362,16 +370,16 @@
     return True
 
 
-def _kept_seconds(keep_alive: str | None) -> float:
+def _keep_alive_seconds(keep_alive: str | None) -> float:
     for part in (keep_alive or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdigit():
-            return int(value) - REST_MARGIN
-    return DEFAULT_REST
+            return int(value) - KEEP_ALIVE_MARGIN
+    return DEFAULT_KEEP_ALIVE
 
 
 def request_bytes(method: str, target: str, headers: Headers, body: bytes) -> bytes:
-    """A whole request for the wire; the length is added."""
+    """Serialize an HTTP request; adds a Content-Length header where one is needed."""
     lines = [f"{method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body or method not in ("GET", "HEAD", "DELETE"):
--- a/postvalve/gateway/engines/event_stream.py
+++ b/postvalve/gateway/engines/event_stream.py
@@ -1,10 +1,10 @@
-"""Fields of server-sent events."""
+"""Parsing of single fields of a server-sent event."""
 
 from __future__ import annotations
 
 
 def event_id_of(event: bytes) -> int | None:
-    """The number of an event, if it has one."""
+    """Return the numeric `id` field of an event; None if it is absent or not a number."""
     for line in event.split(b"\n"):
         if line.startswith(b"id:"):
             text = line[3:].strip()
@@ -13,6 +13,6 @@
 
 
 def event_data(event: bytes) -> bytes:
-    """The data of an event, its lines joined by line feeds."""
+    """Return the `data` fields of an event, joined by line feeds."""
     lines = [line[5:] for line in event.split(b"\n") if line.startswith(b"data:")]
     return b"\n".join(line.removeprefix(b" ") for line in lines)
--- a/postvalve/gateway/engines/request_guard.py
+++ b/postvalve/gateway/engines/request_guard.py
@@ -1,4 +1,4 @@
-"""What one request, or batch item, tells the quarantine over its attempts, and gets from it."""
+"""Quarantine checks and reports of one request or batch item over all of its attempts."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class RequestGuard:
-    """One request's part in the quarantine.
+    """Asks the quarantine whether a request may run, and reports how its runs end.
 
-    While nothing is known it costs a digest for each answer, 13 us at 1 kB of body.
+    While the quarantine is empty the only cost is one digest for each complete response, 13 us
+    with a body of 1 kB.
     """
 
     def __init__(
@@ -26,7 +27,7 @@
         request_id: str,
         identify: Callable[[], RequestIdentity],
     ) -> None:
-        """Guard a request; its identity is worked out only where it is needed."""
+        """Set up for one request; `identify` is called only once its identity is needed."""
         self._quarantine = quarantine
         self._clock = clock
         self._events = events
@@ -37,23 +38,23 @@
         self._life = EngineLife()
         self._sent_at = 0.0
         self._first_event_at: float | None = None
-        self._cleared = False
-        """Whether the run under way has shown that the request ends no engine."""
+        self._is_cleared = False
+        """Whether the current run has shown that the request does not crash its engine."""
         self.alone = False
-        """Whether the next run, or the one under way, is that of a doubtful request."""
+        """Whether the next or current run is a trial: the request is suspect and must run alone."""
 
     @property
     def identity(self) -> RequestIdentity:
-        """What stands for the request each time that it comes."""
+        """Identity of the request, the same each time that it is sent again."""
         if self._identity is None:
             self._identity = self._identify()
         return self._identity
 
     def check(self) -> None:
-        """See whether the request may run now, and whether alone.
+        """Determine whether the request may run now, and whether it must run alone.
 
         Raises:
-            QuarantinedError: it may not.
+            QuarantinedError: The request is held back.
         """
         self.alone = False
         if not len(self._quarantine):
@@ -72,10 +73,10 @@
             raise QuarantinedError(decision.seconds)
 
     def begin(self, life: EngineLife) -> None:
-        """The request is about to be sent to an engine."""
+        """Record that the request is about to be sent to an engine."""
         now = self._clock.monotonic()
         self._life, self._sent_at, self._first_event_at = life, now, None
-        self._cleared = False
+        self._is_cleared = False
         if self.alone:
             self._trial = self._quarantine.begin_trial(self.identity, life, now)
             self._events.emit(
@@ -86,23 +87,25 @@
             )
 
     def note_head(self) -> None:
-        """The engine has begun to answer."""
+        """Record that the head of the engine's response was received."""
         self._quarantine.note_alive(self._life, self._sent_at, self._clock.monotonic())
 
     def note_event(self) -> None:
-        """An event came."""
+        """Record that an event of the response was received."""
         if self._first_event_at is None:
             self._first_event_at = self._clock.monotonic()
-        elif not self._cleared and not self._just_began:
+        elif not self._is_cleared and not self._just_began:
             self.note_answered()
 
     def note_answered(self) -> None:
-        """The engine's answer is whole, or has gone on for so long that the request can't end it.
+        """Record that the request does not crash its engine.
 
-        An item runs for seconds, and is lost with its job's time where it is held back: one that
-        three engines cut short while they generated for it is none that ends engines.
+        Called when the response is complete, or has gone on for longer than a fatal request needs
+        to crash its engine. Waiting for the end would be wrong for batch items: they generate for
+        seconds, so engines that fail meanwhile for other reasons would put them into quarantine
+        until their job's deadline has passed.
         """
-        self._cleared = True
+        self._is_cleared = True
         self._end_trial()
         if self._quarantine.note_answered(self.identity, self._clock.monotonic()):
             self._events.emit(
@@ -113,23 +116,24 @@
             )
 
     def note_engine_failed(self) -> None:
-        """The engine's answer is a failure: it lives, and the next one may end all the same.
+        """Record that the engine reported a failure: it is alive, but another may still crash.
 
-        Taken for an answer that clears the request, one such failure let 18 engines end for 3.
+        A reported failure must not clear the request. When it did, a fatal request crashed 18
+        engines instead of 3.
         """
-        self._cleared = True
+        self._is_cleared = True
         self._end_trial()
 
     def note_failure(self, error: PostvalveError) -> None:
-        """The run under way failed."""
+        """Record that the current run failed."""
         if error.verdict is Verdict.NOT_RUN:
             self._end_trial()
         elif isinstance(error, EngineCutError) and self._just_began:
-            self._note_end()
+            self._note_crash()
             self._end_trial()
         self.end()
 
-    def _note_end(self) -> None:
+    def _note_crash(self) -> None:
         now = self._clock.monotonic()
         counts = self._quarantine.note_end(self.identity, self._life, self._sent_at, now)
         decision = self._quarantine.rule(self.identity, now)
@@ -150,13 +154,13 @@
         return first is None or self._clock.monotonic() - first < BEGIN_TIME
 
     def end(self) -> None:
-        """No run is under way any more.
+        """Record that the current run is over.
 
-        A doubtful run may have ended without telling how it went: its client left, or its engine
-        fell silent. That counts as an end until the engine is heard again.
+        A trial may end without a result, because the client disconnected or the engine stopped
+        responding. It then counts as a crash until the engine responds again.
         """
         if self._trial is not None:
-            self._note_end()
+            self._note_crash()
             self._end_trial()
 
     def _end_trial(self) -> None:
--- a/postvalve/gateway/fleet/__init__.py
+++ b/postvalve/gateway/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows of engines, other nodes and doubtful requests, and what it tells of them."""
+"""Engine selection, load reports among nodes, and the exchange of quarantined requests."""
--- a/postvalve/gateway/fleet/builds.py
+++ b/postvalve/gateway/fleet/builds.py
@@ -1,4 +1,4 @@
-"""Tells operators which builds run side by side, and what that keeps off."""
+"""Logs and reports which optional features are disabled because a peer runs an older build."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from postvalve.core.membership.peers import PeerView
 from postvalve.events import Event, EventLog
 
-TOLD_PEERS = 3
-"""Nodes and zones that are named for each matter that they keep off."""
+MAX_NAMED_PEERS = 3
+"""Most nodes and zones named for each feature that they lack."""
 SETTLING = "settling"
-"""In place of a peer: all that are heard can do it, but not for long enough."""
+"""Stands for the peers' names while all peers support a feature, but not for long enough yet."""
 
 
 def feature_names(features: Feature) -> list[str]:
-    """Features as they stand in status and log."""
+    """Return the names of features as used in the status document and the log."""
     return [one.name.lower() for one in features if one.name]
 
 
 class Builds:
-    """One node's view of the others' builds."""
+    """One node's view of the features that the builds of its peers support."""
 
     def __init__(self, peers: PeerView, clock: Clock, events: EventLog) -> None:
         self._peers = peers
         self._clock = clock
         self._events = events
-        self._told = Feature.NONE
+        self._last_logged = Feature.NONE
 
     def look(self) -> None:
-        """Tell of what went on or off since the last look; called about twice a second."""
+        """Log changes of the enabled features since the last call; called about twice a second."""
         on = self._peers.features()
-        if on == self._told:
+        if on == self._last_logged:
             return
-        self._told = on
+        self._last_logged = on
         self._events.emit(
             Event.FEATURES_CHANGED,
             on=feature_names(on),
@@ -44,27 +44,27 @@
         )
 
     def fields(self) -> dict[str, Any]:
-        """For the status of the node: peers are counted, and named where they can do less."""
+        """Return the fields of the status document; peers that lack a feature are named."""
         own = self._peers.gate.own
         heard = dict(self._peers.features_heard())
         counts = Counter(" ".join(feature_names(one)) or "none" for one in heard.values())
-        lesser = {name: one for name, one in sorted(heard.items()) if own & ~one}
+        limited = {name: one for name, one in sorted(heard.items()) if own & ~one}
         return {
             "own": feature_names(own),
             "peers": dict(sorted(counts.items())),
-            "lesser_peers": {name: feature_names(one) for name, one in lesser.items()},
+            "lesser_peers": {name: feature_names(one) for name, one in limited.items()},
             "on": feature_names(self._peers.features()),
             "off": self._lacking(),
         }
 
     def _lacking(self) -> dict[str, list[str]]:
-        """Of each own feature that is off, who keeps it off."""
+        """Return the peers without support for each disabled feature of this build."""
         off = self._peers.gate.own & ~self._peers.features()
-        return {name: self._kept_off_by(one) for one in off for name in feature_names(one)}
+        return {name: self._peers_without(one) for one in off for name in feature_names(one)}
 
-    def _kept_off_by(self, feature: Feature) -> list[str]:
+    def _peers_without(self, feature: Feature) -> list[str]:
         names = [name for name, one in self._peers.features_heard() if feature not in one]
         if names:
-            return sorted(names)[:TOLD_PEERS]
+            return sorted(names)[:MAX_NAMED_PEERS]
         left = self._peers.gate.waiting(feature, self._clock.monotonic())
         return [f"{SETTLING}, {left:.0f} s"]
--- a/postvalve/gateway/fleet/directory_reader.py
+++ b/postvalve/gateway/fleet/directory_reader.py
@@ -1,4 +1,4 @@
-"""Follows the engines' directory, and gives its entries to the fleet."""
+"""Follows the topic of the engine directory and passes its entries to the fleet."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 from postvalve.gateway.knowledge.topic_follower import TopicFollower
 
 READ_WAIT = 0.8
-"""Seconds that a read of the directory waits. A way that falls silent is noticed so much later, and
-what an engine's leaving leaves is 2 s on the smallest deployments."""
+"""Seconds for which a read of the directory waits for changes. A connection that stops responding
+is detected that much later, and on the smallest deployments engines drain for only 2 s."""
 READ_PAUSE = 0.3
-"""Seconds between such reads, in which changes gather."""
-BEHIND_TIME = READ_PAUSE + 0.1
-"""Seconds in which the read under way may still bring what a peer knows already."""
-UNREADABLE_TOLD = 3
-"""Entries that can't be read of which one read tells by a line each."""
-KEPT_LOOK = 0.01
-"""Seconds between looks at entries that lapsed, at the least."""
+"""Seconds between such reads, so that one read returns several changes."""
+CATCH_UP_DELAY = READ_PAUSE + 0.1
+"""Seconds for which the pending read may still return entries that a peer already has."""
+MAX_UNREADABLE_LOGGED = 3
+"""Most unreadable entries logged one by one for each read."""
+MIN_EXPIRY_INTERVAL = 0.01
+"""Least seconds between checks for retained entries that have expired."""
 
 DirectoryParser = Callable[[KeyedRecord], EngineEntry | None]
-"""Reads one entry of the directory; None for one that can't be read."""
+"""Parses one entry of the directory; returns None if it is unreadable."""
 
 
 class DirectoryReader:
-    """What this node reads of the directory."""
+    """This node's copy of the engine directory."""
 
     def __init__(
         self,
@@ -52,46 +52,46 @@
         self._shared = SharedFreshness(clock.monotonic())
         self._entries: EngineDirectory[EngineEntry] = EngineDirectory(self._shared)
         self._lives = NewestLives()
-        self._reads_beside = False
+        self._is_catching_up = False
         self.on_change: Callable[[], None] = lambda: None
-        """Called after the fleet has got the entries."""
+        """Called after the fleet has been updated."""
         self._follower = TopicFollower(
             topics, clock, events, topic, self._observe, wait=READ_WAIT, pause=READ_PAUSE
         )
         self._follower.on_lost = self._entries.store_lost
-        self._follower.on_back = self._store_back
+        self._follower.on_back = self._store_regained
         fleet.directory_unsettled = lambda: self._entries.unsettled(clock.monotonic())
         fleet.directory_age = lambda: self._follower.age
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Follow the directory; never returns."""
         self._follower.run()
 
     @property
     def store_away(self) -> bool:
-        """Whether no node that is heard could read the directory lately."""
+        """Whether neither this node nor any peer that it hears has read the directory lately."""
         return self._shared.away
 
     def state(self) -> DirectoryState | None:
-        """What peers are told; None before the directory was read."""
+        """Return the directory state for load reports; None before the directory was first read."""
         if not self._follower.loaded:
             return None
         return DirectoryState(self._follower.next_offset, milliseconds(self._follower.age))
 
     def look(self) -> None:
-        """See how old what is known is; called a few times a second."""
+        """Take in the age of this node's copy; called a few times a second."""
         self._note_fresh(self._follower.fresh_at)
 
     def hear(self, state: DirectoryState, peer: str) -> None:
-        """Take in what a peer knows of the directory."""
+        """Take in a peer's directory state; start an extra read if the peer is ahead."""
         self._note_fresh(self._clock.monotonic() - state.age_ms / 1000)
         behind = self._follower.loaded and self._follower.next_offset < state.offset
-        if behind and not self._reads_beside:
-            self._reads_beside = True
-            gevent.spawn_later(BEHIND_TIME, self._read_beside, state.offset, peer)
+        if behind and not self._is_catching_up:
+            self._is_catching_up = True
+            gevent.spawn_later(CATCH_UP_DELAY, self._catch_up, state.offset, peer)
 
-    def _read_beside(self, offset: int, peer: str) -> None:
-        """Read beside the read under way, where that does not bring what a peer knows."""
+    def _catch_up(self, offset: int, peer: str) -> None:
+        """Read beside the pending read, unless that has caught up with the peer meanwhile."""
         known, error = self._follower.next_offset, ""
         try:
             if known >= offset:
@@ -100,30 +100,30 @@
         except PlatformError as exc:
             error = exc.message
         finally:
-            self._reads_beside = False
+            self._is_catching_up = False
         self._events.emit(
             Event.DIRECTORY_BEHIND, peer=peer, offset=offset, known=known, error=error
         )
 
     def _note_fresh(self, fresh_at: float) -> None:
         now = self._clock.monotonic()
-        was_away = self._shared.away
+        was_unavailable = self._shared.away
         self._shared.note(fresh_at, now)
-        if was_away and not self._shared.away:
+        if was_unavailable and not self._shared.away:
             self._events.emit(Event.STORE_WAS_AWAY, back=round(now - self._shared.returned_at, 3))
 
-    def _store_back(self) -> None:
-        """The store has answered a read of this node, after it did not."""
+    def _store_regained(self) -> None:
+        """Handle the first answer of the store after an outage."""
         self._note_fresh(self._follower.asked_at)
         self._entries.store_back(self._clock.monotonic())
 
     def tell_if_old(self) -> None:
-        """See `TopicFollower`."""
+        """Log, once for each outage, that this node's copy of the directory is stale."""
         self._follower.tell_if_old()
 
-    def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
+    def _observe(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
         changes = self._entries_of(records)
-        missing = self._entries.observe(changes, whole, self._clock.monotonic())
+        missing = self._entries.observe(changes, is_snapshot, self._clock.monotonic())
         if missing:
             self._events.emit(
                 Event.ENGINES_LAPSED,
@@ -132,10 +132,10 @@
                 age=round(self._follower.age, 3),
             )
             gevent.spawn(self._drop_lapsed)
-        self._use()
+        self._update_fleet()
 
     def _entries_of(self, records: Sequence[KeyedRecord]) -> list[tuple[str, EngineEntry | None]]:
-        """Engine id and entry of each record; what can't be used is left out, and told."""
+        """Return engine id and entry of each record; log those that can't be used."""
         found: list[tuple[str, EngineEntry | None]] = []
         unreadable: list[KeyedRecord] = []
         for record in records:
@@ -146,7 +146,7 @@
                 self._events.emit(Event.ENGINE_FORMER_LIFE, engine=entry.life)
                 entry = self._entries.listed(record.key)
             found.append((record.key, entry))
-        for record in unreadable[:UNREADABLE_TOLD]:
+        for record in unreadable[:MAX_UNREADABLE_LOGGED]:
             self._events.emit(
                 Event.ENGINE_UNREADABLE,
                 engine=record.key,
@@ -156,15 +156,15 @@
         return found
 
     def _drop_lapsed(self) -> None:
-        """Drop entries that did not come back, each in its time.
+        """Drop each retained entry that was not listed again before it expires.
 
-        The loop's timers start from a time that is some milliseconds old and may fire that much
-        too early, so one look after `KEEP_TIME` could be the last and come too soon.
+        The event loop's timers start from a cached time that is some milliseconds old and may fire
+        that much too early, so a single check after `KEEP_TIME` might still find the entry valid.
         """
         while (left := self._entries.seconds_kept(self._clock.monotonic())) is not None:
-            gevent.sleep(max(KEPT_LOOK, left))
-            self._use()
+            gevent.sleep(max(MIN_EXPIRY_INTERVAL, left))
+            self._update_fleet()
 
-    def _use(self) -> None:
+    def _update_fleet(self) -> None:
         self._fleet.update(self._entries.entries(self._clock.monotonic()))
         self.on_change()
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -1,4 +1,4 @@
-"""Where requests and batch items go: the load of each engine, and what has room there."""
+"""Placement of online requests and batch items on engines, by the load of each engine."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from postvalve.gateway.interfaces import EngineEntry, RequestTerms
 from postvalve.settings.routes import ServiceSpec
 
-USABLE_MEMORY = 0.95
-"""Share of an engine's memory that requests may fill by their own words."""
-START_UNREAD = 2_500
-"""Prompt tokens that an engine has to read up to which one more batch item starts there, so
-that items which start after a heap don't hold online work up by reading their prompts."""
+USABLE_MEMORY_SHARE = 0.95
+"""Share of an engine's memory that requests may fill according to the tokens they announce."""
+MAX_UNREAD_FOR_BATCH = 2_500
+"""Most unread prompt tokens at an engine with which a batch item may still start there. After a
+burst of online requests, many items that start at once would delay online work by prefilling."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """An engine that may take an online request, as this node sees it now."""
+    """An engine that may take an online request, with its load as this node sees it."""
 
     entry: EngineEntry
     option: EngineOption
@@ -43,23 +43,23 @@
 
 
 def _memory_short(used: int, tokens: int, memory_tokens: int) -> int:
-    """Tokens by which an engine's memory is too small for one more request.
+    """Return the tokens by which an engine's memory is too small for one more request.
 
     Args:
-        used: Tokens that its requests may need.
-        tokens: Those that this one may need.
-        memory_tokens: The engine's memory; 0 where it is not known.
+        used: Tokens that the engine's current requests may need.
+        tokens: Tokens that the new request may need.
+        memory_tokens: Size of the engine's memory; 0 if it is unknown.
     """
     if not memory_tokens or not used:
-        # Whether it takes a request that is larger than its memory is the engine's to say.
+        # An idle engine decides itself whether it accepts a request larger than its memory.
         return 0
-    return max(0, used + tokens - int(memory_tokens * USABLE_MEMORY))
+    return max(0, used + tokens - int(memory_tokens * USABLE_MEMORY_SHARE))
 
 
-def _timely(
+def _options_in_time(
     candidates: list[_Candidate], pace: ServicePace, tokens: int, left: float
 ) -> list[EngineOption]:
-    """Engines by which a request can be in time; else those with a free place; else all."""
+    """Return the engines that are expected to be in time; else those with capacity; else all."""
     in_time = timely((one.room for one in candidates), tokens, pace, left)
     found = [one.option for one, is_so in zip(candidates, in_time, strict=True) if is_so]
     if not found:
@@ -68,7 +68,7 @@
 
 
 class EngineFleet(ListedEngines):
-    """Engines of the directory, with the load and standing of each."""
+    """Engines of the directory with the load and health of each; places requests on them."""
 
     def __init__(
         self,
@@ -84,62 +84,64 @@
         self.use = EngineUse()
         self.paces.counted = lambda life: self.use.total(life).total
         self.pause_aim: Callable[[str], float | None] = lambda service: None
-        """Gives the seconds between events that callers of a service bear; None for no bound."""
+        """Returns the longest acceptable pause between events for a service; None for no bound."""
         self.service_named: Callable[[str], ServiceSpec | None] = lambda name: None
-        """Gives a service of the configuration in force."""
+        """Returns a service of the configuration in force by its name."""
         self.watched: Callable[[], Collection[EngineLife]] = tuple
-        """Gives the engines of which this node hears first what others send there."""
+        """Returns the engines watched by this node, to which peers report new requests at once."""
         self.on_change: Callable[[], None] = lambda: None
-        """Called after a request was counted in or out."""
+        """Called after a request was added to or removed from the counts."""
         self.on_placed: Callable[[EngineLife], None] = lambda life: None
-        """Called after a request was counted in at an engine."""
+        """Called after a request was placed on an engine."""
         self.on_crowded: Callable[[EngineLife], None] = lambda life: None
-        """Called when an online request was sent to an engine where batch must give way."""
+        """Called when an online request was placed on an engine where batch must be preempted."""
 
     def _memory_of(self, service: str) -> int:
-        """Tokens that an engine of a service holds; 0 where it is not known."""
+        """Return the memory of a service's engines in tokens; 0 if it is unknown."""
         spec = self.service_named(service)
         return spec.memory_tokens if spec is not None else 0
 
     def pace(self, service: str) -> ServicePace:
-        """What this node has learnt of a service's engines."""
+        """Return the latency estimates of a service's engines."""
         return self.paces.service(service)
 
     def _rooms_of(self, service: str) -> ServiceRooms:
-        """The rooms of a service's engines as they are now."""
+        """Return the capacity model of a service's engines for the present moment."""
         if not self.paces.uneven(service):
             return EVEN_ROOMS
         now = self._clock.monotonic()
         return UnevenRooms(service, self.paces, self.pace(service), self.pause_aim(service), now)
 
     def rooms(self, service: str) -> list[EngineRoom]:
-        """Load of each sound engine of a service; of all where none is sound."""
-        entries = self._sound(self.engines(service))
+        """Return the load of each healthy engine of a service; of all if none is healthy."""
+        entries = self._healthy(self.engines(service))
         rooms = self._rooms_of(service)
         return [rooms.room(entry, self.use.total(entry.life)) for entry in entries]
 
     def has_room(self, service: str) -> bool:
-        """Whether a sound engine has a slot that no online work needs, or there is no engine.
+        """Whether a healthy engine has a slot without online work, or no engine is listed.
 
-        The answer that `rooms` would give too, by the first engine that has one.
+        Agrees with `rooms`, but stops at the first such engine.
         """
         entries = self.engines(service)
         rooms = self._rooms_of(service)
-        any_sound = False
+        any_healthy = False
         for one in entries:
             if self._standings.is_suspect(one.life):
                 continue
-            any_sound = True
+            any_healthy = True
             if rooms.has_place(one, self.use.total(one.life)):
                 return True
-        # Where none is sound, all count.
+        # If no engine is healthy, all of them count.
         return not entries or (
-            not any_sound and any(rooms.has_place(one, self.use.total(one.life)) for one in entries)
+            not any_healthy
+            and any(rooms.has_place(one, self.use.total(one.life)) for one in entries)
         )
 
     def places_left(self, entry: EngineEntry) -> int:
-        """Places of an engine that no online work has, as `rooms` tells them; below 0 where more
-        run, or wait there, than it has places.
+        """Return the places of an engine that online work does not use.
+
+        Negative if more requests run or wait there than the engine has places.
         """
         pace, count = self.pace(entry.service), self.use.total(entry.life)
         room = self._rooms_of(entry.service).room(entry, count)
@@ -148,29 +150,32 @@
     def place_online(
         self, service: str, terms: RequestTerms, excluded: Iterable[EngineLife], left: float
     ) -> Placement | None:
-        """Choose an engine for an online attempt and count it in.
+        """Choose an engine for an online attempt and add the attempt to its counts.
 
         Args:
-            service: Who serves it.
-            terms: What the request's headers say.
-            excluded: Engines that are passed over.
-            left: Seconds within which its first event is in time.
+            service: Service that the request is routed to.
+            terms: Parameters from the request's headers.
+            excluded: Engines that must not be chosen.
+            left: Seconds within which the first event is in time.
+
+        Returns:
+            The placement; None if no engine is left.
         """
         memory = terms.shared_tokens + terms.own_tokens + terms.output_tokens
         memory_tokens = self._memory_of(service)
         pace, rooms = self.pace(service), self._rooms_of(service)
         candidates = [
             self._candidate(entry, memory, memory_tokens, rooms, terms.own_tokens)
-            for entry in self._looked_at(service, terms, set(excluded))
+            for entry in self._eligible_engines(service, terms, set(excluded))
         ]
         if not candidates:
             return None
-        options = _timely(candidates, pace, terms.own_tokens, left)
+        options = _options_in_time(candidates, pace, terms.own_tokens, left)
         best = self._chooser.choose(options, terms.prefix_key, terms.shared_tokens, self.watched())
         chosen = next(one for one in candidates if one.option.life == best.life)
         unread = terms.own_tokens + best.shared_unread
         expected = expected_first(chosen.room, unread, pace)
-        placement = self._enter(chosen.entry, False, unread, memory)
+        placement = self._add(chosen.entry, False, unread, memory)
         placement.expected = expected
         if rooms is not EVEN_ROOMS:
             placement.considered = [
@@ -180,19 +185,20 @@
             self.on_crowded(best.life)
         return placement
 
-    def _looked_at(
+    def _eligible_engines(
         self, service: str, terms: RequestTerms, skipped: set[EngineLife]
     ) -> list[EngineEntry]:
-        """Engines that a request may be sent to: sound ones, or all where none is."""
+        """Return the engines that a request may be sent to: healthy ones, else all."""
         usable = self._usable_of(service)
         shared = terms.prefix_key if terms.shared_tokens >= AFFINITY_TOKENS else ""
-        drawn = usable.drawn(self._random, shared, self.watched())
+        drawn = usable.request_candidates(self._random, shared, self.watched())
         for entries in (drawn, usable.all):
             left = [one for one in entries if one.life not in skipped]
-            # One that has just ended has nothing to do, and looks like the fastest one: 253 of
-            # 2,358 failed attempts went there past a sound one without this, 106 of 2,242 with it.
-            if sound := [one for one in left if not self._standings.is_suspect(one.life)]:
-                return sound
+            # An engine that has just crashed is idle and looks like the fastest one. Without this
+            # check 253 of 2,358 failed attempts went to such an engine although a healthy one was
+            # known, with it 106 of 2,242.
+            if healthy := [one for one in left if not self._standings.is_suspect(one.life)]:
+                return healthy
         return left
 
     def place_at(
@@ -202,16 +208,16 @@
         excluded: Iterable[EngineLife],
         choose: Callable[[Iterable[EngineLife]], str | None],
     ) -> Placement | None:
-        """Count an online attempt in at the engine that `choose` names among the sound ones."""
+        """Place an online attempt on the engine that `choose` selects among the healthy ones."""
         skipped = set(excluded)
         entries = [one for one in self.engines(service) if one.life not in skipped]
-        sound = self._sound(entries)
-        chosen = choose(one.life for one in sound)
-        entry = next((one for one in sound if one.life == chosen), None)
+        healthy = self._healthy(entries)
+        chosen = choose(one.life for one in healthy)
+        entry = next((one for one in healthy if one.life == chosen), None)
         if entry is None:
             return None
         unread = terms.shared_tokens + terms.own_tokens
-        return self._enter(entry, False, unread, unread + terms.output_tokens)
+        return self._add(entry, False, unread, unread + terms.output_tokens)
 
     def _candidate(
         self,
@@ -237,30 +243,30 @@
         return _Candidate(entry, option, room)
 
     def batch_room(self, service: str, *, pressing: bool) -> int:
-        """Batch items that the service's engines have room for now."""
+        """Return the number of batch items that may start now on a service's engines."""
         entries, rooms = self._batch_engines(service, pressing), self._rooms_of(service)
-        return sum(max(0, self._room(entry, pressing, rooms)) for entry in entries)
+        return sum(max(0, self._batch_room_at(entry, pressing, rooms)) for entry in entries)
 
     def relaxed_slots(self, service: str) -> int:
-        """Slots that batch items which have time may take, free or not; one at the least."""
+        """Return the slots, free or not, that non-urgent batch items may take; at least one."""
         entries = self._batch_engines(service, False)
         return max(1, sum(relaxed_slots(entry.slots) for entry in entries))
 
     def _batch_engines(self, service: str, pressing: bool) -> Sequence[EngineEntry]:
-        """Engines where batch items may start.
+        """Return the engines where batch items may start.
 
-        Those that have time stay in their zone while it has engines: nodes of other zones hear
-        late of what starts there, and would fill them beyond their slots together.
+        Non-urgent items stay in their zone while it has healthy engines: nodes of other zones
+        learn late of what starts there, and together they would overfill the slots.
         """
         usable = self._usable_of(service)
         if pressing:
             return usable.all
-        sound = any(not self._standings.is_suspect(one.life) for one in usable.near)
-        return usable.near if sound else usable.all
+        healthy = any(not self._standings.is_suspect(one.life) for one in usable.near)
+        return usable.near if healthy else usable.all
 
-    def _room(self, entry: EngineEntry, pressing: bool, rooms: ServiceRooms) -> int:
+    def _batch_room_at(self, entry: EngineEntry, pressing: bool, rooms: ServiceRooms) -> int:
         count = self.use.total(entry.life)
-        if count.unread > START_UNREAD or self._standings.is_suspect(entry.life):
+        if count.unread > MAX_UNREAD_FOR_BATCH or self._standings.is_suspect(entry.life):
             return 0
         if not pressing and self._is_cold(entry.life):
             return 0
@@ -276,26 +282,31 @@
         *,
         pressing: bool,
     ) -> Placement | None:
-        """Choose an engine with room for a batch item and count it in.
+        """Choose an engine with room for a batch item and add the item to its counts.
 
-        It is the better one of two that are drawn: nodes that take the best of one view all fill
-        the same engine, and items that just began are cut there.
+        Takes the best of a small random sample of the engines. If all nodes took the best engine
+        of the same view they would overfill it, and items that have just started would be
+        preempted there.
 
         Args:
-            service: The item's service.
+            service: Service that the item is routed to.
             prompt: Prompt tokens of the item.
-            output: The most tokens that it may give.
-            excluded: Engines that are passed over.
-            pressing: Whether it has to start soon; else it leaves more room to online work.
+            output: Most tokens that the item may generate.
+            excluded: Engines that must not be chosen.
+            pressing: Whether the item must start soon; otherwise it leaves more room to online
+                work.
+
+        Returns:
+            The placement; None if no engine has room.
         """
         skipped = set(excluded)
         memory_tokens = self._memory_of(service)
         known = self._rooms_of(service)
-        held = self._held_factors(known)
+        held = self._slot_time_factors(known)
         rooms = [
             (
-                # One that has to start soon goes where it ends soon.
-                self._room(entry, pressing, known) / (held(entry) if pressing else 1.0),
+                # An urgent item prefers engines where it ends soon.
+                self._batch_room_at(entry, pressing, known) / (held(entry) if pressing else 1.0),
                 entry.zone == self._zone,
                 self._random.uniform(0, 1),
                 entry,
@@ -310,22 +321,22 @@
         near = [one for one in free if one[1]] or free
         drawn = self._random.sample(near, min(DRAWN, len(near)))
         chosen = max(drawn, key=lambda one: one[:3])[3]
-        return self._enter(chosen, True, prompt, prompt + output)
+        return self._add(chosen, True, prompt, prompt + output)
 
-    def _held_factors(self, rooms: ServiceRooms) -> Callable[[EngineEntry], float]:
-        """Gives how many times as long as usual each engine of a service holds a slot."""
+    def _slot_time_factors(self, rooms: ServiceRooms) -> Callable[[EngineEntry], float]:
+        """Return a function that gives an engine's slot time relative to the service's average."""
         if rooms is EVEN_ROOMS:
             return lambda entry: 1.0
         return lambda entry: rooms.room(entry, self.use.total(entry.life)).factors.held
 
     def excess(self, life: EngineLife) -> int:
-        """Batch items of all nodes that should give way at an engine."""
+        """Return the number of batch items, of all nodes, that should be preempted at an engine."""
         entry = self._engines.get(life)
         if entry is None:
             return 0
         return self.use.excess(life, entry.slots)
 
-    def _enter(self, entry: EngineEntry, batch: bool, unread: int, memory: int) -> Placement:
+    def _add(self, entry: EngineEntry, batch: bool, unread: int, memory: int) -> Placement:
         seen = self.use.total(entry.life)
         placement = Placement(
             entry,
@@ -343,7 +354,7 @@
         return placement
 
     def leave(self, placement: Placement) -> None:
-        """Count an attempt out."""
+        """Remove an attempt from its engine's counts."""
         self.use.leave(
             placement.engine.life,
             batch=placement.batch,
@@ -353,7 +364,7 @@
         self.on_change()
 
     def note_read(self, placement: Placement) -> None:
-        """An attempt's first token came: its prompt was read."""
+        """Record an attempt's first token: its prompt is no longer counted as unread."""
         if placement.unread:
             self.use.note_read(placement.engine.life, placement.unread)
             placement.unread = 0
--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -1,4 +1,4 @@
-"""What this node knows of how fast engines are: learnt, told by engines, and told by peers."""
+"""Pace of engines: learnt from attempts, reported by engines, and exchanged with peers."""
 
 from __future__ import annotations
 
@@ -18,29 +18,30 @@
 from postvalve.events import Event, EventLog
 from postvalve.gateway.fleet.placement import Placement
 
-LOOK_INTERVAL = 1.0
-"""Seconds between looks at which engines differ, at the least: a tenth of the time in which samples
-fade, and at 65 nodes and 45 engines some 3 ms each."""
-CHANGES_TOLD = 8
-"""Engines of which one look tells by a line each that they begin or cease to differ."""
-BAD_LOADS_TOLD = 1_000
-"""Engines whose bad figures are told of, once each."""
+EVALUATION_INTERVAL = 1.0
+"""Least seconds between evaluations of which engines differ: a tenth of the decay time of samples.
+One evaluation takes some 3 ms with 65 nodes and 45 engines."""
+MAX_CHANGES_LOGGED = 8
+"""Most engines logged one by one in each evaluation as differing, or no longer differing."""
+MAX_BAD_LOADS_LOGGED = 1_000
+"""Most engines whose unreadable load is logged; each is logged once."""
 
 
 @dataclass(frozen=True, slots=True)
 class PaceFacts:
-    """What is known of one engine's pace; ages in seconds, None where nothing is known."""
+    """What is known of one engine's pace; ages in seconds, None if nothing is known."""
 
     learnt: PaceFactors
     weight: float
-    """Of the samples of all nodes."""
+    """Total weight of the samples of all nodes."""
     age: float | None = None
-    """Since the newest of them."""
+    """Age of the newest of these samples."""
     told: float | None = None
-    """What the engine told last, for 1.0 as usual."""
+    """Pace that the engine reported last, relative to its usual one."""
     told_age: float | None = None
+    """Age of that report."""
     trust: float = 0.0
-    """How much of it counts still, from 0 to 1."""
+    """Weight given to that report at its age, from 0 to 1."""
 
 
 def _age(at: float, now: float) -> float | None:
@@ -48,7 +49,7 @@
 
 
 class EnginePaces:
-    """Paces of all services and engines."""
+    """Latency estimates of all services, and the pace of each engine relative to its service."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
         self._clock = clock
@@ -58,25 +59,25 @@
         self._signals: dict[str, PaceSignal] = {}
         self._counts = CountCorrection()
         self._near = PaceTeller()
-        """To the zone."""
+        """Reports to nodes of this zone."""
         self._far = PaceTeller()
-        """To other zones' nodes that are told directly."""
+        """Reports to nodes of other zones."""
         self._zone = PaceTeller()
-        """To other zones, for all nodes of this one."""
+        """Digests to other zones, on behalf of all nodes of this zone."""
         self._bad_loads: set[int] = set()
-        self._looked_at = float("-inf")
+        self._evaluated_at = float("-inf")
         self.counted: Callable[[EngineLife], int] = lambda life: 0
-        """Gives the requests of all nodes at an engine, as this node counts them."""
+        """Returns the requests of all nodes at an engine, as this node counts them."""
 
     def service(self, service: str) -> ServicePace:
-        """The pace of a service's engines together."""
+        """Return the latency estimates of a service, averaged over its engines."""
         pace = self._services.get(service)
         if pace is None:
             pace = self._services[service] = ServicePace()
         return pace
 
     def keep(self, services: Mapping[EngineLife, str]) -> None:
-        """The directory lists these engines: what was known of other lives ends with them."""
+        """Drop what is known of engine instances that the directory no longer lists."""
         self.learnt.keep(services)
         lives = {engine_hash(life) for life in services}
         self._counts.keep(lives)
@@ -85,16 +86,16 @@
             signal.keep(lives)
 
     def uneven(self, service: str) -> bool:
-        """Whether engines of a service tell their pace; others are taken for alike.
+        """Whether engines of a service report their pace; otherwise all are treated as equal.
 
-        Attempts of one heap are slow together, so that equal engines often look as if they
-        differed; without their own word that costs more than it brings.
+        Attempts of one burst are slow together, so equal engines often seem to differ. Without
+        reports from the engines, acting on such differences costs more than it gains.
         """
         signal = self._signals.get(service)
         return signal is not None and signal.told
 
     def factors(self, service: str, life: EngineLife, now: float) -> PaceFactors:
-        """How much longer than usual for its service an engine takes now."""
+        """Return how much longer than the service's average an engine takes at present."""
         key = engine_hash(life)
         factors = self.learnt.factors(key)
         signal = self._signals.get(service)
@@ -102,7 +103,7 @@
         return factors if told == 1.0 else factors.times(told)
 
     def facts(self, service: str, life: EngineLife, now: float) -> PaceFacts:
-        """What is known of an engine's pace, with its age."""
+        """Return what is known of an engine's pace, for status and logs."""
         key = engine_hash(life)
         shown = self.learnt.total(key, now)
         signal = self._signals.get(service)
@@ -120,15 +121,15 @@
         )
 
     def not_counted(self, life: EngineLife, now: float) -> int:
-        """Requests at an engine that no node reports, as it told itself."""
+        """Return the requests at an engine beyond those that nodes report, by its own count."""
         return self._counts.requests(engine_hash(life), now)
 
-    # What attempts show
+    # Samples from attempts
 
     def note_load(self, placement: Placement, load: EngineLoad) -> None:
-        """An engine told its load with an answer."""
+        """Record the load that an engine reported with a response."""
         if load.pace is None:
-            # Engines that tell no pace are taken as they always were.
+            # Load without a pace is ignored: such engines are treated as equal.
             return
         life = placement.engine.life
         key = engine_hash(life)
@@ -139,16 +140,16 @@
         self._counts.note(key, load.requests, self.counted(life), load.at)
 
     def note_bad_load(self, life: EngineLife, told: str) -> None:
-        """An engine's figures can't be read: it is named once."""
+        """Log an unreadable load report, once per engine."""
         key = engine_hash(life)
         known = self.learnt.knows(key)
-        if not known or key in self._bad_loads or len(self._bad_loads) >= BAD_LOADS_TOLD:
+        if not known or key in self._bad_loads or len(self._bad_loads) >= MAX_BAD_LOADS_LOGGED:
             return
         self._bad_loads.add(key)
         self._events.emit(Event.ENGINE_LOAD_UNREADABLE, engine=life, told=told)
 
     def note_first_event(self, placement: Placement, seconds: float) -> None:
-        """An attempt's first event came after so many seconds."""
+        """Record the seconds from an attempt's start to its first event."""
         if not placement.found_slot:
             return
         pace = self.service(placement.engine.service)
@@ -157,13 +158,13 @@
             self._observe(placement, Aspect.FIRST, seconds, expected)
 
     def note_end(self, placement: Placement, times: AttemptTimes, *, whole: bool = True) -> None:
-        """An attempt ended by no fault of its engine.
+        """Record the timings of an attempt that did not fail because of its engine.
 
         Args:
-            placement: Where.
-            times: Of its events.
-            whole: Whether it got its last event; one that was ended by this system still shows
-                how fast its events came.
+            placement: Placement of the attempt.
+            times: Times of its events.
+            whole: Whether its response was complete; an attempt stopped by this node, such as a
+                preempted one, still shows the pauses between its events.
         """
         pause = times.mean_pause
         if not pause:
@@ -172,7 +173,7 @@
         running = placement.running
         pace.observe_pause(running, pause)
         if times.asked_at:
-            # Items are read in the intervals of a poll, which show no single pause.
+            # Events of batch items are read at polling intervals, which hide single pauses.
             pace.observe_longest_pause(running, times.longest_pause)
         usual = pace.pause(running)
         if not usual:
@@ -189,14 +190,19 @@
         now = self._clock.monotonic()
         self.learnt.observe(placement.engine.life, aspect, seconds, expected, now)
 
-    # What peers tell
+    # Exchange with peers
 
     def tell(self, peers: int, *, far: bool = False) -> bytes:
-        """The part of a report where so many peers are told, for all of the zone or all beyond."""
+        """Return the pace part of the next load report.
+
+        Args:
+            peers: Number of peers that get reports, which bounds the size of the part.
+            far: Whether the report goes to nodes of other zones.
+        """
         now = self._clock.monotonic()
         teller = self._far if far else self._near
         return teller.part(
-            self._worth_telling(self.learnt.own_newest()),
+            self._reporting_engines(self.learnt.own_newest()),
             lambda life: self.learnt.own(life, now),
             self._readings(lambda peer: not peer),
             peers,
@@ -204,32 +210,40 @@
         )
 
     def tell_zone(self, peers: list[str], zones: int) -> bytes:
-        """The part of a digest of this node and these peers, to so many zones."""
+        """Return the pace part of the next zone digest.
+
+        Args:
+            peers: Nodes of this zone whose samples are included beside those of this node.
+            zones: Number of zones that get digests, which bounds the size of the part.
+        """
         now = self._clock.monotonic()
         names = set(peers)
         return self._zone.part(
-            self._worth_telling(self.learnt.newest()),
+            self._reporting_engines(self.learnt.newest()),
             lambda life: self.learnt.sum_of(life, names, now),
             self._readings(lambda peer: not peer or peer in names),
             zones,
             now,
         )
 
-    def _worth_telling(self, lives: Iterator[tuple[int, float]]) -> Iterator[tuple[int, float]]:
-        """Lives of services whose engines tell their pace."""
+    def _reporting_engines(self, lives: Iterator[tuple[int, float]]) -> Iterator[tuple[int, float]]:
+        """Select the engines of services whose engines report their pace."""
         return (one for one in lives if self.uneven(self.learnt.service_of(one[0])))
 
-    def _readings(self, heard_from: Callable[[str], bool]) -> Iterator[tuple[int, PaceReading]]:
-        """The newest reading of each engine that came from some peers, or from the engine."""
+    def _readings(self, is_source: Callable[[str], bool]) -> Iterator[tuple[int, PaceReading]]:
+        """Yield the newest reading of each engine if its source satisfies `is_source`.
+
+        The source is a peer's id, or empty for a report of the engine to this node.
+        """
         return (
             (life, one)
             for signal in self._signals.values()
             for life, one in signal.readings().items()
-            if heard_from(one.peer)
+            if is_source(one.peer)
         )
 
     def hear(self, peer: str, data: bytes) -> None:
-        """Take in what a peer tells; a part that is cut is left out."""
+        """Take in the pace part of a peer's report or digest; a malformed part is logged."""
         if not data:
             return
         try:
@@ -244,23 +258,23 @@
                 self._signals.setdefault(service, PaceSignal()).note(life, value, at, peer)
 
     def forget(self, peer: str) -> None:
-        """What a peer told comes by another way now."""
+        """Drop the samples received from a peer, which its zone's digests contain from now on."""
         self.learnt.forget(peer)
 
-    # What follows
+    # Evaluation
 
     def look(self) -> None:
-        """Work out which engines differ; called a few times a second."""
+        """Determine which engines differ from the rest; called a few times a second."""
         now = self._clock.monotonic()
-        if now - self._looked_at < LOOK_INTERVAL:
+        if now - self._evaluated_at < EVALUATION_INTERVAL:
             return
-        self._looked_at = now
+        self._evaluated_at = now
         changes = [
             one
             for one in self.learnt.look(now)
             if self.uneven(self.learnt.service_of(engine_hash(one.life)))
         ]
-        for change in changes[:CHANGES_TOLD]:
+        for change in changes[:MAX_CHANGES_LOGGED]:
             self._events.emit(
                 Event.ENGINE_DIFFERS if change.differs else Event.ENGINE_DIFFERS_NO_MORE,
                 engine=change.life,
--- a/postvalve/gateway/fleet/engine_watch.py
+++ b/postvalve/gateway/fleet/engine_watch.py
@@ -1,10 +1,10 @@
-"""Batch items give way at once: one node of the zone watches over each engine.
+"""Fast preemption of batch items: each engine is watched by one node of its zone.
 
-Online requests go to engines whose free slots are filled with batch items but for a few. Nodes
-hear of each other's requests some tenths of a second late, and by then online requests wait. So
-each node reports out of turn to the one that watches over the engine, and that one tells the
-least urgent items to go. Nobody asks it before a request is placed: when it is lost, or two watch
-for a moment, items give way later, or one too many does.
+Batch items fill nearly all slots that online requests leave free. Nodes learn of each other's
+requests some tenths of a second late, and by then online requests are queued at the engine. So
+each node that places a request also sends a report to the engine's watcher at once, and the watcher
+tells the nodes of the least urgent items to preempt them. No request waits for the watcher: if it
+is lost, or two nodes act as watcher for a moment, items are preempted later, or one too many is.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from postvalve.messages.generated import gateway
 
 TELL_DELAY = 0.005
-"""Seconds in which requests gather before they are told: items of a job start together."""
+"""Seconds by which the report to a watcher is delayed, as items of a job start together."""
 LOOK_AGE = 0.5
-"""Seconds after which it is worked out anew who watches over which engine."""
+"""Seconds after which the watchers of engines are determined again."""
 
 
 class EngineWatch:
-    """This node's part in it."""
+    """Reports to the watchers of engines, and preempts items at engines watched by this node."""
 
     def __init__(self, services: PeerServices, items: RunningItems) -> None:
         self._identity = services.identity
@@ -41,38 +41,38 @@
         self._items = items
         self._victims = VictimChooser()
         self._watchers = Owners()
-        """Nodes that watch over the engines of this zone."""
+        """Watcher of each engine of this zone."""
         self._watched: list[EngineLife] = []
-        """Engines that this node watches over."""
-        self._watchers_of: tuple[list[str], list[EngineLife]] = ([], [])
-        """Nodes and engines for which that was worked out."""
-        self._looked_at = float("-inf")
-        self._untold: set[str] = set()
-        """Watchers that have not been told yet of the newest requests."""
+        """Engines watched by this node."""
+        self._watcher_inputs: tuple[list[str], list[EngineLife]] = ([], [])
+        """Nodes and engines from which the watchers were determined."""
+        self._determined_at = float("-inf")
+        self._pending_watchers: set[str] = set()
+        """Watchers to which the newest requests have not been reported yet."""
         self.own_report: Callable[[], bytes] = bytes
-        """Gives this node's present report, as a datagram."""
+        """Returns this node's current load report as a datagram."""
         self.own_urgencies: Callable[[EngineLife], list[int]] = lambda life: []
-        """Gives the urgencies of this node's items at an engine."""
+        """Returns the urgencies of this node's items at an engine."""
         self.on_give_way: Callable[[int, int], None] = lambda engine, urgency: None
-        """Takes an engine's hash, and the urgency of an item that gives way there."""
+        """Called with an engine's hash and the urgency of an item of this node to preempt there."""
 
     def watched(self) -> list[EngineLife]:
-        """Engines that this node watches over."""
+        """Return the engines watched by this node."""
         return self._watched
 
     def note_placed(self, life: EngineLife) -> None:
-        """This node has sent something to an engine."""
+        """Schedule a report to an engine's watcher, as this node has placed a request there."""
         watcher = self._watcher_of(life)
         if watcher is None:
             return
-        if not self._untold:
-            gevent.spawn_later(TELL_DELAY, self._tell)
-        self._untold.add(watcher)
+        if not self._pending_watchers:
+            gevent.spawn_later(TELL_DELAY, self._report_to_watchers)
+        self._pending_watchers.add(watcher)
 
     def _watcher_of(self, life: EngineLife) -> str | None:
         now = self._clock.monotonic()
-        if now - self._looked_at >= LOOK_AGE:
-            self._looked_at = now
+        if now - self._determined_at >= LOOK_AGE:
+            self._determined_at = now
             self._find_watchers()
         return self._watchers.of.get(life)
 
@@ -81,15 +81,15 @@
         nodes = [one.node_id for one in self._peers.neighbours(zone) if not one.report.leaving]
         nodes.append(self._identity.node_id)
         near = [one.life for one in self._fleet.listed_engines() if one.zone == zone]
-        if self._watchers_of == (nodes, near):
+        if self._watcher_inputs == (nodes, near):
             return
-        self._watchers_of = (nodes, near)
+        self._watcher_inputs = (nodes, near)
         self._watchers.update(near, nodes)
         own = self._identity.node_id
         self._watched = [life for life in near if self._watchers.of[life] == own]
 
-    def _tell(self) -> None:
-        watchers, self._untold = self._untold, set()
+    def _report_to_watchers(self) -> None:
+        watchers, self._pending_watchers = self._pending_watchers, set()
         if self._identity.node_id in watchers:
             watchers.discard(self._identity.node_id)
             self.look()
@@ -102,26 +102,28 @@
                 self._transport.send(peer.report.peer_address, data)
 
     def look(self) -> None:
-        """Tell items to go where an engine that this node watches over runs too many."""
+        """Preempt items at the engines watched by this node that run too many requests."""
         for life in self._watched:
-            self._relieve(life)
+            self._preempt_at(life)
 
-    def _relieve(self, life: EngineLife) -> None:
+    def _preempt_at(self, life: EngineLife) -> None:
         engine, own = engine_hash(life), self._identity.node_id
         excess = self._fleet.excess(life)
         running = self._items.at(engine) if excess > 0 else []
         if excess > 0:
             running += [(urgency, own) for urgency in self.own_urgencies(life)]
-        self._tell_victims(life, running, excess)
+        self._request_preemption(life, running, excess)
 
-    def _tell_victims(self, life: EngineLife, running: list[tuple[int, str]], excess: int) -> None:
-        """Tell the least urgent of the items that run at an engine to go, each once."""
+    def _request_preemption(
+        self, life: EngineLife, running: list[tuple[int, str]], excess: int
+    ) -> None:
+        """Request preemption of the least urgent items at an engine, once for each item."""
         engine, now = engine_hash(life), self._clock.monotonic()
         for urgency, node_id in self._victims.choose(engine, running, excess, now):
             self._events.emit(Event.ITEM_TOLD_TO_GIVE_WAY, engine=life, peer=node_id, excess=excess)
-            self._send(engine, urgency, node_id)
+            self._send_preemption(engine, urgency, node_id)
 
-    def _send(self, engine: int, urgency: int, node_id: str) -> None:
+    def _send_preemption(self, engine: int, urgency: int, node_id: str) -> None:
         if node_id == self._identity.node_id:
             self.on_give_way(engine, urgency)
             return
@@ -131,9 +133,12 @@
             self._transport.send(peer.report.peer_address, encode_frame(msg, 0))
 
     def urge_far(self, life: EngineLife) -> None:
-        """An engine of another zone is crowded, as far as this node knows."""
+        """Preempt items at an engine of another zone that is overloaded in this node's view.
+
+        Engines of this zone are left to their watchers.
+        """
         if life in self._watchers.of:
             return
         engine = engine_hash(life)
         known = [one for one in self._items.at(engine) if self._peers.get(one[1]) is not None]
-        self._tell_victims(life, known, self._fleet.excess(life))
+        self._request_preemption(life, known, self._fleet.excess(life))
--- a/postvalve/gateway/fleet/listed_engines.py
+++ b/postvalve/gateway/fleet/listed_engines.py
@@ -1,4 +1,4 @@
-"""Engines as the directory lists them, and how each behaved towards this node."""
+"""Engines that the directory lists, with the health of each."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from postvalve.gateway.fleet.usable_engines import UsableEngines
 from postvalve.gateway.interfaces import EngineEntry, EngineState
 
-SETTLE_LOOK = 0.1
-"""Seconds between looks whether the directory is still unsettled."""
+SETTLE_CHECK_INTERVAL = 0.1
+"""Seconds between checks whether the directory is still unsettled."""
 
 
 class ListedEngines:
-    """Engines of the directory, and the standing of each."""
+    """Engines of the directory with their health, pace and warm-up state."""
 
     def __init__(self, zone: str, clock: Clock, events: EventLog, pool: ConnectionPool) -> None:
         self._zone = zone
@@ -29,20 +29,20 @@
         self._pool = pool
         self._engines: dict[EngineLife, EngineEntry] = {}
         self._usable: dict[str, UsableEngines] = {}
-        """Those that take new work, by service; worked out anew after each change."""
+        """Engines that accept new work, by service; recomputed after each change."""
         self._updated = GeventEvent()
-        """Set, and replaced, when the directory was taken in."""
+        """Set, and replaced by a new event, at each update from the directory."""
         self.directory_unsettled: Callable[[], bool] = bool
-        """Tells whether engines may live that the directory does not list at the moment."""
+        """Returns whether there may be live engines that the directory does not list at present."""
         self.directory_age: Callable[[], float] = float
-        """Gives the seconds of which this node does not know how the directory changed."""
+        """Returns the age of this node's copy of the directory in seconds."""
         self._standings = EngineStandings(clock)
         self.paces = EnginePaces(clock, events)
         self._warm_at: dict[EngineLife, float] = {}
-        """Monotonic seconds at which engines that told to be cold are warm."""
+        """Monotonic seconds at which engines that announced a warm-up will have finished it."""
 
     def update(self, entries: Iterable[EngineEntry]) -> None:
-        """Take the directory's present list in."""
+        """Replace the list of engines by the directory's current entries."""
         engines = {entry.life: entry for entry in entries}
         for life, former in self._engines.items():
             if life not in engines:
@@ -51,7 +51,7 @@
                     Event.ENGINE_GONE, engine=life, within=round(self.directory_age(), 3)
                 )
         self._standings.keep(engines)
-        self._note_cold(engines)
+        self._update_warm_up(engines)
         for life, entry in engines.items():
             known = self._engines.get(life)
             if known is None or known.state is not entry.state:
@@ -69,39 +69,39 @@
         updated, self._updated = self._updated, GeventEvent()
         updated.set()
 
-    def _note_cold(self, engines: dict[EngineLife, EngineEntry]) -> None:
+    def _update_warm_up(self, engines: dict[EngineLife, EngineEntry]) -> None:
         now = self._clock.monotonic()
         known = {key: at for key, at in self._warm_at.items() if key in engines and at > now}
         for life, entry in engines.items():
-            # An entry that stands as it was told nothing new.
+            # An unchanged entry must not restart the warm-up.
             if entry.warm_in > 0 and entry != self._engines.get(life):
                 known[life] = now + entry.warm_in
         self._warm_at = known
 
-    def await_engines(self, service: str, patience: float) -> bool:
-        """Wait for an engine of a service where the directory may be about to list one.
+    def await_engines(self, service: str, timeout: float) -> bool:
+        """Wait for an engine of a service if the directory may be about to list one.
 
         Args:
-            service: The service.
-            patience: Seconds.
+            service: Name of the service.
+            timeout: Longest wait in seconds.
 
         Returns:
-            Whether there is one.
+            Whether the service has an engine.
         """
-        deadline = self._clock.monotonic() + patience
+        deadline = self._clock.monotonic() + timeout
         while not self.engines(service):
             left = deadline - self._clock.monotonic()
             if left <= 0 or not self.directory_unsettled():
                 return False
-            self._updated.wait(min(left, SETTLE_LOOK))
+            self._updated.wait(min(left, SETTLE_CHECK_INTERVAL))
         return True
 
     def engines(self, service: str) -> Sequence[EngineEntry]:
-        """Engines of a service that take new work; callers only read the list."""
+        """Return the engines of a service that accept new work; the list must not be modified."""
         return self._usable_of(service).all
 
     def _usable_of(self, service: str) -> UsableEngines:
-        # Asked for at each look for room: some fifty times a second at a node with batch items.
+        # Cached: a node with batch items asks for it some fifty times a second.
         found = self._usable.get(service)
         if found is None:
             entries = [
@@ -113,7 +113,7 @@
         return found
 
     def takes_work(self, life: EngineLife) -> bool:
-        """Whether an engine is listed, does not leave, and was not replaced."""
+        """Whether an engine is listed, is not leaving, and was not replaced."""
         entry = self._engines.get(life)
         return (
             entry is not None
@@ -122,15 +122,15 @@
         )
 
     def is_listed(self, life: EngineLife) -> bool:
-        """Whether the directory lists this life of an engine."""
+        """Whether the directory lists this instance of an engine."""
         return life in self._engines
 
     def listed_engines(self) -> list[EngineEntry]:
-        """All engines of the directory."""
+        """Return all engines of the directory."""
         return list(self._engines.values())
 
     def state_of(self, entry: EngineEntry) -> str:
-        """An engine's state in one word, for operators."""
+        """Return an engine's state as shown to operators."""
         if self._standings.is_replaced(entry.life):
             return "replaced"
         return "suspect" if self._standings.is_suspect(entry.life) else entry.state.value
@@ -140,23 +140,23 @@
             return False
         return self._warm_at.get(life, 0.0) > self._clock.monotonic()
 
-    def _sound(self, entries: Sequence[EngineEntry]) -> Sequence[EngineEntry]:
-        """Those that did not fail a moment ago; all where each of them did."""
+    def _healthy(self, entries: Sequence[EngineEntry]) -> Sequence[EngineEntry]:
+        """Return the engines that are not suspect; all of them if each one is."""
         if not self._standings.any_suspect:
             return entries
         return [one for one in entries if not self._standings.is_suspect(one.life)] or entries
 
     def note_success(self, life: EngineLife) -> None:
-        """An attempt went well."""
+        """Record a successful attempt."""
         self._standings.note_success(life)
 
     def note_failure(self, life: EngineLife, reason: str) -> None:
-        """An attempt failed for a cause that lies at the engine."""
+        """Record an attempt that failed because of its engine."""
         pause = self._standings.note_failure(life)
         self._events.emit(Event.ENGINE_SUSPECT, engine=life, seconds=pause, reason=reason)
 
     def note_replaced(self, life: EngineLife) -> None:
-        """Another engine lives at its address: it takes no more work."""
+        """Record that another engine has answered at its address; it gets no more work."""
         self._standings.note_replaced(life)
         self._usable = {}
         entry = self._engines.get(life)
--- a/postvalve/gateway/fleet/load_reading.py
+++ b/postvalve/gateway/fleet/load_reading.py
@@ -1,4 +1,4 @@
-"""Hands on what an engine tells of its load with each answer."""
+"""Reads the load that engines report in response headers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from postvalve.gateway.fleet.placement import Placement
 from postvalve.gateway.interfaces import Dialect, Headers, Judgement
 
-OF_OTHERS = frozenset((Judgement.REPLACED, Judgement.FOREIGN))
-"""Answers that may come from another engine than the one that was asked."""
+POSSIBLY_OTHER_ENGINE = frozenset((Judgement.REPLACED, Judgement.FOREIGN))
+"""Responses that may come from another engine than the one that was addressed."""
 
 
 def read_load(
@@ -20,8 +20,8 @@
     judgement: Judgement,
     headers: Headers,
 ) -> None:
-    """Read an answer's head; what can't be read is left out, and its engine named once."""
-    if judgement in OF_OTHERS:
+    """Record the load in a response's headers; unreadable figures are logged once per engine."""
+    if judgement in POSSIBLY_OTHER_ENGINE:
         return
     try:
         load = dialect.engine_load(headers, clock.monotonic())
--- a/postvalve/gateway/fleet/load_reports.py
+++ b/postvalve/gateway/fleet/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports between nodes over UDP: counts, waiting items, revision, liveness."""
+"""Load reports among nodes over UDP: engine use, waiting items, revisions and liveness."""
 
 from __future__ import annotations
 
@@ -46,18 +46,18 @@
 from postvalve.node.passed_over import PassedOver
 
 TARGETS_AGE = 0.5
-"""Seconds between looks at who the peers are, and which of them are silent."""
+"""Seconds between updates of the report targets and checks for silent peers."""
 MAX_SILENCE = 60.0
-"""Seconds; longer silences of the store are told as this."""
+"""Longest silence of the store that a report states, in seconds."""
 
 
 def _packed(report: LoadReport) -> bytes:
-    """A report as a datagram."""
+    """Encode a report as a datagram."""
     return encode_frame(PackedReport(report.pack()), 0)
 
 
 class LoadReports:
-    """Sends this node's report and takes those of the others."""
+    """Sends this node's load reports and receives the datagrams of its peers."""
 
     def __init__(self, services: PeerServices) -> None:
         self._services = services
@@ -72,7 +72,7 @@
         self._far = ReportPace(FAR_RATE)
         self._sequence = 0
         self._targets: tuple[list[str], list[str]] = ([], [])
-        """Addresses of the peers in this node's zone, and in all others."""
+        """Addresses of the peers in this node's zone, and in all other zones."""
         self._looked_at = float("-inf")
         self._changed = GeventEvent()
         self.leaving = False
@@ -86,13 +86,16 @@
         self.extensions: dict[Extension, Callable[[], bytes]] = {
             Extension.FEATURES: lambda: pack_features(OWN_FEATURES)
         }
-        """Gives each part of a report beyond its fixed layout."""
+        """Functions that return the extension parts of a report; empty parts are not sent."""
         self.turn_parts: Callable[[bool, int], dict[int, bytes]] = lambda far, peers: {}
-        """Gives parts that are told once, to all peers of a group: whether it is that of the other
-        zones, and how many nodes tell each peer. A report to a single peer must not use them up.
+        """Returns extension parts that are sent once to all peers of a group.
+
+        Arguments: whether it is the group of the other zones, and the number of nodes that report
+        to each peer. Reports to a single peer must not call it, as its parts would be lost to the
+        rest of the group.
         """
         self.on_look: Callable[[], None] = lambda: None
-        """Called about every `TARGETS_AGE` seconds."""
+        """Called about every `TARGETS_AGE` seconds, after the silent peers were dropped."""
         self.items = RunningItems()
         self.zones = ZoneDigests(services, self.items)
         self.zones.own_report = self._report
@@ -107,26 +110,26 @@
         self._fleet.on_change = self._changed.set
 
     def changed(self) -> None:
-        """Report soon."""
+        """Send a report as soon as the report rate allows it."""
         self._changed.set()
 
     def gather_time(self) -> float:
-        """Seconds in which datagrams of peers gather before they are read."""
+        """Return the seconds for which received datagrams are collected before they are handled."""
         near, _ = self._targets
         return max(LEAST_GATHER_TIME, GATHER_SHARE * self._near.interval(len(near)))
 
     def look_again(self) -> None:
-        """The peers have changed: report to them soon."""
+        """Determine the report targets again, as the peers have changed, and report soon."""
         self._looked_at = float("-inf")
         self._changed.set()
 
     def next_report(self) -> bytes:
-        """The next report, as a datagram for any peer, out of turn."""
+        """Build a report outside the schedule, as a datagram for a single peer."""
         self._sequence += 1
         return _packed(self._report())
 
     def run(self) -> None:
-        """Report for ever."""
+        """Send reports; never returns."""
         while True:
             self.look()
             if self._near.waiting or self._far.waiting:
@@ -136,14 +139,14 @@
             self._changed.wait(IDLE_INTERVAL - LEAST_INTERVAL)
 
     def _seconds_left(self) -> float:
-        """Seconds until the next report that has something to tell."""
+        """Return the seconds until the next report that has changes is due."""
         now = self._clock.monotonic()
         groups = zip((self._near, self._far), self._targets, strict=True)
         left = [pace.seconds_left(len(peers), now) for pace, peers in groups if pace.waiting]
         return min(left, default=0.0)
 
     def look(self) -> None:
-        """Report to the groups whose turn it is."""
+        """Send a report to each group of peers for which one is due."""
         now = self._clock.monotonic()
         if now - self._looked_at >= TARGETS_AGE:
             self._looked_at = now
@@ -165,14 +168,14 @@
             self._send(due)
 
     def _send(self, due: list[tuple[bool, list[str]]]) -> None:
-        """Send the next report to groups, with the parts that it is each one's turn to hear."""
+        """Send the next report to groups of peers, with each group's one-time parts."""
         self._sequence += 1
         report = self._report()
-        usual = _packed(report)
+        common = _packed(report)
         for far, addresses in due:
             parts = self.turn_parts(far, sum(map(len, self._targets)))
-            told = replace(report, extensions={**report.extensions, **parts})
-            data = _packed(told) if parts else usual
+            extended = replace(report, extensions={**report.extensions, **parts})
+            data = _packed(extended) if parts else common
             for address in addresses:
                 self._transport.send(address, data)
 
@@ -215,12 +218,12 @@
         )
 
     def _extensions(self) -> dict[int, bytes]:
-        """Parts that other parts of the node have to tell; empty ones are left out."""
+        """Return the extension parts that are not empty."""
         parts = {number: tell() for number, tell in self.extensions.items()}
         return {number: data for number, data in parts.items() if data}
 
     def tell_pace(self) -> None:
-        """Tell peers how fast engines are, too."""
+        """Include the pace of engines in reports and zone digests."""
         self.turn_parts = self._engine_pace
         self.zones.engine_pace = self._fleet.paces.tell_zone
 
@@ -229,39 +232,39 @@
         return {Extension.ENGINE_PACE: pace} if pace else {}
 
     def receive(self, data: bytes, address: str) -> None:
-        """Take a datagram."""
+        """Handle a datagram of a peer; malformed ones are logged."""
         try:
-            self._take(decode_datagram(data), address)
+            self._handle(decode_datagram(data), address)
         except UnknownKindError as unknown:
             self._passed_over.note(unknown.header.kind, address, self._clock.monotonic())
         except (FrameError, LoadReportError) as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
 
     @singledispatchmethod
-    def _take(self, msg: Message, address: str) -> None:
-        """Take a message in; those of the product's own interface are none of its business."""
+    def _handle(self, msg: Message, address: str) -> None:
+        """Handle a decoded message; messages of the native node protocol are ignored."""
 
-    @_take.register
+    @_handle.register
     def _(self, msg: gateway.ZoneDigest, address: str) -> None:
         self.zones.receive(msg, address)
 
-    @_take.register
+    @_handle.register
     def _(self, msg: gateway.QuarantineNews, address: str) -> None:
         self.on_quarantine_news(msg, address)
 
-    @_take.register
+    @_handle.register
     def _(self, msg: gateway.GiveWay, address: str) -> None:
         self.watch.on_give_way(msg.engine, msg.urgency)
 
-    @_take.register
+    @_handle.register
     def _(self, msg: gateway.LineState, address: str) -> None:
         self.on_line_state(msg, address)
 
-    @_take.register
+    @_handle.register
     def _(self, msg: gateway.LineGrant, address: str) -> None:
         self.on_line_grant(msg, address)
 
-    @_take.register
+    @_handle.register
     def _(self, msg: PackedReport, address: str) -> None:
         report = unpack_report(msg.data)
         now = self._clock.monotonic()
--- a/postvalve/gateway/fleet/node_directory.py
+++ b/postvalve/gateway/fleet/node_directory.py
@@ -1,9 +1,9 @@
-"""Addresses of the other nodes, as the store holds them.
+"""Addresses of the other nodes, as announced in the store.
 
-A node writes where it listens and then reads once who else does. Of two nodes the one that reads
-later sees the other, and its first report tells the other of it; so nobody follows the topic.
-It is apart from the topic of jobs, which is large, so that nodes that all start together hear of
-each other before they have read that.
+A node appends its own address and then reads the topic once. Of two nodes the one that reads later
+finds the other, and its first load report makes the other aware of it, so no node needs to follow
+the topic. It is separate from the topic of jobs, which is large, so that nodes that all start
+together find each other before they have read the jobs.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from postvalve.messages.generated import gateway
 
 NODE_TOPIC = "nodes"
-ANNOUNCE_PAUSE = 0.3
-"""Seconds until a failed announcement is repeated, doubled for each later one."""
-MAX_ANNOUNCE_PAUSE = 2.0
+ANNOUNCE_RETRY_DELAY = 0.3
+"""Seconds before a failed announcement is retried, doubled after each further failure."""
+MAX_ANNOUNCE_RETRY_DELAY = 2.0
 
 
 class NodeDirectory:
-    """Nodes that have announced themselves; some may be gone."""
+    """Announces this node and holds the nodes announced before; some of these may be gone."""
 
     def __init__(
         self, identity: gateway.NodeStarted, topics: KeyedTopics, events: EventLog
@@ -33,14 +33,15 @@
         self._topics = topics
         self._addresses: dict[str, tuple[str, str]] = {}
         self.on_change: Callable[[], None] = lambda: None
+        """Called after the addresses were read."""
 
     def addresses(self) -> dict[str, tuple[str, str]]:
-        """Peer address and zone by node id."""
+        """Return peer address and zone of the announced nodes, by node id."""
         return self._addresses
 
     def announce(self) -> None:
-        """Tell the others of this node and learn of them; repeated until the store answers."""
-        pause = ANNOUNCE_PAUSE
+        """Append this node's address and read those of the others; retries until that succeeds."""
+        delay = ANNOUNCE_RETRY_DELAY
         while True:
             try:
                 record = KeyedRecord(self._identity.node_id, bytes(self._identity))
@@ -50,8 +51,8 @@
                 return
             except StoreUnavailableError as exc:
                 self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, topic=NODE_TOPIC)
-                gevent.sleep(pause)
-                pause = min(MAX_ANNOUNCE_PAUSE, pause * 2)
+                gevent.sleep(delay)
+                delay = min(MAX_ANNOUNCE_RETRY_DELAY, delay * 2)
 
     def _read(self) -> dict[str, tuple[str, str]]:
         found: dict[str, tuple[str, str]] = {}
--- a/postvalve/gateway/fleet/peer_services.py
+++ b/postvalve/gateway/fleet/peer_services.py
@@ -1,4 +1,4 @@
-"""What the parts that speak with peers use of their node."""
+"""Shared dependencies of the parts of a node that communicate with peers."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerServices:
-    """See the module."""
+    """Dependencies passed to each part that communicates with peers."""
 
     identity: gateway.NodeStarted
-    """Of this node."""
+    """Id, incarnation, address and zone of this node."""
     clock: Clock
     events: EventLog
     transport: Transport
     fleet: EngineFleet
     peers: PeerView
     started_nodes: Callable[[], dict[str, tuple[str, str]]]
-    """Gives peer address and zone of all nodes that have announced themselves, by id."""
+    """Returns peer address and zone of all nodes that have announced themselves, by id."""
     generator: RandomSource
 
     def known_nodes(self) -> dict[str, tuple[str, str]]:
-        """Peer address and zone of all other nodes that announced themselves or are heard of."""
+        """Return peer address and zone, by id, of all other nodes announced or heard from."""
         nodes = dict(self.started_nodes())
         for peer in self.peers.all():
             nodes[peer.node_id] = (peer.report.peer_address, peer.report.zone)
--- a/postvalve/gateway/fleet/placement.py
+++ b/postvalve/gateway/fleet/placement.py
@@ -1,4 +1,4 @@
-"""One attempt's place at an engine."""
+"""Placement of one attempt on an engine, and what this node knew when it chose the engine."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsideredEngine:
-    """An engine that a request might have been sent to, as this node saw it then."""
+    """An engine that was considered for a request, with its load as seen at that time."""
 
     life: EngineLife
     room: EngineRoom
@@ -20,34 +20,34 @@
 
 @dataclass(slots=True)
 class Placement:
-    """An engine chosen for one attempt, counted as used until it is left."""
+    """An engine chosen for one attempt; the attempt counts as load there until it is released."""
 
     engine: EngineEntry
     batch: bool
     online_seen: int = 0
-    """Online requests of all nodes at the engine, as this node knew before."""
+    """Online requests of all nodes at the engine before this one, by this node's counts."""
     batch_seen: int = 0
-    """Batch items likewise."""
+    """Batch items of all nodes at the engine before this one, by this node's counts."""
     unread_seen: int = 0
-    """Prompt tokens that the engine had to read before, likewise."""
+    """Prompt tokens that the engine still had to read before this attempt's own."""
     unread: int = 0
-    """Prompt tokens of this attempt; 0 once its first token came."""
+    """Prompt tokens of this attempt that are still unread; 0 from its first token on."""
     memory: int = 0
-    """Tokens that this attempt may need in the engine's memory."""
+    """Tokens of the engine's memory that this attempt may need."""
     to_read: int = 0
-    """Prompt tokens that the engine had to read until this attempt's first event."""
+    """Prompt tokens, its own included, that the engine must read before its first event."""
     expected: float = 0.0
-    """Seconds to the first event, as this node expected."""
+    """Expected seconds from the placement to the first event."""
 
     considered: Sequence[ConsideredEngine] = ()
-    """Engines that were looked at, where those of the service differ."""
+    """Engines that were considered; empty unless engines of the service report their pace."""
 
     @property
     def running(self) -> int:
-        """Requests that ran at the engine with this one, as far as this node knew."""
+        """Requests running at the engine, this one included, by this node's counts."""
         return min(self.engine.slots, self.online_seen + self.batch_seen + 1)
 
     @property
     def found_slot(self) -> bool:
-        """Whether a slot was free, as far as this node knew."""
+        """Whether the engine had a free slot, by this node's counts."""
         return self.online_seen + self.batch_seen < self.engine.slots
--- a/postvalve/gateway/fleet/quarantine_sharing.py
+++ b/postvalve/gateway/fleet/quarantine_sharing.py
@@ -1,10 +1,10 @@
-"""Tells peers, and the store, of requests under which engines ended.
+"""Spreads the quarantine, requests under which engines crashed, among nodes by gossip.
 
-News goes to some peers at once, and from each that it is news to on to others, so all hear of it
-within a few rounds. Once a second each node tells a few peers again what it knows, as datagrams get
-lost. Both cost nothing while nothing is known. A node that starts, or that has stood still, asks a
-peer before it takes requests. What is held back is kept in the store too, for a fleet of which
-every node was lost at once.
+A node sends changes to some peers at once, and each peer for which they are new forwards them, so
+all nodes know them within a few hops. As datagrams get lost, each node also sends what it knows to
+a few peers once a second. Neither costs anything while the quarantine is empty. A node that starts,
+or that was suspended, asks peers for their quarantine before it takes requests. Requests that are
+held back are also saved in the store, in case all nodes of the fleet are lost at once.
 """
 
 from __future__ import annotations
@@ -26,40 +26,43 @@
 from postvalve.node.peer_link import Channel
 
 QUARANTINE_TOPIC = "quarantine"
-GATHER_TIME = 0.05
-"""Seconds in which news gathers: an engine that ends under a dozen requests is one datagram."""
-FANOUT = 8
-"""Peers that get news at once; three rounds of so many reach 380 nodes."""
+COLLECT_TIME = 0.05
+"""Seconds for which changes are collected: an engine that crashes under a dozen requests causes
+one datagram."""
+GOSSIP_FANOUT = 8
+"""Peers that get changes at once; three hops reach 380 nodes."""
 ROUND_INTERVAL = 1.0
-"""Seconds between rounds in which what is known is told again."""
+"""Seconds between gossip rounds, in which a node sends what it knows again."""
 ROUND_PEERS = 3
-"""Peers that are told in a round; each node is so told by three others a second in the mean."""
+"""Peers to which a node sends in each round, so that it receives from three on average."""
 ROUND_DATAGRAMS = 2
-"""Datagrams of a round, those of the most engines first: 7 KB/s at the most with three peers."""
+"""Most datagrams for each peer in a round, requests with the most crashed engines first. With three
+peers this is 7 KB/s at most."""
 DATAGRAM_BYTES = 1_200
-"""Of one datagram, so that it goes in one piece."""
-NEWS_DATAGRAMS = 1
-"""Datagrams of news at once, of the requests with the most engines; rounds bring the rest. So a
-zone that is lost with all its engines costs a node 200 KB/s at the most, while it ends."""
+"""Largest datagram in bytes, small enough not to be fragmented."""
+CHANGE_DATAGRAMS = 1
+"""Most datagrams of changes for each peer at once, requests with the most crashed engines first;
+the rounds carry the rest. This bounds the cost at 200 KB/s for each node while a whole zone is
+lost with all its engines."""
 LEARN_PATIENCE = 1.0
-"""Seconds that a node which starts waits for what its peers and the store know."""
-LEARN_PEERS = 2
-"""Peers that are asked at once, so that one which stands still delays nobody."""
+"""Seconds for which a starting node waits for the quarantine of its peers and the store."""
+PEERS_ASKED = 2
+"""Peers asked at the same time, so that a suspended one causes no delay."""
 STORE_INTERVAL = 1.0
-"""Seconds between reads of the store by a node that hears fewer peers than a while ago: where it is
-cut off from them, the store is what both sides reach."""
-CUT_SHARE = 0.75
-"""Share of those peers below which it counts as cut off. One node that ends is no cut: that all
-others read the store for it would grow with the square of the fleet."""
-CUT_TIME = 60.0
-"""Seconds for which it reads the store then; after that the others count as gone."""
+"""Seconds between reads of the store by a node that hears fewer peers than before: in a network
+partition both sides may still reach the store."""
+PARTITION_SHARE = 0.75
+"""Share of the peers heard before below which a node assumes a partition. The loss of a single node
+must not make all others read the store, as that cost would grow with the square of the fleet."""
+PARTITION_TIME = 60.0
+"""Seconds for which a node then reads the store; after that the missing peers count as gone."""
 STALL = 2.0
-"""Seconds between two looks after which this node must have stood still; an idle node looks about
-once a second."""
+"""Seconds between two checks from which this node must have been suspended; an idle node checks
+about once a second."""
 
 
 class QuarantineSharing:
-    """One node's telling and hearing."""
+    """One node's exchange of quarantined requests with peers and the store."""
 
     def __init__(self, services: PeerServices, topics: KeyedTopics, quarantine: Quarantine) -> None:
         self._services = services
@@ -67,50 +70,51 @@
         self._events = services.events
         self._topics = topics
         self._quarantine = quarantine
-        self._news: set[bytes] = set()
+        self._changes: set[bytes] = set()
         self._saved: dict[bytes, int] = {}
-        """Requests that this node has told the store of, and the number of engines told."""
-        self._over: set[bytes] = set()
-        """Requests that the store kept too long, dropped by this node."""
+        """Digests of requests saved in the store, with the number of crashed engines saved."""
+        self._removed: set[bytes] = set()
+        """Digests of expired requests that this node has removed from the store."""
         self._round_at = float("-inf")
         self._changed = GeventEvent()
-        self._looked_at = self._read_at = self._clock.monotonic()
-        self._most_peers, self._most_peers_at = 0, self._looked_at
+        self._checked_at = self._read_at = self._clock.monotonic()
+        self._most_peers, self._most_peers_at = 0, self._checked_at
         self._peers_known = GeventEvent()
         self.learned = GeventEvent()
-        """Set once this node knows what others know, or has waited for it long enough."""
+        """Set once this node has learned the quarantine of others, or the wait has timed out."""
         self.on_learned: Callable[[], None] = lambda: None
+        """Called after `learned` was set."""
         quarantine.on_change = self._note_change
 
-    # Telling
+    # Sending
 
     def run(self) -> None:
-        """Tell for ever."""
+        """Send changes and rounds; never returns."""
         while True:
             if self._changed.wait(ROUND_INTERVAL if len(self._quarantine) else None):
-                gevent.sleep(GATHER_TIME)
+                gevent.sleep(COLLECT_TIME)
                 self._changed.clear()
-                self._tell_news()
+                self._send_changes()
             now = self._clock.monotonic()
             if now - self._round_at >= ROUND_INTERVAL:
                 self._round_at = now
-                self._tell(self._quarantine.digests(), ROUND_PEERS, ROUND_DATAGRAMS)
+                self._send(self._quarantine.digests(), ROUND_PEERS, ROUND_DATAGRAMS)
                 self._expire(now)
                 for digest in self._quarantine.digests():
-                    self._keep_in_store(digest)
+                    self._save(digest)
 
     def _note_change(self, digest: bytes) -> None:
-        self._news.add(digest)
+        self._changes.add(digest)
         self._changed.set()
 
-    def _tell_news(self) -> None:
-        news, self._news = self._news, set()
-        self._tell(news, FANOUT, NEWS_DATAGRAMS)
-        for digest in news:
-            self._keep_in_store(digest)
+    def _send_changes(self) -> None:
+        changes, self._changes = self._changes, set()
+        self._send(changes, GOSSIP_FANOUT, CHANGE_DATAGRAMS)
+        for digest in changes:
+            self._save(digest)
 
-    def _tell(self, digests: Iterable[bytes], peers: int, datagrams: int) -> None:
-        addresses = self._some_peers(peers)
+    def _send(self, digests: Iterable[bytes], peers: int, datagrams: int) -> None:
+        addresses = self._random_peers(peers)
         if not addresses:
             return
         for message in self._messages(digests)[:datagrams]:
@@ -118,25 +122,25 @@
             for address in addresses:
                 self._services.transport.send(address, data)
 
-    def _some_peers(self, count: int) -> list[str]:
+    def _random_peers(self, count: int) -> list[str]:
         heard = [peer.report.peer_address for peer in self._services.peers.all()]
-        # A node that starts has heard nobody yet, and knows who has announced itself.
+        # A starting node has heard from no peer yet, but knows the announced nodes.
         addresses = heard or [address for address, _ in self._services.known_nodes().values()]
-        return sorted(addresses, key=lambda address: self._draw())[:count]
+        return sorted(addresses, key=lambda address: self._random_rank())[:count]
 
-    def _draw(self) -> float:
+    def _random_rank(self) -> float:
         return self._services.generator.uniform(0, 1)
 
     def _messages(self, digests: Iterable[bytes]) -> list[gateway.QuarantineNews]:
-        """What is known of these requests, in messages that fit into datagrams."""
+        """Pack what is known of these requests into messages that fit into datagrams."""
         now = self._clock.monotonic()
         known = [(one, case) for one in digests if (case := self._quarantine.case(one))]
-        # Those of equal weight in turns: not all of them may fit.
-        known.sort(key=lambda one: (-len(one[1].engines()), self._draw()))
+        # In random order among equals, as not all of them may fit.
+        known.sort(key=lambda one: (-len(one[1].engines()), self._random_rank()))
         messages: list[gateway.QuarantineNews] = []
         room = 0
         for digest, case in known:
-            packed = _pack(digest, case, now)
+            packed = _pack_request(digest, case, now)
             size = len(bytes(packed)) + 4
             if size > room:
                 messages.append(gateway.QuarantineNews(requests=[]))
@@ -145,20 +149,20 @@
             room -= size
         return messages
 
-    # Hearing
+    # Receiving
 
     def receive(self, message: gateway.QuarantineNews, peer: str) -> None:
-        """Take in what a peer knows."""
+        """Merge the quarantined requests that a peer sent."""
         now = self._clock.monotonic()
         for told in message.requests:
-            self._merge(told.digest, _unpack(told, now), peer)
+            self._merge(told.digest, _unpack_request(told, now), peer)
 
     def reply(self) -> gateway.QuarantineNews:
-        """What a peer that asks gets."""
+        """Return all quarantined requests, for a peer that asks for them."""
         now = self._clock.monotonic()
         known = [(one, self._quarantine.case(one)) for one in self._quarantine.digests()]
         return gateway.QuarantineNews(
-            requests=[_pack(digest, case, now) for digest, case in known if case]
+            requests=[_pack_request(digest, case, now) for digest, case in known if case]
         )
 
     def _merge(self, digest: bytes, told: Case, source: str) -> None:
@@ -172,11 +176,11 @@
     # Learning
 
     def note_nodes(self) -> None:
-        """Other nodes are known."""
+        """Signal that the addresses of other nodes are known."""
         self._peers_known.set()
 
     def learn(self) -> None:
-        """Ask the store and peers what they know, as this node starts."""
+        """Learn the quarantine from the store and from peers at the start of this node."""
         asked = [gevent.spawn(self._read_store), gevent.spawn(self._ask_known_peers)]
         gevent.joinall(asked, timeout=LEARN_PATIENCE)
         self.learned.set()
@@ -187,25 +191,28 @@
         self._ask_peers()
 
     def look(self) -> None:
-        """Called some times a second: see whether this node has stood still."""
+        """Detect a suspension of this node, or a partition, and learn the quarantine again.
+
+        Called a few times a second.
+        """
         now = self._clock.monotonic()
-        stood_still = now - self._looked_at > STALL
-        self._looked_at = now
-        if stood_still and self.learned.is_set():
+        was_suspended = now - self._checked_at > STALL
+        self._checked_at = now
+        if was_suspended and self.learned.is_set():
             gevent.spawn(self._ask_peers)
-        if self._lacks_peers(now) and now - self._read_at >= STORE_INTERVAL:
+        if self._is_partitioned(now) and now - self._read_at >= STORE_INTERVAL:
             self._read_at = now
             gevent.spawn(self._read_store)
 
-    def _lacks_peers(self, now: float) -> bool:
-        """Whether this node heard many more peers lately than it hears now."""
+    def _is_partitioned(self, now: float) -> bool:
+        """Whether this node hears far fewer peers than in the last `PARTITION_TIME` seconds."""
         heard = self._services.peers.count()
-        if heard >= self._most_peers or now - self._most_peers_at > CUT_TIME:
+        if heard >= self._most_peers or now - self._most_peers_at > PARTITION_TIME:
             self._most_peers, self._most_peers_at = heard, now
-        return heard < self._most_peers * CUT_SHARE
+        return heard < self._most_peers * PARTITION_SHARE
 
     def _ask_peers(self) -> None:
-        addresses = self._some_peers(LEARN_PEERS)
+        addresses = self._random_peers(PEERS_ASKED)
         asked = [gevent.spawn(self._ask, address) for address in addresses]
         gevent.joinall(asked, timeout=LEARN_PATIENCE, count=1)
 
@@ -241,17 +248,17 @@
             )
             return
         since = max(0, milliseconds(self._clock.wall()) - saved.written_at_ms) / 1000
-        told = _unpack(saved.request, self._clock.monotonic() - since)
+        told = _unpack_request(saved.request, self._clock.monotonic() - since)
         if told.forgotten_at() <= self._clock.monotonic():
-            self._drop_once(saved.request.digest)
+            self._remove_once(saved.request.digest)
         else:
             self._saved[saved.request.digest] = len(told.engines())
             self._merge(saved.request.digest, told, "store")
 
-    def _keep_in_store(self, digest: bytes) -> None:
-        """Let the store know of a request that is held back, or that is not any more."""
+    def _save(self, digest: bytes) -> None:
+        """Save a request that is held back in the store, or remove one that no longer is."""
         case = self._quarantine.case(digest)
-        if case is None or not self._keeps(digest):
+        if case is None or not self._is_saver(digest):
             return
         ends = len(case.engines())
         if case.on_trial or ends == self._saved.get(digest, 0):
@@ -259,30 +266,30 @@
         if ends >= HELD_ENDS:
             self._saved[digest] = ends
             packed = gateway.QuarantineRecord(
-                request=_pack(digest, case, self._clock.monotonic()),
+                request=_pack_request(digest, case, self._clock.monotonic()),
                 written_at_ms=milliseconds(self._clock.wall()),
             )
             gevent.spawn(self._append, digest, bytes(packed))
         elif digest in self._saved:
-            self._drop(digest)
+            self._remove(digest)
 
     def _expire(self, now: float) -> None:
         for digest, case in self._quarantine.expire(now):
-            if len(case.engines()) >= HELD_ENDS and self._keeps(digest):
-                self._drop(digest)
+            if len(case.engines()) >= HELD_ENDS and self._is_saver(digest):
+                self._remove(digest)
 
-    def _keeps(self, digest: bytes) -> bool:
-        """Whether it is this node that tells the store of a request; one does."""
+    def _is_saver(self, digest: bytes) -> bool:
+        """Whether this node is the one that saves a request in the store."""
         node_id = self._services.identity.node_id
         return self._services.peers.successor(digest.hex(), self_works=True) == node_id
 
-    def _drop_once(self, digest: bytes) -> None:
-        """Drop what the store still keeps of a request whose time was over at this node's start."""
-        if digest not in self._over:
-            self._over.add(digest)
-            self._drop(digest)
+    def _remove_once(self, digest: bytes) -> None:
+        """Remove an expired request from the store, once."""
+        if digest not in self._removed:
+            self._removed.add(digest)
+            self._remove(digest)
 
-    def _drop(self, digest: bytes) -> None:
+    def _remove(self, digest: bytes) -> None:
         self._saved.pop(digest, None)
         gevent.spawn(self._append, digest, b"")
 
@@ -290,12 +297,12 @@
         try:
             self._topics.append(QUARANTINE_TOPIC, 0, [KeyedRecord(digest.hex(), value)])
         except StoreUnavailableError as exc:
-            # The next round tells it again.
+            # The next round saves it again.
             self._saved.pop(digest, None)
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, topic=QUARANTINE_TOPIC)
 
 
-def _pack(digest: bytes, case: Case, now: float) -> gateway.SuspectRequest:
+def _pack_request(digest: bytes, case: Case, now: float) -> gateway.SuspectRequest:
     return gateway.SuspectRequest(
         digest=digest,
         ends=[
@@ -312,7 +319,7 @@
     )
 
 
-def _unpack(told: gateway.SuspectRequest, now: float) -> Case:
+def _unpack_request(told: gateway.SuspectRequest, now: float) -> Case:
     return Case(
         {
             FactId(EngineLife(end.engine), end.stamp): Fact(
--- a/postvalve/gateway/fleet/service_rooms.py
+++ b/postvalve/gateway/fleet/service_rooms.py
@@ -1,4 +1,7 @@
-"""The rooms of one service's engines at one moment, for all that ask the fleet about them."""
+"""Capacity models for the engines of a service, valid for one moment.
+
+Engines count as equal unless they report their pace.
+"""
 
 from __future__ import annotations
 
@@ -13,58 +16,59 @@
 
 
 class ServiceRooms(Protocol):
-    """What is asked of each engine; `count` is of all nodes' requests there."""
+    """Capacity of each engine of a service; `count` holds the requests of all nodes there."""
 
     def room(self, entry: EngineEntry, count: UseCount) -> EngineRoom:
-        """Its load, and its factors."""
+        """Return an engine's slots, load and pace factors."""
         ...
 
     def places(self, entry: EngineEntry, count: UseCount) -> int:
-        """Requests that may run there."""
+        """Return the number of requests that may run at an engine."""
         ...
 
     def has_place(self, entry: EngineEntry, count: UseCount) -> bool:
-        """Whether there is a place that no online work needs."""
+        """Whether an engine has a place that online work does not use."""
         ...
 
     def extra_places(self, room: EngineRoom, tokens: int) -> float:
-        """See `core/routing/expectation`."""
+        """Return how much worse an engine is than an average one, in places of its queue."""
         ...
 
 
 class EvenRooms:
-    """Engines that are alike: their slots and counts say all. Asked hundreds of times a second."""
+    """Model for equal engines, by slots and counts alone; used hundreds of times a second."""
 
     def room(self, entry: EngineEntry, count: UseCount) -> EngineRoom:
-        """See `ServiceRooms`."""
+        """Return an engine's slots and counted load."""
         return EngineRoom(entry.slots, count.online, count.batch, count.unread)
 
     def places(self, entry: EngineEntry, count: UseCount) -> int:
-        """See `ServiceRooms`."""
+        """Return the slots of an engine."""
         return entry.slots
 
     def has_place(self, entry: EngineEntry, count: UseCount) -> bool:
-        """See `ServiceRooms`."""
+        """Whether an engine has a slot that online work does not use."""
         return count.online < entry.slots
 
     def extra_places(self, room: EngineRoom, tokens: int) -> float:
-        """See `ServiceRooms`."""
+        """Return 0, as no engine is worse than another."""
         return 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class UnevenRooms:
-    """Engines that differ."""
+    """Model for engines that report their pace, which corrects their slots and counts."""
 
     service: str
     paces: EnginePaces
     pace: ServicePace
     pause_aim: float | None
+    """Longest acceptable pause between events in seconds; None for no bound."""
     now: float
     """Monotonic seconds."""
 
     def room(self, entry: EngineEntry, count: UseCount) -> EngineRoom:
-        """See `ServiceRooms`."""
+        """Return an engine's slots, corrected load and pace factors."""
         return EngineRoom(
             entry.slots,
             count.online + self.paces.not_counted(entry.life, self.now),
@@ -75,15 +79,15 @@
         )
 
     def places(self, entry: EngineEntry, count: UseCount) -> int:
-        """See `ServiceRooms`."""
+        """Return the requests that may run at an engine without exceeding `pause_aim`."""
         return self.room(entry, count).places(self.pace)
 
     def has_place(self, entry: EngineEntry, count: UseCount) -> bool:
-        """See `ServiceRooms`."""
+        """Whether an engine has a place that online work does not use."""
         return self.room(entry, count).has_place(self.pace)
 
     def extra_places(self, room: EngineRoom, tokens: int) -> float:
-        """See `ServiceRooms`."""
+        """Return how much worse an engine is than an average one, in places of its queue."""
         return extra_places(room, tokens, self.pace)
 
 
--- a/postvalve/gateway/fleet/usable_engines.py
+++ b/postvalve/gateway/fleet/usable_engines.py
@@ -1,4 +1,4 @@
-"""The engines of one service that take new work, and those that one request looks at."""
+"""Engines of one service that accept new work, and the sample considered for each request."""
 
 from __future__ import annotations
 
@@ -9,61 +9,61 @@
 from postvalve.core.randomness import RandomSource
 from postvalve.gateway.interfaces import EngineEntry
 
-LOOKS = 48
-"""Engines of the own zone, and of all others, that a request looks at: four are drawn from those by
-which it can be in time, and among so many there are some unless hardly any engine has room. At
-3,000 engines a choice among all takes 9 ms, among these 0.5 ms (timeit)."""
-KEEPERS = 8
-"""Engines that may keep a shared part, the likeliest first; the next ones are for where these are
-full."""
-KEYS_KEPT = 512
-"""Shared parts whose keepers are remembered; to rank 1,000 engines takes 0.3 ms (timeit)."""
+SAMPLE_SIZE = 48
+"""Engines of this node's zone, and as many of all other zones, considered for a request. Four of
+those expected to be in time are drawn from them; a sample of this size contains some unless nearly
+all engines are full. With 3,000 engines a choice among all takes 9 ms, among these 0.5 ms."""
+PREFIX_ENGINES = 8
+"""Engines that may hold a prompt prefix in their cache, by preference; those after the first are
+used when it is full."""
+MAX_CACHED_KEYS = 512
+"""Prefix keys whose preferred engines are cached; ranking 1,000 engines takes 0.3 ms."""
 
 
 class UsableEngines:
-    """As one state of the directory has them."""
+    """Engines that accept new work, as of one state of the directory."""
 
     def __init__(self, entries: Sequence[EngineEntry], zone: str) -> None:
-        """Set up; `zone` is the one of this node."""
+        """Set up for the entries of one service; `zone` is the zone of this node."""
         self.all = entries
-        """All of them."""
+        """All engines."""
         self.near = [one for one in entries if one.zone == zone]
-        """Those of this node's zone."""
+        """Engines of this node's zone."""
         self.far = [one for one in entries if one.zone != zone]
-        """Those of all other zones."""
+        """Engines of all other zones."""
         self._by_life = {one.life: one for one in entries}
-        self._keepers: dict[str, list[EngineEntry]] = {}
+        self._engines_by_prefix: dict[str, list[EngineEntry]] = {}
 
-    def drawn(
+    def request_candidates(
         self, generator: RandomSource, prefix_key: str, watched: Collection[EngineLife]
     ) -> Sequence[EngineEntry]:
-        """Those that one request looks at.
+        """Return the engines to consider for one request.
 
         Args:
-            generator: Draws them.
-            prefix_key: Names the shared part that the request has; empty where it has none.
-            watched: Engines that this node watches over.
+            generator: Random source of the sample.
+            prefix_key: Key of the prompt prefix that the request shares; empty for none.
+            watched: Engines watched by this node, which are always included.
         """
-        if max(len(self.near), len(self.far)) <= LOOKS:
+        if max(len(self.near), len(self.far)) <= SAMPLE_SIZE:
             return self.all
         found = [
-            *generator.sample(self.near, min(LOOKS, len(self.near))),
-            *generator.sample(self.far, min(LOOKS, len(self.far))),
+            *generator.sample(self.near, min(SAMPLE_SIZE, len(self.near))),
+            *generator.sample(self.far, min(SAMPLE_SIZE, len(self.far))),
         ]
         wanted = {life: self._by_life[life] for life in watched if life in self._by_life}
         if prefix_key:
-            wanted |= {one.life: one for one in self._keepers_of(prefix_key)}
+            wanted |= {one.life: one for one in self._prefix_engines(prefix_key)}
         for one in found:
             wanted.pop(one.life, None)
         return [*found, *wanted.values()]
 
-    def _keepers_of(self, prefix_key: str) -> list[EngineEntry]:
-        """Alike at all nodes of a zone."""
-        found = self._keepers.get(prefix_key)
+    def _prefix_engines(self, prefix_key: str) -> list[EngineEntry]:
+        """Return the preferred engines for a prefix, the same at all nodes of a zone."""
+        found = self._engines_by_prefix.get(prefix_key)
         if found is None:
             lives = [one.life for one in self.near or self.all]
-            ranked = rank_owners(prefix_key, lives)[:KEEPERS]
-            if len(self._keepers) >= KEYS_KEPT:
-                del self._keepers[next(iter(self._keepers))]
-            found = self._keepers[prefix_key] = [self._by_life[life] for life in ranked]
+            ranked = rank_owners(prefix_key, lives)[:PREFIX_ENGINES]
+            if len(self._engines_by_prefix) >= MAX_CACHED_KEYS:
+                del self._engines_by_prefix[next(iter(self._engines_by_prefix))]
+            found = self._engines_by_prefix[prefix_key] = [self._by_life[life] for life in ranked]
         return found
--- a/postvalve/gateway/fleet/zone_digests.py
+++ b/postvalve/gateway/fleet/zone_digests.py
@@ -1,4 +1,4 @@
-"""Digests of zones over UDP: makes those of this zone, and passes on those of others."""
+"""Zone digests over UDP: sends those of this zone, and forwards those of others in this zone."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from postvalve.messages.framing import encode_frame
 from postvalve.messages.generated import gateway
 
-SPARE_INTERVAL = 1.0
-"""Seconds between digests that go to one more node of a zone, drawn by chance: the one that should
-pass them on may be gone."""
+BACKUP_INTERVAL = 1.0
+"""Seconds between digests that also go to a second, random node of each zone, as the node that
+should forward them may be gone."""
 
 
 class ZoneDigests:
-    """Tells other zones of this one while they have many nodes, and this one of them."""
+    """Exchanges digests with other zones while these have too many nodes for direct reports."""
 
     def __init__(self, services: PeerServices, items: RunningItems) -> None:
         self._identity = identity = services.identity
@@ -43,50 +43,54 @@
         self._reporting = ZoneReporting(
             identity.node_id, identity.zone, identity.incarnation, clock.monotonic()
         )
-        self._reports = False
-        """Whether this node was its zone's reporter at the last look."""
-        self._spare_at = float("-inf")
+        self._is_reporter = False
+        """Whether this node was its zone's reporter at the last check."""
+        self._backup_at = float("-inf")
         self.own_report: Callable[[], LoadReport] = lambda: LoadReport("", 0, 0)
+        """Returns this node's current load report."""
         self.engine_pace: Callable[[list[str], int], bytes] = lambda names, zones: b""
-        """Gives what this node and some of its peers have seen of engines' pace, for so many zones.
+        """Returns the pace part of a digest.
+
+        Arguments: the peers whose samples are included, and the number of zones that get it.
         """
         self.on_digest: Callable[[ZoneDigest], None] = lambda digest: None
+        """Called with each new digest of another zone."""
 
     def run(self) -> None:
-        """Tell and pass on for ever."""
+        """Send digests while this node is its zone's reporter; never returns."""
         while True:
-            gevent.sleep(LOOK_INTERVAL if self._reports else IDLE_LOOK_INTERVAL)
+            gevent.sleep(LOOK_INTERVAL if self._is_reporter else IDLE_LOOK_INTERVAL)
             self.look()
 
-    # Telling
+    # Sending
 
     def look(self) -> None:
-        """Tell each other zone of this one, if that is this node's task, and it is time."""
+        """Send a digest to each other zone if this node is the reporter and one is due."""
         zones = self._other_zones()
         now = self._clock.monotonic()
         neighbours = self._peers.neighbours(self._identity.zone)
-        reports = tells_by_digest(sum(map(len, zones.values()))) and self._reporting.is_reporter(
-            neighbours, now
-        )
-        if reports is not self._reports:
-            self._reports = reports
-            self._events.emit(Event.ZONE_REPORTED, reporter=reports, nodes=len(neighbours) + 1)
-        if not reports or not self._reporting.is_due(len(zones), now):
+        is_reporting = tells_by_digest(
+            sum(map(len, zones.values()))
+        ) and self._reporting.is_reporter(neighbours, now)
+        if is_reporting is not self._is_reporter:
+            self._is_reporter = is_reporting
+            self._events.emit(Event.ZONE_REPORTED, reporter=is_reporting, nodes=len(neighbours) + 1)
+        if not is_reporting or not self._reporting.is_due(len(zones), now):
             return
         names = [peer.node_id for peer in neighbours]
         use = self._fleet.use.report_of(names)
         pace = self.engine_pace(names, len(zones))
-        told: dict[int, bytes] = {Extension.ENGINE_PACE: pace} if pace else {}
-        packed = self._reporting.make(self.own_report(), neighbours, use, now, told)
+        parts: dict[int, bytes] = {Extension.ENGINE_PACE: pace} if pace else {}
+        packed = self._reporting.make(self.own_report(), neighbours, use, now, parts)
         data = encode_frame(gateway.ZoneDigest(packed=packed), 0)
-        spare = now - self._spare_at >= SPARE_INTERVAL
-        if spare:
-            self._spare_at = now
+        backup = now - self._backup_at >= BACKUP_INTERVAL
+        if backup:
+            self._backup_at = now
         for zone, addresses in zones.items():
-            self._send(zone, addresses, data, spare)
+            self._send(zone, addresses, data, backup)
 
     def _other_zones(self) -> dict[str, dict[str, str]]:
-        """Peer address of each node by id, for each other zone."""
+        """Return the peer addresses of the nodes, by id, of each other zone."""
         zones: dict[str, dict[str, str]] = {}
         for node_id, (address, zone) in self._nodes().items():
             if zone != self._identity.zone:
@@ -94,37 +98,37 @@
         return zones
 
     def heard_all(self) -> bool:
-        """Whether it is known of every zone with other nodes who lives there."""
+        """Whether the members of every other zone that has nodes are known."""
         zones = self._peers.zones()
         return all(
             zones[zone].members if zone in zones else self._peers.neighbours(zone)
             for zone in self._other_zones()
         )
 
-    def _send(self, zone: str, addresses: dict[str, str], data: bytes, spare: bool) -> None:
+    def _send(self, zone: str, addresses: dict[str, str], data: bytes, backup: bool) -> None:
         known = self._peers.zones().get(zone)
         alive = [node_id for node_id in known.members if node_id in addresses] if known else []
         reporter = reporter_of(zone, alive or addresses)
         chosen = {reporter} if reporter is not None else set()
-        if spare or not alive:
+        if backup or not alive:
             chosen.add(self._random.sample(sorted(addresses), 1)[0])
         for node_id in chosen:
             self._transport.send(addresses[node_id], data)
 
-    # Hearing
+    # Receiving
 
     def receive(self, msg: gateway.ZoneDigest, address: str) -> None:
-        """Take the digest of another zone, and pass it on to the neighbours if nobody has."""
+        """Handle the digest of another zone; forward it to this zone unless a node has done so."""
         try:
             digest = unpack_digest(msg.packed)
         except ZoneDigestError as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
             return
-        if self._take(digest) and not msg.relayed:
-            self._pass_on(msg.packed)
+        if self._merge(digest) and not msg.relayed:
+            self._forward(msg.packed)
 
-    def _take(self, digest: ZoneDigest) -> bool:
-        """Take a digest in; returns whether it is news."""
+    def _merge(self, digest: ZoneDigest) -> bool:
+        """Merge a digest; return whether it was new."""
         if digest.zone == self._identity.zone:
             return False
         known = self._peers.zones().get(digest.zone)
@@ -137,7 +141,7 @@
             )
             self._forget_reports(digest.zone)
         elif digest.members is not None:
-            self._note_changes(digest, before, set(known.members))
+            self._log_changes(digest, before, set(known.members))
         self._fleet.use.observe(digest.key, digest.engine_use)
         self._fleet.paces.hear(digest.key, digest.extensions.get(Extension.ENGINE_PACE, b""))
         zone = self._peers.zones()[digest.zone]
@@ -148,14 +152,14 @@
         return True
 
     def _forget_reports(self, zone: str) -> None:
-        """Drop what nodes of a zone have told themselves: its digests hold that too."""
+        """Drop the reports that came directly from nodes of a zone, as its digests include them."""
         for peer in self._peers.neighbours(zone):
             self._peers.drop(peer.node_id)
             self._fleet.use.forget(peer.node_id)
             self._fleet.paces.forget(peer.node_id)
             self._items.forget(peer.node_id)
 
-    def _note_changes(self, digest: ZoneDigest, before: set[str], after: set[str]) -> None:
+    def _log_changes(self, digest: ZoneDigest, before: set[str], after: set[str]) -> None:
         if before == after:
             return
         self._events.emit(
@@ -166,7 +170,7 @@
             left=sorted(before - after),
         )
 
-    def _pass_on(self, packed: bytes) -> None:
+    def _forward(self, packed: bytes) -> None:
         data = encode_frame(gateway.ZoneDigest(packed=packed, relayed=True), 0)
         for node_id, (address, zone) in self._nodes().items():
             if zone == self._identity.zone and node_id != self._identity.node_id:
