--- a/postvalve/gateway/fleet/engine_watch.py
+++ b/postvalve/gateway/fleet/engine_watch.py
@@ -66,7 +66,7 @@
         if watcher is None:
             return
         if not self._pending_watchers:
-            gevent.spawn_later(TELL_DELAY, self._report_to_watchers)
+            gevent.spawn_later(TELL_DELAY, self._tell)
         self._pending_watchers.add(watcher)
 
     def _watcher_of(self, life: EngineLife) -> str | None:
@@ -88,7 +88,7 @@
         own = self._identity.node_id
         self._watched = [life for life in near if self._watchers.of[life] == own]
 
-    def _report_to_watchers(self) -> None:
+    def _tell(self) -> None:
         watchers, self._pending_watchers = self._pending_watchers, set()
         if self._identity.node_id in watchers:
             watchers.discard(self._identity.node_id)
--- a/postvalve/gateway/fleet/quarantine_sharing.py
+++ b/postvalve/gateway/fleet/quarantine_sharing.py
@@ -98,7 +98,7 @@
             now = self._clock.monotonic()
             if now - self._round_at >= ROUND_INTERVAL:
                 self._round_at = now
-                self._send(self._quarantine.digests(), ROUND_PEERS, ROUND_DATAGRAMS)
+                self._tell(self._quarantine.digests(), ROUND_PEERS, ROUND_DATAGRAMS)
                 self._expire(now)
                 for digest in self._quarantine.digests():
                     self._save(digest)
@@ -109,11 +109,11 @@
 
     def _send_changes(self) -> None:
         changes, self._changes = self._changes, set()
-        self._send(changes, GOSSIP_FANOUT, CHANGE_DATAGRAMS)
+        self._tell(changes, GOSSIP_FANOUT, CHANGE_DATAGRAMS)
         for digest in changes:
             self._save(digest)
 
-    def _send(self, digests: Iterable[bytes], peers: int, datagrams: int) -> None:
+    def _tell(self, digests: Iterable[bytes], peers: int, datagrams: int) -> None:
         addresses = self._random_peers(peers)
         if not addresses:
             return
--- a/postvalve/gateway/interfaces.py
+++ b/postvalve/gateway/interfaces.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of its outside: each platform's adapter implements these."""
+"""Interfaces and data classes between the gateway and a platform's adapter."""
 
 from __future__ import annotations
 
@@ -16,57 +16,57 @@
 from postvalve.exceptions import PlatformError, Verdict
 
 Headers = Sequence[tuple[str, str]]
-"""Names and values in the order of the wire."""
+"""Header names and values in the order of the message."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestTerms:
-    """What a client's headers say of its request."""
+    """Parameters of a request from the client's headers."""
 
     request_id: str
     allowed: float | None
-    """Seconds that the client will wait, if it says so."""
+    """Seconds for which the client will wait; None if it does not say."""
     last_event_id: int | None
-    """The event after which the client wants the stream to go on."""
+    """Event after which a resumed stream must continue; None for a new stream."""
     prefix_key: str
-    """Requests with the same key share the first parts of their prompts."""
+    """Key of the prompt prefix; requests with the same key share this prefix."""
     shared_tokens: int
-    """Tokens of those parts."""
+    """Tokens of the shared prefix."""
     own_tokens: int
-    """Prompt tokens that no other request shares."""
+    """Prompt tokens after the shared prefix."""
     output_tokens: int
-    """The most that the answer may have; 0 when it is not told."""
+    """Most tokens of the response; 0 if unknown."""
 
 
 class Judgement(enum.Enum):
-    """What the head of an engine's answer says of an attempt."""
+    """Classification of an attempt by the head of the engine's response."""
 
     ACCEPTED = "accepted"
-    """The answer to this attempt, a success."""
+    """The engine accepted the request; the response is a success."""
     FAILED = "failed"
-    """The answer to this attempt, a failure after it ran."""
+    """The engine ran the request and reports a failure."""
     HOPELESS = "hopeless"
-    """The engine finds the request impossible; it would be so anywhere."""
+    """The engine can't serve the request, and neither could any other engine."""
     REFUSED = "refused"
-    """The engine says that it did not and will not run the request."""
+    """The engine did not run the request and will not."""
     REPLACED = "replaced"
-    """Not run: another engine lives at this address now."""
+    """Another engine now has this address and did not run the request."""
     FOREIGN = "foreign"
-    """The answer belongs to another request."""
+    """The response belongs to another request."""
 
 
 class Dialect(Protocol):
-    """How requests and answers are spelt on the wire."""
+    """Mapping between requests and responses and their form on the wire."""
 
     def read_terms(self, headers: Headers) -> RequestTerms:
-        """Read a client's headers."""
+        """Parse a client's headers."""
         ...
 
     def api_key(self, headers: Headers) -> str | None:
-        """The key that a caller shows; None where it shows none.
+        """Return the caller's API key; None if there is none.
 
         Raises:
-            AuthenticationError: it shows several.
+            AuthenticationError: The headers contain several keys.
         """
         ...
 
@@ -78,46 +78,50 @@
         allowed: float | None,
         last_event_id: int | None,
     ) -> list[tuple[str, str]]:
-        """Headers for one attempt at an engine, which never learns a key.
+        """Return the headers for one attempt at an engine, without the caller's API key.
 
         Args:
-            headers: As the client, or the job, gave them.
-            tenant: Who sends it; empty where nobody needs a key.
-            engine_id: The engine that must answer.
-            allowed: Seconds that are left; None when nobody says.
-            last_event_id: The event after which the stream goes on.
+            headers: Headers from the client or the job.
+            tenant: Tenant that sends the request; empty if no key is required.
+            engine_id: Engine that the request is meant for.
+            allowed: Seconds left to the request; None for no limit.
+            last_event_id: Event after which the stream must continue; None to start it.
         """
         ...
 
     def identify(
         self, tenant: str, host: str, method: str, target: str, body: bytes, headers: Headers
     ) -> RequestIdentity:
-        """What stands for a request, or an item, each time that it comes under another id."""
+        """Return the identity of a request or item, the same when it is sent under another id."""
         ...
 
     def item_headers(self, headers: Headers, item_id: str, host: str) -> list[tuple[str, str]]:
-        """Headers of a batch item as if a client had sent it."""
+        """Return the headers of a batch item as if a client had sent it."""
         ...
 
     def judge(self, request_id: str, status: int, headers: Headers) -> Judgement:
-        """Judge the head of an engine's answer."""
+        """Classify the head of an engine's response."""
         ...
 
     def engine_load(self, headers: Headers, now: float) -> EngineLoad | None:
-        """What an engine's answer, read at `now`, tells of its load; None where it tells nothing.
+        """Return the load in the headers of a response; None if there is none.
+
+        Args:
+            headers: Headers of the engine's response.
+            now: Monotonic seconds at which they were read.
 
         Raises:
-            EngineLoadError: it tells what can't be.
+            EngineLoadError: The load is malformed.
         """
         ...
 
     def retry_headers(self, seconds: float) -> list[tuple[str, str]]:
-        """Headers that tell a client when to come back."""
+        """Return headers that tell a client after how many seconds to retry."""
         ...
 
 
 class EngineState(enum.StrEnum):
-    """An engine as its directory lists it."""
+    """State of an engine in the directory."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -135,17 +139,17 @@
     state: EngineState
     version: str = ""
     warm_in: float = 0.0
-    """Seconds that it stays slow from its start, counted from when this was told."""
+    """Seconds of warm-up left when the entry was written, during which the engine is slow."""
 
     @property
     def engine_id(self) -> str:
-        """Its id, which its next life may have too."""
+        """Id of the engine, which is kept when it restarts."""
         return self.life.engine_id
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic; an empty value drops the key."""
+    """Record of a keyed topic; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -154,34 +158,37 @@
 
 @dataclass(frozen=True, slots=True)
 class TopicSlice:
-    """Records in offset order, and the offset after them."""
+    """Records in offset order, the offset after them and the end of the partition."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
     end_offset: int
     held: float = 0.0
-    """Seconds after the call's start at which the store looked, at the earliest: one that waits
-    and finds nothing is held by the store itself."""
+    """Seconds from the start of the call for which the store surely held it.
+
+    A read that waits for records and returns none was held by the store for its whole wait, so it
+    covers the changes up to that time.
+    """
 
 
 class HistoryGoneError(PlatformError):
-    """The records asked for were dropped; the newest of each key are still there."""
+    """The requested records were dropped; only the newest record of each key is kept."""
 
     code = "history_gone"
 
 
 class PositionTakenError(PlatformError):
-    """A conditional append came too late: the topic has grown."""
+    """A conditional append failed because the partition ends at another offset."""
 
     code = "position_taken"
 
     def __init__(self, end_offset: int) -> None:
-        super().__init__(f"the topic ends at {end_offset}")
+        super().__init__(f"the partition ends at offset {end_offset}")
         self.end_offset = end_offset
 
 
 class StoreUnavailableError(PlatformError):
-    """The store did not do, or did not answer, a call; the verdict says whether it may have."""
+    """A call to the store failed; the verdict says whether it may have been carried out."""
 
     code = "store_unavailable"
 
@@ -196,17 +203,18 @@
     def append(
         self, topic: str, part: int, records: Sequence[KeyedRecord], at: int | None = None
     ) -> int:
-        """Append records, all or none; returns the offset of the first.
+        """Append records, all or none; return the offset of the first.
 
         Args:
             topic: Name of the topic.
             part: Partition.
-            records: Key and value of each; the offsets are passed over.
-            at: Append only where the partition ends there.
+            records: Records to append; their offsets are ignored.
+            at: Append only if the partition ends at this offset; None for unconditionally.
 
         Raises:
-            PositionTakenError: the partition ends elsewhere; nothing was done.
-            StoreUnavailableError: with the verdict.
+            PositionTakenError: The partition ends at another offset; nothing was appended.
+            StoreUnavailableError: The call failed; the verdict says whether the append may have
+                been made.
         """
         ...
 
@@ -214,16 +222,16 @@
         """Read from `offset`, about `limit` bytes; wait up to `wait` seconds for a record.
 
         Raises:
-            HistoryGoneError: use `newest`.
-            StoreUnavailableError: no answer.
+            HistoryGoneError: The records were dropped; `newest` must be used instead.
+            StoreUnavailableError: The store did not answer.
         """
         ...
 
     def newest(self, topic: str, part: int, after: str = "") -> tuple[TopicSlice, bool]:
-        """One page of the newest records of keys after `after`, and whether there are more.
+        """Return a page of the newest records of the keys after `after`, and whether more follow.
 
         Raises:
-            StoreUnavailableError: no answer.
+            StoreUnavailableError: The store did not answer.
         """
         ...
 
@@ -239,18 +247,18 @@
     peer_listen: str
     metrics_listen: str
     grace: float
-    """Between the order to stop and the kill."""
+    """Time from the stop signal to the kill."""
     drain_notice: float
-    """Until clients of a node that is not ready go elsewhere."""
+    """Time until clients stop sending requests to a node that is not ready."""
     read_patience: float
-    """Within which what was acknowledged must be readable at every node."""
+    """Time within which acknowledged data must be readable at every node."""
     body_partitions: int
     record_bytes: int
     call_bytes: int
     key_policy: KeyPolicy = KeyPolicy()
-    """What happens to requests with a key at a node that hears of no configuration."""
+    """How requests with an API key are treated at a node without a current configuration."""
     limit_bounds: LimitBounds = LimitBounds()
-    """What tenants' limits may be exceeded by."""
+    """Tolerances by which tenants' limits may be exceeded."""
     slow_client_bytes: int = slow_client_bytes(None)
-    """Held for clients that read or write slowly."""
+    """Most bytes buffered for clients that read or write slowly."""
     log_level: str = "info"
--- a/postvalve/gateway/knowledge/__init__.py
+++ b/postvalve/gateway/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""What is followed in the store or fetched from peers: topics and configuration."""
+"""Topics followed in the store, and the configuration received from the store or from peers."""
--- a/postvalve/gateway/knowledge/configuration.py
+++ b/postvalve/gateway/knowledge/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: from the store, or from a peer when the store is out of reach."""
+"""The configuration in force, from the store or, if that is unreachable, from a peer."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from postvalve.settings.validation import InvalidSettingsGroup
 
 Parser = Callable[[bytes], RoutedConfiguration]
-"""Reads an operator's document.
+"""Parses an operator's configuration document.
 
 Raises:
-    InvalidSettingsGroup: it can't be read.
+    InvalidSettingsGroup: The document is invalid.
 """
 
 
 class ConfigurationHolder:
-    """Holds the newest revision; it only moves forward."""
+    """Holds the newest revision of the configuration; older revisions are ignored."""
 
     def __init__(self, key: str, parse: Parser, events: EventLog) -> None:
         self._key = key
@@ -34,21 +34,26 @@
 
     @property
     def revision(self) -> int:
-        """Number of the revision in force; -1 before any."""
+        """Number of the revision in force; -1 if there is none yet."""
         return self.table.revision if self.table else -1
 
     def listen(self, listener: Callable[[RouteTable], None]) -> None:
-        """Be told of new revisions."""
+        """Register a callback for new revisions."""
         self._listeners.append(listener)
 
-    def observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
-        """Take records of the operator's topic in."""
+    def observe(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
+        """Adopt the configuration if it is among these records of the operator's topic."""
         for record in records:
             if record.key == self._key and record.value:
                 self.adopt(record.value, "store")
 
     def adopt(self, document: bytes, source: str) -> None:
-        """Put a revision in force if it is newer."""
+        """Put a document in force if its revision is newer; invalid documents are logged.
+
+        Args:
+            document: The operator's document.
+            source: "store", or the id of the peer that sent it.
+        """
         try:
             configuration = self._parse(document)
         except InvalidSettingsGroup as error:
--- a/postvalve/gateway/knowledge/freshness.py
+++ b/postvalve/gateway/knowledge/freshness.py
@@ -1,4 +1,4 @@
-"""How old what a node knows is: of the engines, and of the configuration."""
+"""Ages of a node's copies of the engine directory and of the configuration."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Knowledge:
-    """Ages are seconds of which the node does not know what the store acknowledged in them."""
+    """Age of each copy: the seconds in which the store may have acknowledged unseen changes."""
 
     directory_age: float = 0.0
     revision: int = -1
-    """Of the configuration in force; -1 before any."""
+    """Revision of the configuration in force; -1 if there is none yet."""
     revision_age: float = 0.0
 
     def fields(self) -> dict[str, Any]:
-        """As fields of a log line, or of a status document."""
+        """Return the ages as fields for a log event or the status document."""
         return {
             "directory_age": round(self.directory_age, 3),
             "revision": self.revision,
--- a/postvalve/gateway/knowledge/relayed_topics.py
+++ b/postvalve/gateway/knowledge/relayed_topics.py
@@ -1,4 +1,4 @@
-"""The store's topics, asked by a peer while this node can't reach the store itself."""
+"""Access to the store's topics through a peer while this node can't reach the store itself."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
 from postvalve.node.transport import Transport
 
 MAX_RELAYED_WAIT = 0.5
-"""Seconds that a relayed read waits at most: what this node knows ages while it waits for a peer
-that was lost, and its own way may be back before."""
+"""Longest wait of a relayed read in seconds: this node's copy ages while it waits for a peer that
+was lost, and the store may be directly reachable again before."""
 PROBE = "Probe"
-"""The kind of call that looks whether the store answers, in metrics."""
+"""Metric label of calls that only test whether the store is reachable."""
 PROBE_BYTES = 1
-"""Bytes asked for to see whether the store answers."""
+"""Bytes requested by such a call."""
 
 Result = TypeVar("Result")
 _Outcome = gateway.StoreOutcome
 
 
 class RelayedTopics:
-    """See `KeyedTopics`. Calls go by a peer while this node's own ones fail."""
+    """Implements `KeyedTopics`; calls are relayed by a peer while direct calls fail."""
 
     def __init__(
         self,
-        own: KeyedTopics,
+        direct: KeyedTopics,
         zone: str,
         clock: Clock,
         events: EventLog,
@@ -58,7 +58,7 @@
         peers: PeerView,
         metrics: GatewayMetrics,
     ) -> None:
-        self._own = own
+        self._direct = direct
         self._zone = zone
         self._clock = clock
         self._events = events
@@ -70,18 +70,19 @@
         self._avoided = AvoidedPeers()
         self._probing = False
         self._last_read = ("", 0, 0)
-        """Topic, partition and offset that were read last."""
+        """Topic, partition and offset of the last read, which probes repeat."""
         self.on_change: Callable[[], None] = lambda: None
+        """Called when the store becomes reachable or unreachable for this node."""
 
     @property
     def failing(self) -> bool:
-        """Whether the store is out of this node's own reach."""
+        """Whether this node can't reach the store directly."""
         return self._path.failing
 
     def append(
         self, topic: str, part: int, records: Sequence[KeyedRecord], at: int | None = None
     ) -> int:
-        """See `KeyedTopics`."""
+        """Append records directly or through a peer; see `KeyedTopics.append`."""
         call = gateway.StoreAppend(
             topic=topic,
             part=part,
@@ -90,32 +91,32 @@
             at=at or 0,
         )
         return self._call(
-            lambda: self._own.append(topic, part, records, at), call, lambda reply: reply.offset
+            lambda: self._direct.append(topic, part, records, at), call, lambda reply: reply.offset
         )
 
     def read(self, topic: str, part: int, offset: int, wait: float, limit: int) -> TopicSlice:
-        """See `KeyedTopics`."""
+        """Read records directly or through a peer; see `KeyedTopics.read`."""
         relayed_wait = min(wait, MAX_RELAYED_WAIT)
         call = gateway.StoreRead(
             topic=topic, part=part, offset=offset, wait_ms=int(relayed_wait * 1000), limit=limit
         )
         self._last_read = (topic, part, offset)
         return self._call(
-            lambda: self._own.read(topic, part, offset, wait, limit), call, _slice, relayed_wait
+            lambda: self._direct.read(topic, part, offset, wait, limit), call, _slice, relayed_wait
         )
 
     def newest(self, topic: str, part: int, after: str = "") -> tuple[TopicSlice, bool]:
-        """See `KeyedTopics`."""
+        """Read the newest records directly or through a peer; see `KeyedTopics.newest`."""
         call = gateway.StoreNewest(topic=topic, part=part, after=after)
         return self._call(
-            lambda: self._own.newest(topic, part, after),
+            lambda: self._direct.newest(topic, part, after),
             call,
             lambda reply: (_slice(reply), reply.more),
         )
 
     def _call(
         self,
-        own: Callable[[], Result],
+        direct: Callable[[], Result],
         call: betterproto.Message,
         result: Callable[[gateway.StoreReply], Result],
         wait: float = 0.0,
@@ -123,54 +124,56 @@
         kind = type(call).__name__
         relay = self._relay() if self._path.failing else None
         if relay is not None:
-            self._look_for_own_way()
+            self._probe_if_due()
             return result(self._relayed(relay, call, wait))
         try:
-            return self._by_own_way(kind, own)
+            return self._call_directly(kind, direct)
         except StoreUnavailableError as exc:
             relay = self._relay()
             unanswered = exc.verdict is not Verdict.NOT_RUN
-            # An append that may be done must not be repeated under the same keys.
-            once = isinstance(call, gateway.StoreAppend) and unanswered
-            # A connection may have fallen silent: who follows tries a new one first.
-            again = bool(wait) and unanswered and not self._path.failing
-            if relay is None or once or again:
+            # An append that may have been made must not be repeated under the same keys.
+            must_not_repeat = isinstance(call, gateway.StoreAppend) and unanswered
+            # Only a connection may have failed: the follower retries over a new one first.
+            retry_directly = bool(wait) and unanswered and not self._path.failing
+            if relay is None or must_not_repeat or retry_directly:
                 raise
         return result(self._relayed(relay, call, wait))
 
-    def _by_own_way(self, kind: str, own: Callable[[], Result]) -> Result:
+    def _call_directly(self, kind: str, direct: Callable[[], Result]) -> Result:
         try:
-            answer = own()
+            answer = direct()
         except StoreUnavailableError as exc:
             self._metrics.store_calls.labels(kind, "failed").inc()
-            self._note(False, exc.message)
+            self._record(False, exc.message)
             raise
         except (HistoryGoneError, PositionTakenError):
             self._metrics.store_calls.labels(kind, "answered").inc()
-            self._note(True)
+            self._record(True)
             raise
         self._metrics.store_calls.labels(kind, "answered").inc()
-        self._note(True)
+        self._record(True)
         return answer
 
-    def _look_for_own_way(self) -> None:
-        """See now and then whether the store is within own reach again, beside all calls."""
+    def _probe_if_due(self) -> None:
+        """Start a probe of the direct path if one is due; it runs in parallel to other calls."""
         if not self._probing and self._path.try_own(self._clock.monotonic()):
             self._probing = True
             gevent.spawn(self._probe)
 
     def _probe(self) -> None:
         try:
-            self._by_own_way(PROBE, lambda: self._own.read(*self._last_read, 0.0, PROBE_BYTES))
+            self._call_directly(
+                PROBE, lambda: self._direct.read(*self._last_read, 0.0, PROBE_BYTES)
+            )
         except HistoryGoneError:
-            # It answered, which is all that was asked.
+            # Any answer shows that the store is reachable.
             pass
         except StoreUnavailableError as exc:
             self._events.emit(Event.STORE_STILL_OUT_OF_REACH, error=exc.message)
         finally:
             self._probing = False
 
-    def _note(self, answered: bool, error: str = "") -> None:
+    def _record(self, answered: bool, error: str = "") -> None:
         if not self._path.note(answered):
             return
         event = Event.STORE_REACHED if answered else Event.STORE_OUT_OF_REACH
@@ -192,9 +195,9 @@
             raise StoreUnavailableError(f"relay {address}: {exc.message}", exc.verdict) from exc
         self._patience.note(True)
         if not isinstance(reply, gateway.StoreReply):
-            # A build that doesn't know the call has not made it.
-            told = f"relay {address}: {type(reply).__name__}"
-            raise StoreUnavailableError(told, Verdict.NOT_RUN)
+            # An acknowledgement: the peer's build does not know the call and has not made it.
+            reply_kind = f"relay {address}: {type(reply).__name__}"
+            raise StoreUnavailableError(reply_kind, Verdict.NOT_RUN)
         if reply.outcome == _Outcome.STORE_OUTCOME_DONE:
             return reply
         if reply.outcome == _Outcome.STORE_OUTCOME_POSITION_TAKEN:
@@ -207,16 +210,16 @@
 
 
 class RelayServer:
-    """Makes calls for peers, itself and never by another peer."""
+    """Makes calls to the store for peers, always directly and never through another peer."""
 
-    def __init__(self, own: KeyedTopics) -> None:
-        self._own = own
+    def __init__(self, direct: KeyedTopics) -> None:
+        self._direct = direct
 
     def serve(self, call: betterproto.Message) -> gateway.StoreReply:
-        """Make one call.
+        """Make one call to the store for a peer.
 
         Raises:
-            TypeError: it is no call of the store.
+            TypeError: The message is not a call to the store.
         """
         try:
             return self._answer(call)
@@ -235,24 +238,24 @@
 
     @singledispatchmethod
     def _answer(self, call: betterproto.Message) -> gateway.StoreReply:
-        raise TypeError(f"no request of a peer: {type(call).__name__}")
+        raise TypeError(f"not a call to the store: {type(call).__name__}")
 
     @_answer.register
     def _(self, call: gateway.StoreAppend) -> gateway.StoreReply:
         records = [KeyedRecord(one.key, one.value) for one in call.records]
         at = call.at if call.conditional else None
-        offset = self._own.append(call.topic, call.part, records, at)
+        offset = self._direct.append(call.topic, call.part, records, at)
         return gateway.StoreReply(outcome=_Outcome.STORE_OUTCOME_DONE, offset=offset)
 
     @_answer.register
     def _(self, call: gateway.StoreRead) -> gateway.StoreReply:
         wait = min(MAX_RELAYED_WAIT, call.wait_ms / 1000)
-        part = self._own.read(call.topic, call.part, call.offset, wait, call.limit)
+        part = self._direct.read(call.topic, call.part, call.offset, wait, call.limit)
         return _reply(part, False)
 
     @_answer.register
     def _(self, call: gateway.StoreNewest) -> gateway.StoreReply:
-        return _reply(*self._own.newest(call.topic, call.part, call.after))
+        return _reply(*self._direct.newest(call.topic, call.part, call.after))
 
 
 def _reply(part: TopicSlice, more: bool) -> gateway.StoreReply:
--- a/postvalve/gateway/knowledge/revision_fetch.py
+++ b/postvalve/gateway/knowledge/revision_fetch.py
@@ -1,4 +1,4 @@
-"""Gets a newer revision of the configuration from a peer that has it."""
+"""Fetches a newer revision of the configuration from a peer that has it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from postvalve.node.transport import Transport
 
 FETCH_TIMEOUT = 1.0
-"""Seconds until a peer's revision is given up."""
+"""Time-out of a call to a peer in seconds."""
 FETCH_DELAY = 0.3
-"""Seconds in which a newer revision that a peer has may still come from the store."""
+"""Seconds for which a newer revision may still arrive from the store before a peer is asked."""
 
 
 class RevisionFetcher:
-    """Asks peers that tell of newer revisions, and answers those that ask."""
+    """Fetches newer revisions from peers and serves this node's revision to them."""
 
     def __init__(
         self, configuration: ConfigurationHolder, transport: Transport, events: EventLog
@@ -28,7 +28,7 @@
         self._events = events
 
     def consider(self, revision: int, node_id: str, address: str) -> None:
-        """Get a revision that a peer has, unless the store brings it in a moment."""
+        """Fetch a peer's revision unless the store delivers it within `FETCH_DELAY`."""
         if revision > self._known:
             gevent.spawn_later(FETCH_DELAY, self._fetch, revision, node_id, address)
 
@@ -51,5 +51,5 @@
             self._configuration.adopt(reply.document, node_id)
 
     def reply(self) -> gateway.RevisionReply:
-        """What a peer that asks gets."""
+        """Return this node's revision for a peer that asks for it."""
         return gateway.RevisionReply(revision=self._known, document=self._configuration.document)
--- a/postvalve/gateway/knowledge/stored_values.py
+++ b/postvalve/gateway/knowledge/stored_values.py
@@ -1,6 +1,6 @@
-"""Values of any size in the partitions of a keyed topic: read by offset, or by key.
+"""Values of any size in the partitions of a keyed topic, split into records.
 
-They are read by few nodes, and apart from the topic of jobs, which all nodes read.
+Few nodes read them, so they are kept out of the topic of jobs, which all nodes read.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 )
 
 MAX_READ_BYTES = 1024 * 1024
-"""Bytes that one read asks for at the most."""
+"""Most bytes requested by one read."""
 RECORD_OVERHEAD = 128
-"""Bytes of a record beside the value: key and lengths."""
-APPEND_TRIES = 3
-"""Tries of an append whose answers do not come."""
+"""Bytes of a record in addition to its value, for key and lengths."""
+APPEND_ATTEMPTS = 3
+"""Attempts of an append while calls remain unanswered."""
 CALL_MARGIN = 4_096
-"""Bytes of a call that are left for keys and lengths."""
+"""Bytes of a call reserved for keys and lengths."""
 
 
 @dataclass(frozen=True, slots=True)
 class ValueRef:
-    """Where a value lies."""
+    """Location of a value."""
 
     partition: int
     prefix: str
-    """Begins the keys of its records."""
+    """Prefix of the keys of its records."""
     offset: int
     records: int
     size: int
@@ -41,17 +41,17 @@
 
     @property
     def keys(self) -> list[str]:
-        """Keys of its records."""
+        """Keys of the value's records."""
         return [f"{self.prefix}{number:04d}" for number in range(self.records)]
 
     @property
     def read_bytes(self) -> int:
-        """Bytes that a read of it asks for."""
+        """Bytes to request for reading the value."""
         return self.size + self.records * RECORD_OVERHEAD
 
 
 class ValueStore:
-    """Values in one topic."""
+    """Stores and reads values in one topic."""
 
     def __init__(self, topics: KeyedTopics, topic: str, record_bytes: int, call_bytes: int) -> None:
         self._topics = topics
@@ -60,14 +60,14 @@
         self._call_bytes = call_bytes
 
     def put(self, partition: int, values: Sequence[tuple[str, bytes]]) -> list[ValueRef]:
-        """Store values, one after the other; a repetition under the same keys does no harm.
+        """Store values in adjacent records; storing again under the same keys is harmless.
 
         Args:
-            partition: Where to.
-            values: Prefix of the keys, and the value.
+            partition: Partition of the topic.
+            values: Key prefix and content of each value.
 
         Raises:
-            StoreUnavailableError: they can't be relied on.
+            StoreUnavailableError: Some of the values may not have been stored.
         """
         records: list[KeyedRecord] = []
         counts: list[int] = []
@@ -87,7 +87,7 @@
         return refs
 
     def _append(self, partition: int, records: Sequence[KeyedRecord]) -> int | None:
-        # Several calls may be needed; the values must lie together.
+        # May take several calls. Returns None if another writer's records came between them.
         expected: int | None = None
         first: int | None = None
         for part in _calls(records, self._call_bytes - CALL_MARGIN):
@@ -102,8 +102,8 @@
     def _append_part(
         self, partition: int, part: Sequence[KeyedRecord], expected: int | None
     ) -> int:
-        # A lost answer costs another copy under the same keys, which is as good as the first.
-        for _ in range(APPEND_TRIES - 1):
+        # If only the answer was lost, a second copy under the same keys is harmless.
+        for _ in range(APPEND_ATTEMPTS - 1):
             try:
                 return self._topics.append(self._topic, partition, part, at=expected)
             except StoreUnavailableError as exc:
@@ -112,11 +112,11 @@
         return self._topics.append(self._topic, partition, part, at=expected)
 
     def get(self, refs: Sequence[ValueRef]) -> list[bytes]:
-        """Read values; those that lie together with one call.
+        """Read values; adjacent ones are read together.
 
         Raises:
-            NotFoundError: one is not there any more.
-            StoreUnavailableError: no answer.
+            NotFoundError: A value is no longer stored.
+            StoreUnavailableError: The store did not answer.
         """
         found: dict[str, bytes] = {}
         for run in _runs(refs):
@@ -160,10 +160,10 @@
         return found
 
     def drop(self, partition: int, keys: Iterable[str]) -> None:
-        """Drop records; those that are not there are passed over.
+        """Delete records; unknown keys are ignored.
 
         Raises:
-            StoreUnavailableError: they may still be there.
+            StoreUnavailableError: Some of the records may still be stored.
         """
         records = [KeyedRecord(key, b"") for key in keys]
         for part in _calls(records, self._call_bytes - CALL_MARGIN):
@@ -171,7 +171,7 @@
 
 
 def _runs(refs: Sequence[ValueRef]) -> list[list[ValueRef]]:
-    """Values that lie one behind the other, together."""
+    """Group values that are adjacent in their partition."""
     runs: list[list[ValueRef]] = []
     for ref in sorted(refs, key=lambda one: (one.partition, one.offset)):
         last = runs[-1][-1] if runs else None
@@ -188,7 +188,7 @@
 
 
 def _chunks(value: bytes, size: int) -> list[bytes]:
-    # A record without a value would drop its key, so each begins with a byte of ours.
+    # An empty value would delete the key, so each chunk starts with a marker byte.
     starts = range(0, max(1, len(value)), size)
     return [b"\x01" + value[start : start + size] for start in starts]
 
--- a/postvalve/gateway/knowledge/topic_follower.py
+++ b/postvalve/gateway/knowledge/topic_follower.py
@@ -1,4 +1,4 @@
-"""Follows one partition of a keyed topic by waiting reads."""
+"""Follows one partition of a keyed topic by long polling."""
 
 from __future__ import annotations
 
@@ -14,42 +14,43 @@
 from postvalve.gateway.interfaces import HistoryGoneError, KeyedRecord, KeyedTopics
 
 READ_BYTES = 1024 * 1024
-"""Bytes asked for in one read."""
-ERROR_PAUSE = 0.05
-"""Seconds after a failed read: another way is there, or a new connection."""
-ERROR_PAUSE_FACTOR = 4.0
-"""By which each later failure makes the pause longer."""
-MAX_ERROR_PAUSE = 1.0
+"""Bytes requested by one read."""
+RETRY_DELAY = 0.05
+"""Seconds before the first retry of a failed read, which may use a peer or a new connection."""
+RETRY_BACKOFF = 4.0
+"""Factor by which the delay grows with each further failure."""
+MAX_RETRY_DELAY = 1.0
 OLD_AFTER = 2.0
-"""Seconds after which what is known of a topic counts as old: the shortest time within which a
-deployment lets acknowledged changes go unheeded."""
-MAX_AGE = 60.0
-"""Seconds; greater ages are told as this."""
+"""Age in seconds from which the copy of a topic is stale: the shortest time within which some
+deployment requires acknowledged changes to take effect."""
+MAX_REPORTED_AGE = 60.0
+"""Largest age reported, in seconds."""
 
 Listener = Callable[[Sequence[KeyedRecord], bool], None]
-"""Takes records in offset order, and whether they are the whole present state."""
+"""Called with records in offset order, and whether they are a snapshot of the whole state."""
 
 
 @dataclass(slots=True)
-class _Pages:
-    """The newest record of each key, as far as it was read.
+class _SnapshotRead:
+    """Resumable read of the newest record of each key, page by page.
 
-    Pages are no snapshot: what changes meanwhile comes after the first page's end. So a read goes
-    on after its last page, however long ago that came: the history from that end on is read next.
+    The pages are not a consistent snapshot: changes made during the read lie after the offset at
+    which the first page was taken, and the history is followed from that offset. So the read may
+    resume after its last page at any later time.
     """
 
     started_at: float
-    """Monotonic seconds."""
+    """Monotonic seconds at which the first page was requested."""
     end: int = -1
-    """Offset after the first page's newest record."""
+    """End of the partition when the first page was taken; -1 before."""
     _found: dict[str, KeyedRecord] = field(default_factory=dict)
     _after: str = ""
 
     def read(self, topics: KeyedTopics, topic: str) -> None:
-        """Read on to the last page.
+        """Read the remaining pages.
 
         Raises:
-            PlatformError: a page did not come; those before it are kept.
+            PlatformError: A page could not be read; the pages before it are kept.
         """
         more = True
         while more:
@@ -61,17 +62,17 @@
             more = more and bool(part.records)
 
     def records(self) -> list[KeyedRecord]:
-        """Those before the first page's end, in their order.
+        """Return the records before `end` in offset order.
 
-        A later page may hold a record beyond that end, while one before it lies on a page that was
-        read already: both are read in their order from there.
+        Later pages may contain records from `end` on, but miss others whose keys belong to pages
+        read before. All of these are read in order from the history.
         """
         before = [one for one in self._found.values() if one.offset < self.end]
         return sorted(before, key=lambda one: one.offset)
 
 
 class TopicFollower:
-    """Gives every record of a partition to a listener, once it was read from the start."""
+    """Passes a snapshot of a partition, and then each new record, to a listener."""
 
     def __init__(
         self,
@@ -84,11 +85,16 @@
         wait: float,
         pause: float,
     ) -> None:
-        """Follow partition 0 of `topic`.
+        """Set up to follow partition 0 of `topic`.
 
         Args:
-            wait: Seconds that a read waits for a record.
-            pause: Seconds between reads, in which records gather.
+            topics: The store.
+            clock: Source of time.
+            events: Log.
+            topic: Name of the topic.
+            listener: Called with the records.
+            wait: Seconds for which a read waits for new records.
+            pause: Seconds between reads, so that one read returns several records.
         """
         self._topics = topics
         self._clock = clock
@@ -98,58 +104,59 @@
         self._wait = wait
         self._pause = pause
         self._lock = RLock()
-        self._pages: _Pages | None = None
-        """What came before a page did not."""
+        self._pages: _SnapshotRead | None = None
+        """Pages of a read that failed before its last page."""
         self._lost = False
-        self._told_old = False
+        self._logged_stale = False
         self.on_lost: Callable[[], None] = lambda: None
-        """Called when the store does not answer, once until it does again."""
+        """Called at the first failed read of an outage."""
         self.on_back: Callable[[], None] = lambda: None
-        """Called when it answers again, before what it told is taken in."""
+        """Called when the store answers again, before the answer is processed."""
         self.next_offset = -1
+        """Offset of the next read; -1 before the snapshot was read."""
         self.asked_at = float("-inf")
-        """Monotonic seconds at which the read under way, or the last one, was begun."""
+        """Monotonic seconds at which the pending or the last read was started."""
         self.heard_at = float("-inf")
-        """Monotonic seconds at which the store answered last."""
+        """Monotonic seconds of the store's last answer."""
         self.fresh_at = float("-inf")
-        """Monotonic seconds up to which everything that was acknowledged is known."""
+        """Monotonic seconds up to which all acknowledged records are known."""
 
     @property
     def loaded(self) -> bool:
-        """Whether the present state was read once."""
+        """Whether the snapshot has been read."""
         return self.next_offset >= 0
 
     @property
     def age(self) -> float:
-        """Seconds of which this node does not know what was acknowledged in them."""
-        return min(MAX_AGE, self._clock.monotonic() - self.fresh_at)
+        """Seconds in which the store may have acknowledged records that are not known yet."""
+        return min(MAX_REPORTED_AGE, self._clock.monotonic() - self.fresh_at)
 
     def tell_if_old(self) -> None:
-        """Log, once until it is up to date again, that what is known is old."""
-        old = self.loaded and self.age > OLD_AFTER
-        if old and not self._told_old:
+        """Log that the copy is stale, once until it is up to date again."""
+        is_stale = self.loaded and self.age > OLD_AFTER
+        if is_stale and not self._logged_stale:
             self._events.emit(
                 Event.STORE_TOPIC_OLD,
                 topic=self._topic,
                 age=round(self.age, 3),
                 offset=self.next_offset,
             )
-        self._told_old = old
+        self._logged_stale = is_stale
 
     def run(self) -> None:
-        """Follow for ever."""
-        pause = ERROR_PAUSE
+        """Follow the topic; never returns."""
+        pause = RETRY_DELAY
         while True:
             try:
-                self._step()
-                pause = ERROR_PAUSE
+                self._read_once()
+                pause = RETRY_DELAY
                 gevent.sleep(self._pause)
             except PlatformError as error:
-                self._note_lost(error)
+                self._record_failure(error)
                 gevent.sleep(pause)
-                pause = min(MAX_ERROR_PAUSE, pause * ERROR_PAUSE_FACTOR)
+                pause = min(MAX_RETRY_DELAY, pause * RETRY_BACKOFF)
 
-    def _step(self) -> None:
+    def _read_once(self) -> None:
         if not self.loaded:
             self._load()
             return
@@ -161,17 +168,17 @@
             self._events.emit(Event.STORE_HISTORY_GONE, topic=self._topic, offset=offset)
             self._load()
             return
-        self._heard()
+        self._record_answer()
         with self._lock:
-            self._take(part.records, part.next_offset)
+            self._process(part.records, part.next_offset)
             if part.next_offset >= part.end_offset:
                 self.fresh_at = max(self.fresh_at, started + part.held)
 
     def catch_up(self) -> None:
-        """Read what is there now.
+        """Read up to the current end of the partition.
 
         Raises:
-            StoreUnavailableError: no answer; what was known stands.
+            StoreUnavailableError: The store did not answer; the state is unchanged.
         """
         if not self.loaded:
             self._load()
@@ -183,18 +190,18 @@
             except HistoryGoneError:
                 self._load()
                 return
-            self._heard()
+            self._record_answer()
             with self._lock:
-                self._take(part.records, part.next_offset)
+                self._process(part.records, part.next_offset)
                 if part.next_offset >= part.end_offset:
                     self.fresh_at = max(self.fresh_at, started)
                     return
 
     def note_own(self, records: Sequence[KeyedRecord], offset: int) -> bool:
-        """Take records in that this node has appended at `offset`, without reading them.
+        """Process records that this node has appended at `offset`, without reading them.
 
         Returns:
-            Whether they followed what was known; if not, they must be read.
+            Whether they directly follow the known records; if not, they must be read.
         """
         with self._lock:
             if offset != self.next_offset:
@@ -203,34 +210,34 @@
                 KeyedRecord(one.key, one.value, offset + number)
                 for number, one in enumerate(records)
             ]
-            self._take(placed, offset + len(placed))
+            self._process(placed, offset + len(placed))
             return True
 
-    def _take(self, records: Sequence[KeyedRecord], next_offset: int) -> None:
+    def _process(self, records: Sequence[KeyedRecord], next_offset: int) -> None:
         new = [one for one in records if one.offset >= self.next_offset]
         self.next_offset = max(self.next_offset, next_offset)
         if new:
             self._listener(new, False)
 
     def _load(self) -> None:
-        # Another read that begins meanwhile reads pages of its own.
-        pages, self._pages = self._pages or _Pages(self._clock.monotonic()), None
+        # A concurrent read must not share these pages.
+        pages, self._pages = self._pages or _SnapshotRead(self._clock.monotonic()), None
         self.asked_at = self._clock.monotonic()
         try:
             pages.read(self._topics, self._topic)
         except PlatformError:
             self._pages = pages
             raise
-        self._heard()
+        self._record_answer()
         with self._lock:
             if pages.end < self.next_offset:
-                # Another read overtook this one; its state is the newer one.
+                # A concurrent read was faster, and its state is newer.
                 return
             self.next_offset = pages.end
             self.fresh_at = max(self.fresh_at, pages.started_at)
             self._listener(pages.records(), True)
 
-    def _heard(self) -> None:
+    def _record_answer(self) -> None:
         self.heard_at = self._clock.monotonic()
         if self._lost:
             self._lost = False
@@ -242,7 +249,7 @@
                 age=round(self.age, 3),
             )
 
-    def _note_lost(self, error: PlatformError) -> None:
+    def _record_failure(self, error: PlatformError) -> None:
         if not self._lost:
             self._lost = True
             self.on_lost()
