--- a/postvalve/gateway/fleet/usable_engines.py
+++ b/postvalve/gateway/fleet/usable_engines.py
@@ -9,7 +9,7 @@
 from postvalve.core.randomness import RandomSource
 from postvalve.gateway.interfaces import EngineEntry
 
-SAMPLE_SIZE = 48
+CANDIDATES_PER_GROUP = 48
 """Engines of this node's zone, and as many of all other zones, considered for a request. Four of
 those expected to be in time are drawn from them; a sample of this size contains some unless nearly
 all engines are full. With 3,000 engines a choice among all takes 9 ms, among these 0.5 ms."""
@@ -44,11 +44,11 @@
             prefix_key: Key of the prompt prefix that the request shares; empty for none.
             watched: Engines watched by this node, which are always included.
         """
-        if max(len(self.near), len(self.far)) <= SAMPLE_SIZE:
+        if max(len(self.near), len(self.far)) <= CANDIDATES_PER_GROUP:
             return self.all
         found = [
-            *generator.sample(self.near, min(SAMPLE_SIZE, len(self.near))),
-            *generator.sample(self.far, min(SAMPLE_SIZE, len(self.far))),
+            *generator.sample(self.near, min(CANDIDATES_PER_GROUP, len(self.near))),
+            *generator.sample(self.far, min(CANDIDATES_PER_GROUP, len(self.far))),
         ]
         wanted = {life: self._by_life[life] for life in watched if life in self._by_life}
         if prefix_key:
