--- a/postvalve/gateway/engines/engine_connections.py
+++ b/postvalve/gateway/engines/engine_connections.py
@@ -16,9 +16,9 @@
 from geventhttpclient.response import HTTPParseError, HTTPResponse
 
 from postvalve.clock import Clock
-from postvalve.core.admission.connection_share import MAX_RESTING
-from postvalve.core.routing.connect_patience import ConnectPatience
-from postvalve.core.serving.transfer_pace import TransferPace
+from postvalve.core.admission.connection_share import MAX_IDLE_CONNECTIONS
+from postvalve.core.routing.connect_timeout import ConnectTimeout
+from postvalve.core.serving.transfer_rate import MinTransferRate
 from postvalve.exceptions import AttemptError, EngineCutError, Verdict
 from postvalve.gateway.interfaces import Headers
 from postvalve.sockets import send_at_once
@@ -172,7 +172,7 @@
         """Whether `read_event` can return without receiving more bytes."""
         return self._parser.has_event() or self._parser.message_complete
 
-    def rest_of_body(self) -> bytes:
+    def take_remaining_body(self) -> bytes:
         """Remove and return the bytes that follow the last complete event of a stream."""
         return self._parser.take_body()
 
@@ -221,7 +221,7 @@
         if self.aborted or parser.has_trailing_data or parser.should_close():
             self._connection.close()
             return
-        self._pool.rest(self._address, self._connection, self.header("keep-alive"))
+        self._pool.release(self._address, self._connection, self.header("keep-alive"))
 
 
 class ConnectionPool:
@@ -230,20 +230,20 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self._engines: dict[str, _Engine] = defaultdict(_Engine)
-        self._idle_limit = MAX_RESTING
-        self._connect_timeout = ConnectPatience()
+        self._idle_limit = MAX_IDLE_CONNECTIONS
+        self._connect_timeout = ConnectTimeout()
         self.opened = 0
         """Connections opened since the process started."""
 
-    def start(
+    def send_request(
         self,
         address: str,
         request: bytes,
         deadline: float,
         *,
-        wanted: Callable[[], bool],
-        fresh: bool = False,
-        hurried: bool = False,
+        still_usable: Callable[[], bool],
+        new_connection: bool = False,
+        fail_over_early: bool = False,
     ) -> EngineAnswer:
         """Send a request and return its response, of which nothing has been read yet.
 
@@ -262,9 +262,9 @@
             AttemptError: No byte was sent (verdict NOT_RUN), or sending failed after it began
                 (verdict MAY_HAVE_RUN).
         """
-        resting = None if fresh else self._take_idle(address)
-        connection = resting or self._open(address, deadline, hurried)
-        if not wanted():
+        resting = None if new_connection else self._take_idle(address)
+        connection = resting or self._open(address, deadline, fail_over_early)
+        if not still_usable():
             connection.close()
             raise AttemptError("the engine takes no work any more", Verdict.NOT_RUN)
         answer = EngineAnswer(self, address, connection, deadline)
@@ -279,15 +279,15 @@
     def _send(self, connection: Any, request: bytes, deadline: float) -> None:
         """Send a request; raise TimeoutError if the engine reads it too slowly."""
         now = self.clock.monotonic()
-        pace = TransferPace(MIN_SEND_RATE, MAX_SEND_LAG, now)
+        pace = MinTransferRate(MIN_SEND_RATE, MAX_SEND_LAG, now)
         rest = memoryview(request)
         while rest:
-            connection.settimeout(max(MIN_SEND_WAIT, min(pace.left(now), deadline - now)))
+            connection.settimeout(max(MIN_SEND_WAIT, min(pace.seconds_left(now), deadline - now)))
             sent = connection.send(rest)
             rest = rest[sent:]
             now = self.clock.monotonic()
-            pace.went(sent, now)
-            if rest and (pace.left(now) <= 0 or now >= deadline):
+            pace.record(sent, now)
+            if rest and (pace.seconds_left(now) <= 0 or now >= deadline):
                 raise TimeoutError("the engine reads too slowly")
 
     def _take_idle(self, address: str) -> Any | None:
@@ -300,10 +300,12 @@
             one.connection.close()
         return None
 
-    def _open(self, address: str, deadline: float, hurried: bool) -> Any:
+    def _open(self, address: str, deadline: float, fail_over_early: bool) -> Any:
         host, _, port = address.rpartition(":")
         started_at = self.clock.monotonic()
-        limit = self._connect_timeout.seconds(CONNECT_TIMEOUT) if hurried else CONNECT_TIMEOUT
+        limit = (
+            self._connect_timeout.seconds(CONNECT_TIMEOUT) if fail_over_early else CONNECT_TIMEOUT
+        )
         timeout = min(limit, deadline - started_at)
         if timeout <= 0:
             raise AttemptError("the deadline passed", Verdict.NOT_RUN)
@@ -316,11 +318,11 @@
         except OSError as error:
             connection.close()
             raise AttemptError(f"connecting failed: {error!r}", Verdict.NOT_RUN) from error
-        self._connect_timeout.note(self.clock.monotonic() - started_at)
+        self._connect_timeout.record(self.clock.monotonic() - started_at)
         self.opened += 1
         return connection
 
-    def rest(self, address: str, connection: Any, keep_alive: str | None) -> None:
+    def release(self, address: str, connection: Any, keep_alive: str | None) -> None:
         """Put a connection whose last response was complete back into the pool.
 
         Args:
@@ -335,7 +337,7 @@
             return
         resting.append(_IdleConnection(connection, self.clock.monotonic() + seconds))
 
-    def limit_resting(self, connections: int) -> None:
+    def set_idle_limit(self, connections: int) -> None:
         """Set the number of idle connections kept for each engine, from the next `expire` on."""
         self._idle_limit = connections
 
--- a/postvalve/gateway/engines/request_guard.py
+++ b/postvalve/gateway/engines/quarantine_guard.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from postvalve.clock import Clock
-from postvalve.core.admission.quarantine import BEGIN_TIME, Quarantine, Ruling, Trial
+from postvalve.core.admission.quarantine import FATAL_START_TIME, Quarantine, RunPermission, Trial
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event, EventLog
 from postvalve.exceptions import EngineCutError, PostvalveError, QuarantinedError, Verdict
 
 
-class RequestGuard:
+class QuarantineGuard:
     """Asks the quarantine whether a request may run, and reports how its runs end.
 
     While the quarantine is empty the only cost is one digest for each complete response, 13 us
@@ -59,9 +59,9 @@
         self.alone = False
         if not len(self._quarantine):
             return
-        decision = self._quarantine.rule(self.identity, self._clock.monotonic())
-        self.alone = decision.ruling is Ruling.ALONE
-        if decision.ruling is Ruling.HELD:
+        decision = self._quarantine.check_request(self.identity, self._clock.monotonic())
+        self.alone = decision.permission is RunPermission.ALONE
+        if decision.permission is RunPermission.HELD:
             self._events.emit(
                 Event.REQUEST_QUARANTINED,
                 request=self._request_id,
@@ -86,18 +86,18 @@
                 engine=life,
             )
 
-    def note_head(self) -> None:
+    def record_head(self) -> None:
         """Record that the head of the engine's response was received."""
-        self._quarantine.note_alive(self._life, self._sent_at, self._clock.monotonic())
+        self._quarantine.record_alive(self._life, self._sent_at, self._clock.monotonic())
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """Record that an event of the response was received."""
         if self._first_event_at is None:
             self._first_event_at = self._clock.monotonic()
         elif not self._is_cleared and not self._just_began:
-            self.note_answered()
+            self.record_answer()
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """Record that the request does not crash its engine.
 
         Called when the response is complete, or has gone on for longer than a fatal request needs
@@ -107,7 +107,7 @@
         """
         self._is_cleared = True
         self._end_trial()
-        if self._quarantine.note_answered(self.identity, self._clock.monotonic()):
+        if self._quarantine.record_answer(self.identity, self._clock.monotonic()):
             self._events.emit(
                 Event.QUARANTINE_CLEARED,
                 request=self._request_id,
@@ -115,7 +115,7 @@
                 engine=self._life,
             )
 
-    def note_engine_failed(self) -> None:
+    def record_engine_failure(self) -> None:
         """Record that the engine reported a failure: it is alive, but another may still crash.
 
         A reported failure must not clear the request. When it did, a fatal request crashed 18
@@ -124,7 +124,7 @@
         self._is_cleared = True
         self._end_trial()
 
-    def note_failure(self, error: PostvalveError) -> None:
+    def record_failure(self, error: PostvalveError) -> None:
         """Record that the current run failed."""
         if error.verdict is Verdict.NOT_RUN:
             self._end_trial()
@@ -135,8 +135,8 @@
 
     def _note_crash(self) -> None:
         now = self._clock.monotonic()
-        counts = self._quarantine.note_end(self.identity, self._life, self._sent_at, now)
-        decision = self._quarantine.rule(self.identity, now)
+        counts = self._quarantine.record_end(self.identity, self._life, self._sent_at, now)
+        decision = self._quarantine.check_request(self.identity, now)
         self._events.emit(
             Event.ENGINE_ENDED_UNDER_REQUEST,
             request=self._request_id,
@@ -145,13 +145,13 @@
             ran=round(now - self._sent_at, 3),
             counts=counts,
             ends=decision.ends,
-            ruling=decision.ruling.value,
+            ruling=decision.permission.value,
         )
 
     @property
     def _just_began(self) -> bool:
         first = self._first_event_at
-        return first is None or self._clock.monotonic() - first < BEGIN_TIME
+        return first is None or self._clock.monotonic() - first < FATAL_START_TIME
 
     def end(self) -> None:
         """Record that the current run is over.
--- a/postvalve/gateway/fleet/directory_reader.py
+++ b/postvalve/gateway/fleet/directory_reader.py
@@ -59,7 +59,7 @@
             topics, clock, events, topic, self._observe, wait=READ_WAIT, pause=READ_PAUSE
         )
         self._follower.on_lost = self._entries.store_lost
-        self._follower.on_back = self._store_regained
+        self._follower.on_regained = self._store_regained
         fleet.directory_unsettled = lambda: self._entries.unsettled(clock.monotonic())
         fleet.directory_age = lambda: self._follower.age
 
@@ -68,9 +68,9 @@
         self._follower.run()
 
     @property
-    def store_away(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether neither this node nor any peer that it hears has read the directory lately."""
-        return self._shared.away
+        return self._shared.unavailable
 
     def state(self) -> DirectoryState | None:
         """Return the directory state for load reports; None before the directory was first read."""
@@ -78,11 +78,11 @@
             return None
         return DirectoryState(self._follower.next_offset, milliseconds(self._follower.age))
 
-    def look(self) -> None:
+    def update_age(self) -> None:
         """Take in the age of this node's copy; called a few times a second."""
         self._note_fresh(self._follower.fresh_at)
 
-    def hear(self, state: DirectoryState, peer: str) -> None:
+    def receive(self, state: DirectoryState, peer: str) -> None:
         """Take in a peer's directory state; start an extra read if the peer is ahead."""
         self._note_fresh(self._clock.monotonic() - state.age_ms / 1000)
         behind = self._follower.loaded and self._follower.next_offset < state.offset
@@ -107,19 +107,19 @@
 
     def _note_fresh(self, fresh_at: float) -> None:
         now = self._clock.monotonic()
-        was_unavailable = self._shared.away
+        was_unavailable = self._shared.unavailable
         self._shared.note(fresh_at, now)
-        if was_unavailable and not self._shared.away:
+        if was_unavailable and not self._shared.unavailable:
             self._events.emit(Event.STORE_WAS_AWAY, back=round(now - self._shared.returned_at, 3))
 
     def _store_regained(self) -> None:
         """Handle the first answer of the store after an outage."""
-        self._note_fresh(self._follower.asked_at)
+        self._note_fresh(self._follower.requested_at)
         self._entries.store_back(self._clock.monotonic())
 
-    def tell_if_old(self) -> None:
+    def log_if_stale(self) -> None:
         """Log, once for each outage, that this node's copy of the directory is stale."""
-        self._follower.tell_if_old()
+        self._follower.log_if_stale()
 
     def _observe(self, records: Sequence[KeyedRecord], is_snapshot: bool) -> None:
         changes = self._entries_of(records)
@@ -128,7 +128,7 @@
             self._events.emit(
                 Event.ENGINES_LAPSED,
                 engines=missing,
-                seconds=round(self._entries.seconds_kept(self._clock.monotonic()) or 0.0, 3),
+                seconds=round(self._entries.seconds_to_expiry(self._clock.monotonic()) or 0.0, 3),
                 age=round(self._follower.age, 3),
             )
             gevent.spawn(self._drop_lapsed)
@@ -159,9 +159,9 @@
         """Drop each retained entry that was not listed again before it expires.
 
         The event loop's timers start from a cached time that is some milliseconds old and may fire
-        that much too early, so a single check after `KEEP_TIME` might still find the entry valid.
+        that much too early, so a single check after `LAPSED_ENTRY_RETENTION` might still find the entry valid.
         """
-        while (left := self._entries.seconds_kept(self._clock.monotonic())) is not None:
+        while (left := self._entries.seconds_to_expiry(self._clock.monotonic())) is not None:
             gevent.sleep(max(MIN_EXPIRY_INTERVAL, left))
             self._update_fleet()
 
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -7,22 +7,30 @@
 
 from postvalve.clock import Clock
 from postvalve.core.admission.engine_use import EngineUse, relaxed_slots
-from postvalve.core.admission.service_pace import ServicePace
+from postvalve.core.admission.service_latency import ServiceLatency
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.randomness import RandomSource
 from postvalve.core.routing.engine_choice import (
     AFFINITY_TOKENS,
-    DRAWN,
+    SAMPLE_SIZE,
     EngineChooser,
     EngineOption,
 )
-from postvalve.core.routing.engine_pace import EVEN
-from postvalve.core.routing.expectation import EngineRoom, expected_first, timely
+from postvalve.core.routing.engine_pace import UNIFORM
+from postvalve.core.routing.latency_estimate import (
+    EngineOccupancy,
+    expected_first_event,
+    expected_in_time,
+)
 from postvalve.events import EventLog
 from postvalve.gateway.engines.engine_connections import ConnectionPool
 from postvalve.gateway.fleet.listed_engines import ListedEngines
 from postvalve.gateway.fleet.placement import ConsideredEngine, Placement
-from postvalve.gateway.fleet.service_rooms import EVEN_ROOMS, ServiceRooms, UnevenRooms
+from postvalve.gateway.fleet.service_capacity import (
+    UNIFORM_CAPACITY,
+    MeasuredCapacity,
+    ServiceCapacity,
+)
 from postvalve.gateway.interfaces import EngineEntry, RequestTerms
 from postvalve.settings.routes import ServiceSpec
 
@@ -39,7 +47,7 @@
 
     entry: EngineEntry
     option: EngineOption
-    room: EngineRoom
+    occupancy: EngineOccupancy
 
 
 def _memory_short(used: int, tokens: int, memory_tokens: int) -> int:
@@ -57,13 +65,13 @@
 
 
 def _options_in_time(
-    candidates: list[_Candidate], pace: ServicePace, tokens: int, left: float
+    candidates: list[_Candidate], pace: ServiceLatency, tokens: int, left: float
 ) -> list[EngineOption]:
     """Return the engines that are expected to be in time; else those with capacity; else all."""
-    in_time = timely((one.room for one in candidates), tokens, pace, left)
+    in_time = expected_in_time((one.occupancy for one in candidates), tokens, pace, left)
     found = [one.option for one, is_so in zip(candidates, in_time, strict=True) if is_so]
     if not found:
-        found = [one.option for one in candidates if one.room.has_place(pace)]
+        found = [one.option for one in candidates if one.occupancy.has_capacity(pace)]
     return found or [one.option for one in candidates]
 
 
@@ -82,10 +90,10 @@
         self._chooser = EngineChooser(zone, generator)
         self._random = generator
         self.use = EngineUse()
-        self.paces.counted = lambda life: self.use.total(life).total
+        self.paces.count_requests = lambda life: self.use.total(life).total
         self.pause_aim: Callable[[str], float | None] = lambda service: None
         """Returns the longest acceptable pause between events for a service; None for no bound."""
-        self.service_named: Callable[[str], ServiceSpec | None] = lambda name: None
+        self.find_service: Callable[[str], ServiceSpec | None] = lambda name: None
         """Returns a service of the configuration in force by its name."""
         self.watched: Callable[[], Collection[EngineLife]] = tuple
         """Returns the engines watched by this node, to which peers report new requests at once."""
@@ -93,30 +101,32 @@
         """Called after a request was added to or removed from the counts."""
         self.on_placed: Callable[[EngineLife], None] = lambda life: None
         """Called after a request was placed on an engine."""
-        self.on_crowded: Callable[[EngineLife], None] = lambda life: None
+        self.on_overload: Callable[[EngineLife], None] = lambda life: None
         """Called when an online request was placed on an engine where batch must be preempted."""
 
     def _memory_of(self, service: str) -> int:
         """Return the memory of a service's engines in tokens; 0 if it is unknown."""
-        spec = self.service_named(service)
+        spec = self.find_service(service)
         return spec.memory_tokens if spec is not None else 0
 
-    def pace(self, service: str) -> ServicePace:
+    def pace(self, service: str) -> ServiceLatency:
         """Return the latency estimates of a service's engines."""
         return self.paces.service(service)
 
-    def _rooms_of(self, service: str) -> ServiceRooms:
+    def _rooms_of(self, service: str) -> ServiceCapacity:
         """Return the capacity model of a service's engines for the present moment."""
-        if not self.paces.uneven(service):
-            return EVEN_ROOMS
+        if not self.paces.reports_pace(service):
+            return UNIFORM_CAPACITY
         now = self._clock.monotonic()
-        return UnevenRooms(service, self.paces, self.pace(service), self.pause_aim(service), now)
+        return MeasuredCapacity(
+            service, self.paces, self.pace(service), self.pause_aim(service), now
+        )
 
-    def rooms(self, service: str) -> list[EngineRoom]:
+    def occupancies(self, service: str) -> list[EngineOccupancy]:
         """Return the load of each healthy engine of a service; of all if none is healthy."""
         entries = self._healthy(self.engines(service))
         rooms = self._rooms_of(service)
-        return [rooms.room(entry, self.use.total(entry.life)) for entry in entries]
+        return [rooms.occupancy(entry, self.use.total(entry.life)) for entry in entries]
 
     def has_room(self, service: str) -> bool:
         """Whether a healthy engine has a slot without online work, or no engine is listed.
@@ -130,22 +140,22 @@
             if self._standings.is_suspect(one.life):
                 continue
             any_healthy = True
-            if rooms.has_place(one, self.use.total(one.life)):
+            if rooms.has_capacity(one, self.use.total(one.life)):
                 return True
         # If no engine is healthy, all of them count.
         return not entries or (
             not any_healthy
-            and any(rooms.has_place(one, self.use.total(one.life)) for one in entries)
+            and any(rooms.has_capacity(one, self.use.total(one.life)) for one in entries)
         )
 
-    def places_left(self, entry: EngineEntry) -> int:
+    def spare_capacity(self, entry: EngineEntry) -> int:
         """Return the places of an engine that online work does not use.
 
         Negative if more requests run or wait there than the engine has places.
         """
         pace, count = self.pace(entry.service), self.use.total(entry.life)
-        room = self._rooms_of(entry.service).room(entry, count)
-        return room.places(pace) - room.online
+        room = self._rooms_of(entry.service).occupancy(entry, count)
+        return room.capacity(pace) - room.online
 
     def place_online(
         self, service: str, terms: RequestTerms, excluded: Iterable[EngineLife], left: float
@@ -174,15 +184,15 @@
         best = self._chooser.choose(options, terms.prefix_key, terms.shared_tokens, self.watched())
         chosen = next(one for one in candidates if one.option.life == best.life)
         unread = terms.own_tokens + best.shared_unread
-        expected = expected_first(chosen.room, unread, pace)
+        expected = expected_first_event(chosen.occupancy, unread, pace)
         placement = self._add(chosen.entry, False, unread, memory)
         placement.expected = expected
-        if rooms is not EVEN_ROOMS:
+        if rooms is not UNIFORM_CAPACITY:
             placement.considered = [
-                ConsideredEngine(one.option.life, one.room) for one in candidates
+                ConsideredEngine(one.option.life, one.occupancy) for one in candidates
             ]
         if self.excess(best.life):
-            self.on_crowded(best.life)
+            self.on_overload(best.life)
         return placement
 
     def _eligible_engines(
@@ -224,11 +234,11 @@
         entry: EngineEntry,
         memory: int,
         memory_tokens: int,
-        rooms: ServiceRooms,
+        rooms: ServiceCapacity,
         tokens: int,
     ) -> _Candidate:
         count = self.use.total(entry.life)
-        room = rooms.room(entry, count)
+        room = rooms.occupancy(entry, count)
         option = EngineOption(
             entry.life,
             entry.zone,
@@ -238,7 +248,7 @@
             count.unread,
             self._is_cold(entry.life),
             _memory_short(count.memory, memory, memory_tokens),
-            0.0 if room.factors is EVEN else rooms.extra_places(room, tokens),
+            0.0 if room.factors is UNIFORM else rooms.queue_penalty(room, tokens),
         )
         return _Candidate(entry, option, room)
 
@@ -264,13 +274,13 @@
         healthy = any(not self._standings.is_suspect(one.life) for one in usable.near)
         return usable.near if healthy else usable.all
 
-    def _batch_room_at(self, entry: EngineEntry, pressing: bool, rooms: ServiceRooms) -> int:
+    def _batch_room_at(self, entry: EngineEntry, pressing: bool, rooms: ServiceCapacity) -> int:
         count = self.use.total(entry.life)
         if count.unread > MAX_UNREAD_FOR_BATCH or self._standings.is_suspect(entry.life):
             return 0
         if not pressing and self._is_cold(entry.life):
             return 0
-        places = rooms.places(entry, count)
+        places = rooms.capacity(entry, count)
         return self.use.batch_room(entry.life, places, pressing=pressing)
 
     def place_batch(
@@ -319,15 +329,15 @@
         if not free:
             return None
         near = [one for one in free if one[1]] or free
-        drawn = self._random.sample(near, min(DRAWN, len(near)))
+        drawn = self._random.sample(near, min(SAMPLE_SIZE, len(near)))
         chosen = max(drawn, key=lambda one: one[:3])[3]
         return self._add(chosen, True, prompt, prompt + output)
 
-    def _slot_time_factors(self, rooms: ServiceRooms) -> Callable[[EngineEntry], float]:
+    def _slot_time_factors(self, rooms: ServiceCapacity) -> Callable[[EngineEntry], float]:
         """Return a function that gives an engine's slot time relative to the service's average."""
-        if rooms is EVEN_ROOMS:
+        if rooms is UNIFORM_CAPACITY:
             return lambda entry: 1.0
-        return lambda entry: rooms.room(entry, self.use.total(entry.life)).factors.held
+        return lambda entry: rooms.occupancy(entry, self.use.total(entry.life)).factors.held
 
     def excess(self, life: EngineLife) -> int:
         """Return the number of batch items, of all nodes, that should be preempted at an engine."""
@@ -353,7 +363,7 @@
         self.on_placed(entry.life)
         return placement
 
-    def leave(self, placement: Placement) -> None:
+    def release(self, placement: Placement) -> None:
         """Remove an attempt from its engine's counts."""
         self.use.leave(
             placement.engine.life,
@@ -363,9 +373,9 @@
         )
         self.on_change()
 
-    def note_read(self, placement: Placement) -> None:
+    def record_prompt_read(self, placement: Placement) -> None:
         """Record an attempt's first token: its prompt is no longer counted as unread."""
         if placement.unread:
-            self.use.note_read(placement.engine.life, placement.unread)
+            self.use.record_prompt_read(placement.engine.life, placement.unread)
             placement.unread = 0
             self.on_change()
--- a/postvalve/gateway/fleet/engine_standing.py
+++ b/postvalve/gateway/fleet/engine_health.py
@@ -20,7 +20,7 @@
     replaced: bool = False
 
 
-class EngineStandings:
+class EngineHealth:
     """Health of engines: which ones are suspect after a failure, and which were replaced."""
 
     def __init__(self, clock: Clock) -> None:
@@ -29,7 +29,7 @@
         self._suspected_until = float("-inf")
         """Monotonic seconds until which at least one engine may be suspect."""
 
-    def keep(self, listed: Container[EngineLife]) -> None:
+    def retain(self, listed: Container[EngineLife]) -> None:
         """Drop all engines but those that the directory lists."""
         self._by_life = {life: one for life, one in self._by_life.items() if life in listed}
 
@@ -51,12 +51,12 @@
         health = self._by_life.get(life)
         return health is not None and health.replaced
 
-    def note_success(self, life: EngineLife) -> None:
+    def record_success(self, life: EngineLife) -> None:
         """Record a successful attempt."""
         if (health := self._by_life.get(life)) is not None:
             health.failures = 0
 
-    def note_failure(self, life: EngineLife) -> float:
+    def record_failure(self, life: EngineLife) -> float:
         """Record an attempt that its engine failed; return the seconds for which it is avoided."""
         health = self._of(life)
         health.failures += 1
@@ -65,7 +65,7 @@
         self._suspected_until = max(self._suspected_until, health.suspect_until)
         return pause
 
-    def note_replaced(self, life: EngineLife) -> None:
+    def record_replaced(self, life: EngineLife) -> None:
         """Record that another engine has answered at this engine's address."""
         self._of(life).replaced = True
 
--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -9,12 +9,17 @@
 
 from postvalve.clock import Clock
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.admission.service_pace import ServicePace
+from postvalve.core.admission.service_latency import ServiceLatency
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.routing.attempt_times import AttemptTimes
-from postvalve.core.routing.engine_load import CountCorrection, EngineLoad, PaceReading, PaceSignal
-from postvalve.core.routing.engine_pace import Aspect, EnginePace, PaceFactors
-from postvalve.core.routing.pace_telling import PaceTeller, unpack_told
+from postvalve.core.routing.engine_load import (
+    CountCorrection,
+    EngineLoad,
+    PaceReading,
+    PaceReadings,
+)
+from postvalve.core.routing.engine_pace import PaceEstimator, PaceFactors, PaceMetric
+from postvalve.core.routing.pace_gossip import PacePartWriter, unpack_pace_part
 from postvalve.events import Event, EventLog
 from postvalve.gateway.fleet.placement import Placement
 
@@ -28,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PaceFacts:
+class PaceSummary:
     """What is known of one engine's pace; ages in seconds, None if nothing is known."""
 
     learnt: PaceFactors
@@ -36,9 +41,9 @@
     """Total weight of the samples of all nodes."""
     age: float | None = None
     """Age of the newest of these samples."""
-    told: float | None = None
+    reported: float | None = None
     """Pace that the engine reported last, relative to its usual one."""
-    told_age: float | None = None
+    reported_age: float | None = None
     """Age of that report."""
     trust: float = 0.0
     """Weight given to that report at its age, from 0 to 1."""
@@ -54,45 +59,45 @@
     def __init__(self, clock: Clock, events: EventLog) -> None:
         self._clock = clock
         self._events = events
-        self._services: dict[str, ServicePace] = {}
-        self.learnt = EnginePace()
-        self._signals: dict[str, PaceSignal] = {}
+        self._services: dict[str, ServiceLatency] = {}
+        self.learnt = PaceEstimator()
+        self._signals: dict[str, PaceReadings] = {}
         self._counts = CountCorrection()
-        self._near = PaceTeller()
+        self._near = PacePartWriter()
         """Reports to nodes of this zone."""
-        self._far = PaceTeller()
+        self._far = PacePartWriter()
         """Reports to nodes of other zones."""
-        self._zone = PaceTeller()
+        self._zone = PacePartWriter()
         """Digests to other zones, on behalf of all nodes of this zone."""
         self._bad_loads: set[int] = set()
         self._evaluated_at = float("-inf")
-        self.counted: Callable[[EngineLife], int] = lambda life: 0
+        self.count_requests: Callable[[EngineLife], int] = lambda life: 0
         """Returns the requests of all nodes at an engine, as this node counts them."""
 
-    def service(self, service: str) -> ServicePace:
+    def service(self, service: str) -> ServiceLatency:
         """Return the latency estimates of a service, averaged over its engines."""
         pace = self._services.get(service)
         if pace is None:
-            pace = self._services[service] = ServicePace()
+            pace = self._services[service] = ServiceLatency()
         return pace
 
-    def keep(self, services: Mapping[EngineLife, str]) -> None:
+    def retain(self, services: Mapping[EngineLife, str]) -> None:
         """Drop what is known of engine instances that the directory no longer lists."""
-        self.learnt.keep(services)
+        self.learnt.retain(services)
         lives = {engine_hash(life) for life in services}
-        self._counts.keep(lives)
+        self._counts.retain(lives)
         self._bad_loads &= lives
         for signal in self._signals.values():
-            signal.keep(lives)
+            signal.retain(lives)
 
-    def uneven(self, service: str) -> bool:
+    def reports_pace(self, service: str) -> bool:
         """Whether engines of a service report their pace; otherwise all are treated as equal.
 
         Attempts of one burst are slow together, so equal engines often seem to differ. Without
         reports from the engines, acting on such differences costs more than it gains.
         """
         signal = self._signals.get(service)
-        return signal is not None and signal.told
+        return signal is not None and signal.has_readings
 
     def factors(self, service: str, life: EngineLife, now: float) -> PaceFactors:
         """Return how much longer than the service's average an engine takes at present."""
@@ -100,33 +105,33 @@
         factors = self.learnt.factors(key)
         signal = self._signals.get(service)
         told = signal.factor(key, now) if signal is not None else 1.0
-        return factors if told == 1.0 else factors.times(told)
+        return factors if told == 1.0 else factors.scaled(told)
 
-    def facts(self, service: str, life: EngineLife, now: float) -> PaceFacts:
+    def summary(self, service: str, life: EngineLife, now: float) -> PaceSummary:
         """Return what is known of an engine's pace, for status and logs."""
         key = engine_hash(life)
-        shown = self.learnt.total(key, now)
+        shown = self.learnt.all_samples(key, now)
         signal = self._signals.get(service)
         reading = signal.readings().get(key) if signal is not None else None
         if signal is None or reading is None:
-            return PaceFacts(self.learnt.factors(key), shown.weight, _age(shown.newest_at, now))
+            return PaceSummary(self.learnt.factors(key), shown.weight, _age(shown.newest_at, now))
         told_age = now - reading.at
-        return PaceFacts(
+        return PaceSummary(
             self.learnt.factors(key),
             shown.weight,
             _age(shown.newest_at, now),
             math.exp(reading.value),
             told_age,
-            signal.trust(told_age),
+            signal.confidence(told_age),
         )
 
-    def not_counted(self, life: EngineLife, now: float) -> int:
+    def uncounted_requests(self, life: EngineLife, now: float) -> int:
         """Return the requests at an engine beyond those that nodes report, by its own count."""
         return self._counts.requests(engine_hash(life), now)
 
     # Samples from attempts
 
-    def note_load(self, placement: Placement, load: EngineLoad) -> None:
+    def record_load(self, placement: Placement, load: EngineLoad) -> None:
         """Record the load that an engine reported with a response."""
         if load.pace is None:
             # Load without a pace is ignored: such engines are treated as equal.
@@ -136,10 +141,10 @@
         if not self.learnt.knows(key):
             return
         service = placement.engine.service
-        self._signals.setdefault(service, PaceSignal()).note(key, load.pace, load.at)
-        self._counts.note(key, load.requests, self.counted(life), load.at)
+        self._signals.setdefault(service, PaceReadings()).record(key, load.pace, load.at)
+        self._counts.record(key, load.requests, self.count_requests(life), load.at)
 
-    def note_bad_load(self, life: EngineLife, told: str) -> None:
+    def record_bad_load(self, life: EngineLife, told: str) -> None:
         """Log an unreadable load report, once per engine."""
         key = engine_hash(life)
         known = self.learnt.knows(key)
@@ -148,16 +153,16 @@
         self._bad_loads.add(key)
         self._events.emit(Event.ENGINE_LOAD_UNREADABLE, engine=life, told=told)
 
-    def note_first_event(self, placement: Placement, seconds: float) -> None:
+    def record_first_event(self, placement: Placement, seconds: float) -> None:
         """Record the seconds from an attempt's start to its first event."""
         if not placement.found_slot:
             return
         pace = self.service(placement.engine.service)
         if pace.known:
             expected = pace.first_event(placement.to_read)
-            self._observe(placement, Aspect.FIRST, seconds, expected)
+            self._observe(placement, PaceMetric.FIRST, seconds, expected)
 
-    def note_end(self, placement: Placement, times: AttemptTimes, *, whole: bool = True) -> None:
+    def record_end(self, placement: Placement, times: AttemptTimes, *, whole: bool = True) -> None:
         """Record the timings of an attempt that did not fail because of its engine.
 
         Args:
@@ -172,27 +177,27 @@
         pace = self.service(placement.engine.service)
         running = placement.running
         pace.observe_pause(running, pause)
-        if times.asked_at:
+        if times.requested_at:
             # Events of batch items are read at polling intervals, which hide single pauses.
             pace.observe_longest_pause(running, times.longest_pause)
         usual = pace.pause(running)
         if not usual:
             return
-        self._observe(placement, Aspect.PAUSE, pause, usual)
+        self._observe(placement, PaceMetric.PAUSE, pause, usual)
         if whole and pace.known and placement.found_slot:
             held = self._clock.monotonic() - times.placed_at
             expected = pace.first_event(placement.to_read) + usual * (times.events - 1)
-            self._observe(placement, Aspect.HELD, held, expected)
+            self._observe(placement, PaceMetric.HELD, held, expected)
 
     def _observe(
-        self, placement: Placement, aspect: Aspect, seconds: float, expected: float
+        self, placement: Placement, aspect: PaceMetric, seconds: float, expected: float
     ) -> None:
         now = self._clock.monotonic()
         self.learnt.observe(placement.engine.life, aspect, seconds, expected, now)
 
     # Exchange with peers
 
-    def tell(self, peers: int, *, far: bool = False) -> bytes:
+    def pack_report(self, peers: int, *, far: bool = False) -> bytes:
         """Return the pace part of the next load report.
 
         Args:
@@ -201,15 +206,15 @@
         """
         now = self._clock.monotonic()
         teller = self._far if far else self._near
-        return teller.part(
-            self._reporting_engines(self.learnt.own_newest()),
-            lambda life: self.learnt.own(life, now),
+        return teller.next_part(
+            self._reporting_engines(self.learnt.own_sample_times()),
+            lambda life: self.learnt.own_samples(life, now),
             self._readings(lambda peer: not peer),
             peers,
             now,
         )
 
-    def tell_zone(self, peers: list[str], zones: int) -> bytes:
+    def pack_zone_digest(self, peers: list[str], zones: int) -> bytes:
         """Return the pace part of the next zone digest.
 
         Args:
@@ -218,9 +223,9 @@
         """
         now = self._clock.monotonic()
         names = set(peers)
-        return self._zone.part(
-            self._reporting_engines(self.learnt.newest()),
-            lambda life: self.learnt.sum_of(life, names, now),
+        return self._zone.next_part(
+            self._reporting_engines(self.learnt.sample_times()),
+            lambda life: self.learnt.samples_of(life, names, now),
             self._readings(lambda peer: not peer or peer in names),
             zones,
             now,
@@ -228,7 +233,7 @@
 
     def _reporting_engines(self, lives: Iterator[tuple[int, float]]) -> Iterator[tuple[int, float]]:
         """Select the engines of services whose engines report their pace."""
-        return (one for one in lives if self.uneven(self.learnt.service_of(one[0])))
+        return (one for one in lives if self.reports_pace(self.learnt.service_of(one[0])))
 
     def _readings(self, is_source: Callable[[str], bool]) -> Iterator[tuple[int, PaceReading]]:
         """Yield the newest reading of each engine if its source satisfies `is_source`.
@@ -242,28 +247,28 @@
             if is_source(one.peer)
         )
 
-    def hear(self, peer: str, data: bytes) -> None:
+    def receive(self, peer: str, data: bytes) -> None:
         """Take in the pace part of a peer's report or digest; a malformed part is logged."""
         if not data:
             return
         try:
-            told = unpack_told(data, self._clock.monotonic())
+            told = unpack_pace_part(data, self._clock.monotonic())
         except struct.error as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=peer, error=str(exc))
             return
         for life, shown in told.lives:
-            self.learnt.hear(peer, life, shown)
+            self.learnt.receive_samples(peer, life, shown)
         for life, value, at in told.readings:
             if service := self.learnt.service_of(life):
-                self._signals.setdefault(service, PaceSignal()).note(life, value, at, peer)
+                self._signals.setdefault(service, PaceReadings()).record(life, value, at, peer)
 
     def forget(self, peer: str) -> None:
         """Drop the samples received from a peer, which its zone's digests contain from now on."""
-        self.learnt.forget(peer)
+        self.learnt.drop_peer(peer)
 
     # Evaluation
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Determine which engines differ from the rest; called a few times a second."""
         now = self._clock.monotonic()
         if now - self._evaluated_at < EVALUATION_INTERVAL:
@@ -271,8 +276,8 @@
         self._evaluated_at = now
         changes = [
             one
-            for one in self.learnt.look(now)
-            if self.uneven(self.learnt.service_of(engine_hash(one.life)))
+            for one in self.learnt.update(now)
+            if self.reports_pace(self.learnt.service_of(engine_hash(one.life)))
         ]
         for change in changes[:MAX_CHANGES_LOGGED]:
             self._events.emit(
--- a/postvalve/gateway/fleet/engine_watch.py
+++ b/postvalve/gateway/fleet/engine_watch.py
@@ -14,7 +14,7 @@
 import gevent
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.batch.giving_way import RunningItems, VictimChooser
+from postvalve.core.batch.preemption import PeerRunningItems, VictimSelector
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.ownership import Owners
 from postvalve.events import Event
@@ -24,14 +24,14 @@
 
 TELL_DELAY = 0.005
 """Seconds by which the report to a watcher is delayed, as items of a job start together."""
-LOOK_AGE = 0.5
+WATCHER_REFRESH_INTERVAL = 0.5
 """Seconds after which the watchers of engines are determined again."""
 
 
 class EngineWatch:
     """Reports to the watchers of engines, and preempts items at engines watched by this node."""
 
-    def __init__(self, services: PeerServices, items: RunningItems) -> None:
+    def __init__(self, services: PeerServices, items: PeerRunningItems) -> None:
         self._identity = services.identity
         self._clock = services.clock
         self._events = services.events
@@ -39,7 +39,7 @@
         self._fleet = services.fleet
         self._peers = services.peers
         self._items = items
-        self._victims = VictimChooser()
+        self._victims = VictimSelector()
         self._watchers = Owners()
         """Watcher of each engine of this zone."""
         self._watched: list[EngineLife] = []
@@ -53,14 +53,14 @@
         """Returns this node's current load report as a datagram."""
         self.own_urgencies: Callable[[EngineLife], list[int]] = lambda life: []
         """Returns the urgencies of this node's items at an engine."""
-        self.on_give_way: Callable[[int, int], None] = lambda engine, urgency: None
+        self.on_preempt: Callable[[int, int], None] = lambda engine, urgency: None
         """Called with an engine's hash and the urgency of an item of this node to preempt there."""
 
     def watched(self) -> list[EngineLife]:
         """Return the engines watched by this node."""
         return self._watched
 
-    def note_placed(self, life: EngineLife) -> None:
+    def record_placed(self, life: EngineLife) -> None:
         """Schedule a report to an engine's watcher, as this node has placed a request there."""
         watcher = self._watcher_of(life)
         if watcher is None:
@@ -71,7 +71,7 @@
 
     def _watcher_of(self, life: EngineLife) -> str | None:
         now = self._clock.monotonic()
-        if now - self._determined_at >= LOOK_AGE:
+        if now - self._determined_at >= WATCHER_REFRESH_INTERVAL:
             self._determined_at = now
             self._find_watchers()
         return self._watchers.of.get(life)
@@ -92,7 +92,7 @@
         watchers, self._pending_watchers = self._pending_watchers, set()
         if self._identity.node_id in watchers:
             watchers.discard(self._identity.node_id)
-            self.look()
+            self.preempt_excess()
         if not watchers:
             return
         data = self.own_report()
@@ -101,7 +101,7 @@
             if peer is not None:
                 self._transport.send(peer.report.peer_address, data)
 
-    def look(self) -> None:
+    def preempt_excess(self) -> None:
         """Preempt items at the engines watched by this node that run too many requests."""
         for life in self._watched:
             self._preempt_at(life)
@@ -119,20 +119,20 @@
     ) -> None:
         """Request preemption of the least urgent items at an engine, once for each item."""
         engine, now = engine_hash(life), self._clock.monotonic()
-        for urgency, node_id in self._victims.choose(engine, running, excess, now):
+        for urgency, node_id in self._victims.select(engine, running, excess, now):
             self._events.emit(Event.ITEM_TOLD_TO_GIVE_WAY, engine=life, peer=node_id, excess=excess)
             self._send_preemption(engine, urgency, node_id)
 
     def _send_preemption(self, engine: int, urgency: int, node_id: str) -> None:
         if node_id == self._identity.node_id:
-            self.on_give_way(engine, urgency)
+            self.on_preempt(engine, urgency)
             return
         peer = self._peers.get(node_id)
         if peer is not None:
             msg = gateway.GiveWay(engine=engine, urgency=urgency)
             self._transport.send(peer.report.peer_address, encode_frame(msg, 0))
 
-    def urge_far(self, life: EngineLife) -> None:
+    def preempt_remote(self, life: EngineLife) -> None:
         """Preempt items at an engine of another zone that is overloaded in this node's view.
 
         Engines of this zone are left to their watchers.
--- a/postvalve/gateway/fleet/listed_engines.py
+++ b/postvalve/gateway/fleet/listed_engines.py
@@ -10,8 +10,8 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event, EventLog
 from postvalve.gateway.engines.engine_connections import ConnectionPool
+from postvalve.gateway.fleet.engine_health import EngineHealth
 from postvalve.gateway.fleet.engine_paces import EnginePaces
-from postvalve.gateway.fleet.engine_standing import EngineStandings
 from postvalve.gateway.fleet.usable_engines import UsableEngines
 from postvalve.gateway.interfaces import EngineEntry, EngineState
 
@@ -36,7 +36,7 @@
         """Returns whether there may be live engines that the directory does not list at present."""
         self.directory_age: Callable[[], float] = float
         """Returns the age of this node's copy of the directory in seconds."""
-        self._standings = EngineStandings(clock)
+        self._standings = EngineHealth(clock)
         self.paces = EnginePaces(clock, events)
         self._warm_at: dict[EngineLife, float] = {}
         """Monotonic seconds at which engines that announced a warm-up will have finished it."""
@@ -50,7 +50,7 @@
                 self._events.emit(
                     Event.ENGINE_GONE, engine=life, within=round(self.directory_age(), 3)
                 )
-        self._standings.keep(engines)
+        self._standings.retain(engines)
         self._update_warm_up(engines)
         for life, entry in engines.items():
             known = self._engines.get(life)
@@ -64,7 +64,7 @@
                     within=round(self.directory_age(), 3),
                 )
         self._engines = engines
-        self.paces.keep({life: entry.service for life, entry in engines.items()})
+        self.paces.retain({life: entry.service for life, entry in engines.items()})
         self._usable = {}
         updated, self._updated = self._updated, GeventEvent()
         updated.set()
@@ -146,18 +146,18 @@
             return entries
         return [one for one in entries if not self._standings.is_suspect(one.life)] or entries
 
-    def note_success(self, life: EngineLife) -> None:
+    def record_success(self, life: EngineLife) -> None:
         """Record a successful attempt."""
-        self._standings.note_success(life)
+        self._standings.record_success(life)
 
-    def note_failure(self, life: EngineLife, reason: str) -> None:
+    def record_failure(self, life: EngineLife, reason: str) -> None:
         """Record an attempt that failed because of its engine."""
-        pause = self._standings.note_failure(life)
+        pause = self._standings.record_failure(life)
         self._events.emit(Event.ENGINE_SUSPECT, engine=life, seconds=pause, reason=reason)
 
-    def note_replaced(self, life: EngineLife) -> None:
+    def record_replaced(self, life: EngineLife) -> None:
         """Record that another engine has answered at its address; it gets no more work."""
-        self._standings.note_replaced(life)
+        self._standings.record_replaced(life)
         self._usable = {}
         entry = self._engines.get(life)
         if entry is not None:
--- a/postvalve/gateway/fleet/peer_services.py
+++ b/postvalve/gateway/fleet/peer_services.py
@@ -25,13 +25,13 @@
     transport: Transport
     fleet: EngineFleet
     peers: PeerView
-    started_nodes: Callable[[], dict[str, tuple[str, str]]]
+    announced_nodes: Callable[[], dict[str, tuple[str, str]]]
     """Returns peer address and zone of all nodes that have announced themselves, by id."""
     generator: RandomSource
 
     def known_nodes(self) -> dict[str, tuple[str, str]]:
         """Return peer address and zone, by id, of all other nodes announced or heard from."""
-        nodes = dict(self.started_nodes())
+        nodes = dict(self.announced_nodes())
         for peer in self.peers.all():
             nodes[peer.node_id] = (peer.report.peer_address, peer.report.zone)
         nodes.pop(self.identity.node_id, None)
--- a/postvalve/gateway/fleet/quarantine_sharing.py
+++ b/postvalve/gateway/fleet/quarantine_gossip.py
@@ -15,7 +15,13 @@
 from gevent.event import Event as GeventEvent
 
 from postvalve.clock import milliseconds
-from postvalve.core.admission.quarantine import HELD_ENDS, Case, Fact, FactId, Quarantine
+from postvalve.core.admission.quarantine import (
+    HOLD_AFTER,
+    EngineFailure,
+    FailureId,
+    Quarantine,
+    QuarantineEntry,
+)
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event
 from postvalve.exceptions import PeerUnavailableError
@@ -44,7 +50,7 @@
 """Most datagrams of changes for each peer at once, requests with the most crashed engines first;
 the rounds carry the rest. This bounds the cost at 200 KB/s for each node while a whole zone is
 lost with all its engines."""
-LEARN_PATIENCE = 1.0
+LEARN_TIMEOUT = 1.0
 """Seconds for which a starting node waits for the quarantine of its peers and the store."""
 PEERS_ASKED = 2
 """Peers asked at the same time, so that a suspended one causes no delay."""
@@ -56,12 +62,12 @@
 must not make all others read the store, as that cost would grow with the square of the fleet."""
 PARTITION_TIME = 60.0
 """Seconds for which a node then reads the store; after that the missing peers count as gone."""
-STALL = 2.0
+STALL_THRESHOLD = 2.0
 """Seconds between two checks from which this node must have been suspended; an idle node checks
 about once a second."""
 
 
-class QuarantineSharing:
+class QuarantineGossip:
     """One node's exchange of quarantined requests with peers and the store."""
 
     def __init__(self, services: PeerServices, topics: KeyedTopics, quarantine: Quarantine) -> None:
@@ -134,13 +140,13 @@
     def _messages(self, digests: Iterable[bytes]) -> list[gateway.QuarantineNews]:
         """Pack what is known of these requests into messages that fit into datagrams."""
         now = self._clock.monotonic()
-        known = [(one, case) for one in digests if (case := self._quarantine.case(one))]
+        known = [(one, entry) for one in digests if (entry := self._quarantine.entry(one))]
         # In random order among equals, as not all of them may fit.
         known.sort(key=lambda one: (-len(one[1].engines()), self._random_rank()))
         messages: list[gateway.QuarantineNews] = []
         room = 0
-        for digest, case in known:
-            packed = _pack_request(digest, case, now)
+        for digest, entry in known:
+            packed = _pack_request(digest, entry, now)
             size = len(bytes(packed)) + 4
             if size > room:
                 messages.append(gateway.QuarantineNews(requests=[]))
@@ -160,12 +166,12 @@
     def reply(self) -> gateway.QuarantineNews:
         """Return all quarantined requests, for a peer that asks for them."""
         now = self._clock.monotonic()
-        known = [(one, self._quarantine.case(one)) for one in self._quarantine.digests()]
+        known = [(one, self._quarantine.entry(one)) for one in self._quarantine.digests()]
         return gateway.QuarantineNews(
-            requests=[_pack_request(digest, case, now) for digest, case in known if case]
+            requests=[_pack_request(digest, entry, now) for digest, entry in known if entry]
         )
 
-    def _merge(self, digest: bytes, told: Case, source: str) -> None:
+    def _merge(self, digest: bytes, told: QuarantineEntry, source: str) -> None:
         if not self._quarantine.merge(digest, told, self._clock.monotonic()):
             return
         summary = self._quarantine.summary(digest, self._clock.monotonic())
@@ -175,28 +181,28 @@
 
     # Learning
 
-    def note_nodes(self) -> None:
+    def on_peers_known(self) -> None:
         """Signal that the addresses of other nodes are known."""
         self._peers_known.set()
 
     def learn(self) -> None:
         """Learn the quarantine from the store and from peers at the start of this node."""
         asked = [gevent.spawn(self._read_store), gevent.spawn(self._ask_known_peers)]
-        gevent.joinall(asked, timeout=LEARN_PATIENCE)
+        gevent.joinall(asked, timeout=LEARN_TIMEOUT)
         self.learned.set()
         self.on_learned()
 
     def _ask_known_peers(self) -> None:
-        self._peers_known.wait(LEARN_PATIENCE)
+        self._peers_known.wait(LEARN_TIMEOUT)
         self._ask_peers()
 
-    def look(self) -> None:
+    def check_connectivity(self) -> None:
         """Detect a suspension of this node, or a partition, and learn the quarantine again.
 
         Called a few times a second.
         """
         now = self._clock.monotonic()
-        was_suspended = now - self._checked_at > STALL
+        was_suspended = now - self._checked_at > STALL_THRESHOLD
         self._checked_at = now
         if was_suspended and self.learned.is_set():
             gevent.spawn(self._ask_peers)
@@ -214,12 +220,12 @@
     def _ask_peers(self) -> None:
         addresses = self._random_peers(PEERS_ASKED)
         asked = [gevent.spawn(self._ask, address) for address in addresses]
-        gevent.joinall(asked, timeout=LEARN_PATIENCE, count=1)
+        gevent.joinall(asked, timeout=LEARN_TIMEOUT, count=1)
 
     def _ask(self, address: str) -> None:
         fetch = gateway.QuarantineFetch(node_id=self._services.identity.node_id)
         try:
-            reply = self._services.transport.call(address, Channel.ADMISSION, fetch, LEARN_PATIENCE)
+            reply = self._services.transport.call(address, Channel.ADMISSION, fetch, LEARN_TIMEOUT)
         except PeerUnavailableError as exc:
             self._events.emit(Event.QUARANTINE_NOT_LEARNT, source=address, error=exc.message)
             return
@@ -249,7 +255,7 @@
             return
         since = max(0, milliseconds(self._clock.wall()) - saved.written_at_ms) / 1000
         told = _unpack_request(saved.request, self._clock.monotonic() - since)
-        if told.forgotten_at() <= self._clock.monotonic():
+        if told.expires_at() <= self._clock.monotonic():
             self._remove_once(saved.request.digest)
         else:
             self._saved[saved.request.digest] = len(told.engines())
@@ -257,16 +263,16 @@
 
     def _save(self, digest: bytes) -> None:
         """Save a request that is held back in the store, or remove one that no longer is."""
-        case = self._quarantine.case(digest)
-        if case is None or not self._is_saver(digest):
+        entry = self._quarantine.entry(digest)
+        if entry is None or not self._is_saver(digest):
             return
-        ends = len(case.engines())
-        if case.on_trial or ends == self._saved.get(digest, 0):
+        ends = len(entry.engines())
+        if entry.on_trial or ends == self._saved.get(digest, 0):
             return
-        if ends >= HELD_ENDS:
+        if ends >= HOLD_AFTER:
             self._saved[digest] = ends
             packed = gateway.QuarantineRecord(
-                request=_pack_request(digest, case, self._clock.monotonic()),
+                request=_pack_request(digest, entry, self._clock.monotonic()),
                 written_at_ms=milliseconds(self._clock.wall()),
             )
             gevent.spawn(self._append, digest, bytes(packed))
@@ -274,8 +280,8 @@
             self._remove(digest)
 
     def _expire(self, now: float) -> None:
-        for digest, case in self._quarantine.expire(now):
-            if len(case.engines()) >= HELD_ENDS and self._is_saver(digest):
+        for digest, entry in self._quarantine.expire(now):
+            if len(entry.engines()) >= HOLD_AFTER and self._is_saver(digest):
                 self._remove(digest)
 
     def _is_saver(self, digest: bytes) -> bool:
@@ -302,27 +308,27 @@
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, topic=QUARANTINE_TOPIC)
 
 
-def _pack_request(digest: bytes, case: Case, now: float) -> gateway.SuspectRequest:
+def _pack_request(digest: bytes, entry: QuarantineEntry, now: float) -> gateway.SuspectRequest:
     return gateway.SuspectRequest(
         digest=digest,
         ends=[
             gateway.EngineEnd(
                 engine=name.engine,
                 stamp=name.stamp,
-                age_ms=milliseconds(max(0.0, now - fact.ended_at)),
-                trial=fact.trial,
-                excused=fact.excused,
-                variant=fact.variant,
+                age_ms=milliseconds(max(0.0, now - failure.ended_at)),
+                trial=failure.trial,
+                excused=failure.excused,
+                variant=failure.variant,
             )
-            for name, fact in case.facts.items()
+            for name, failure in entry.failures.items()
         ],
     )
 
 
-def _unpack_request(told: gateway.SuspectRequest, now: float) -> Case:
-    return Case(
+def _unpack_request(told: gateway.SuspectRequest, now: float) -> QuarantineEntry:
+    return QuarantineEntry(
         {
-            FactId(EngineLife(end.engine), end.stamp): Fact(
+            FailureId(EngineLife(end.engine), end.stamp): EngineFailure(
                 now - end.age_ms / 1000, end.variant, end.trial, end.excused
             )
             for end in told.ends
--- a/postvalve/gateway/fleet/zone_digests.py
+++ b/postvalve/gateway/fleet/zone_digests.py
@@ -6,16 +6,16 @@
 
 import gevent
 
-from postvalve.core.batch.giving_way import RunningItems
+from postvalve.core.batch.preemption import PeerRunningItems
 from postvalve.core.membership.extensions import Extension
 from postvalve.core.membership.load_report import LoadReport
 from postvalve.core.membership.zone_digest import ZoneDigest, ZoneDigestError, unpack_digest
 from postvalve.core.membership.zone_reporting import (
-    IDLE_LOOK_INTERVAL,
-    LOOK_INTERVAL,
+    CHECK_INTERVAL,
+    IDLE_CHECK_INTERVAL,
     ZoneReporting,
     reporter_of,
-    tells_by_digest,
+    uses_digests,
 )
 from postvalve.events import Event
 from postvalve.gateway.fleet.peer_services import PeerServices
@@ -30,7 +30,7 @@
 class ZoneDigests:
     """Exchanges digests with other zones while these have too many nodes for direct reports."""
 
-    def __init__(self, services: PeerServices, items: RunningItems) -> None:
+    def __init__(self, services: PeerServices, items: PeerRunningItems) -> None:
         self._identity = identity = services.identity
         self._clock = clock = services.clock
         self._events = services.events
@@ -59,19 +59,19 @@
     def run(self) -> None:
         """Send digests while this node is its zone's reporter; never returns."""
         while True:
-            gevent.sleep(LOOK_INTERVAL if self._is_reporter else IDLE_LOOK_INTERVAL)
-            self.look()
+            gevent.sleep(CHECK_INTERVAL if self._is_reporter else IDLE_CHECK_INTERVAL)
+            self.send_due()
 
     # Sending
 
-    def look(self) -> None:
+    def send_due(self) -> None:
         """Send a digest to each other zone if this node is the reporter and one is due."""
         zones = self._other_zones()
         now = self._clock.monotonic()
         neighbours = self._peers.neighbours(self._identity.zone)
-        is_reporting = tells_by_digest(
-            sum(map(len, zones.values()))
-        ) and self._reporting.is_reporter(neighbours, now)
+        is_reporting = uses_digests(sum(map(len, zones.values()))) and self._reporting.is_reporter(
+            neighbours, now
+        )
         if is_reporting is not self._is_reporter:
             self._is_reporter = is_reporting
             self._events.emit(Event.ZONE_REPORTED, reporter=is_reporting, nodes=len(neighbours) + 1)
@@ -81,7 +81,7 @@
         use = self._fleet.use.report_of(names)
         pace = self.engine_pace(names, len(zones))
         parts: dict[int, bytes] = {Extension.ENGINE_PACE: pace} if pace else {}
-        packed = self._reporting.make(self.own_report(), neighbours, use, now, parts)
+        packed = self._reporting.build_digest(self.own_report(), neighbours, use, now, parts)
         data = encode_frame(gateway.ZoneDigest(packed=packed), 0)
         backup = now - self._backup_at >= BACKUP_INTERVAL
         if backup:
@@ -97,7 +97,7 @@
                 zones.setdefault(zone, {})[node_id] = address
         return zones
 
-    def heard_all(self) -> bool:
+    def all_zones_known(self) -> bool:
         """Whether the members of every other zone that has nodes are known."""
         zones = self._peers.zones()
         return all(
@@ -143,7 +143,7 @@
         elif digest.members is not None:
             self._log_changes(digest, before, set(known.members))
         self._fleet.use.observe(digest.key, digest.engine_use)
-        self._fleet.paces.hear(digest.key, digest.extensions.get(Extension.ENGINE_PACE, b""))
+        self._fleet.paces.receive(digest.key, digest.extensions.get(Extension.ENGINE_PACE, b""))
         zone = self._peers.zones()[digest.zone]
         self._items.observe_zone(
             digest.key, digest.items_running, zone.order if zone.members_known else ()
--- a/postvalve/gateway/knowledge/configuration.py
+++ b/postvalve/gateway/knowledge/configuration.py
@@ -37,7 +37,7 @@
         """Number of the revision in force; -1 if there is none yet."""
         return self.table.revision if self.table else -1
 
-    def listen(self, listener: Callable[[RouteTable], None]) -> None:
+    def add_listener(self, listener: Callable[[RouteTable], None]) -> None:
         """Register a callback for new revisions."""
         self._listeners.append(listener)
 
--- a/postvalve/gateway/knowledge/freshness.py
+++ b/postvalve/gateway/knowledge/state_age.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class StateAge:
     """Age of each copy: the seconds in which the store may have acknowledged unseen changes."""
 
     directory_age: float = 0.0
--- a/postvalve/gateway/knowledge/topic_follower.py
+++ b/postvalve/gateway/knowledge/topic_follower.py
@@ -20,7 +20,7 @@
 RETRY_BACKOFF = 4.0
 """Factor by which the delay grows with each further failure."""
 MAX_RETRY_DELAY = 1.0
-OLD_AFTER = 2.0
+STALE_AFTER = 2.0
 """Age in seconds from which the copy of a topic is stale: the shortest time within which some
 deployment requires acknowledged changes to take effect."""
 MAX_REPORTED_AGE = 60.0
@@ -110,13 +110,13 @@
         self._logged_stale = False
         self.on_lost: Callable[[], None] = lambda: None
         """Called at the first failed read of an outage."""
-        self.on_back: Callable[[], None] = lambda: None
+        self.on_regained: Callable[[], None] = lambda: None
         """Called when the store answers again, before the answer is processed."""
         self.next_offset = -1
         """Offset of the next read; -1 before the snapshot was read."""
-        self.asked_at = float("-inf")
+        self.requested_at = float("-inf")
         """Monotonic seconds at which the pending or the last read was started."""
-        self.heard_at = float("-inf")
+        self.answered_at = float("-inf")
         """Monotonic seconds of the store's last answer."""
         self.fresh_at = float("-inf")
         """Monotonic seconds up to which all acknowledged records are known."""
@@ -131,9 +131,9 @@
         """Seconds in which the store may have acknowledged records that are not known yet."""
         return min(MAX_REPORTED_AGE, self._clock.monotonic() - self.fresh_at)
 
-    def tell_if_old(self) -> None:
+    def log_if_stale(self) -> None:
         """Log that the copy is stale, once until it is up to date again."""
-        is_stale = self.loaded and self.age > OLD_AFTER
+        is_stale = self.loaded and self.age > STALE_AFTER
         if is_stale and not self._logged_stale:
             self._events.emit(
                 Event.STORE_TOPIC_OLD,
@@ -161,7 +161,7 @@
             self._load()
             return
         offset, started = self.next_offset, self._clock.monotonic()
-        self.asked_at = started
+        self.requested_at = started
         try:
             part = self._topics.read(self._topic, 0, offset, self._wait, READ_BYTES)
         except HistoryGoneError:
@@ -197,7 +197,7 @@
                     self.fresh_at = max(self.fresh_at, started)
                     return
 
-    def note_own(self, records: Sequence[KeyedRecord], offset: int) -> bool:
+    def record_own_write(self, records: Sequence[KeyedRecord], offset: int) -> bool:
         """Process records that this node has appended at `offset`, without reading them.
 
         Returns:
@@ -222,7 +222,7 @@
     def _load(self) -> None:
         # A concurrent read must not share these pages.
         pages, self._pages = self._pages or _SnapshotRead(self._clock.monotonic()), None
-        self.asked_at = self._clock.monotonic()
+        self.requested_at = self._clock.monotonic()
         try:
             pages.read(self._topics, self._topic)
         except PlatformError:
@@ -238,10 +238,10 @@
             self._listener(pages.records(), True)
 
     def _record_answer(self) -> None:
-        self.heard_at = self._clock.monotonic()
+        self.answered_at = self._clock.monotonic()
         if self._lost:
             self._lost = False
-            self.on_back()
+            self.on_regained()
             self._events.emit(
                 Event.STORE_REGAINED,
                 topic=self._topic,
