--- a/postvalve/gateway/engines/engine_connections.py
+++ b/postvalve/gateway/engines/engine_connections.py
@@ -251,12 +251,12 @@
             address: IP:PORT of the engine.
             request: Head and body as bytes for the wire.
             deadline: Monotonic seconds.
-            wanted: Called once a connection is open; returns whether the engine still accepts
+            still_usable: Called once a connection is open; returns whether the engine still accepts
                 work, as it may have left while the connection was being opened.
-            fresh: Whether to open a new connection instead of using an idle one. Many idle
+            new_connection: Whether to open a new connection instead of using an idle one. Many idle
                 connections may have stopped responding at the same time.
-            hurried: Whether to give up early on a connection that opens much more slowly than
-                usual, because another engine can take the request.
+            fail_over_early: Whether to give up early on a connection that opens much more slowly
+                than usual, because another engine can take the request.
 
         Raises:
             AttemptError: No byte was sent (verdict NOT_RUN), or sending failed after it began
@@ -280,14 +280,14 @@
         """Send a request; raise TimeoutError if the engine reads it too slowly."""
         now = self.clock.monotonic()
         pace = MinTransferRate(MIN_SEND_RATE, MAX_SEND_LAG, now)
-        rest = memoryview(request)
-        while rest:
+        remaining = memoryview(request)
+        while remaining:
             connection.settimeout(max(MIN_SEND_WAIT, min(pace.seconds_left(now), deadline - now)))
-            sent = connection.send(rest)
-            rest = rest[sent:]
+            sent = connection.send(remaining)
+            remaining = remaining[sent:]
             now = self.clock.monotonic()
             pace.record(sent, now)
-            if rest and (pace.seconds_left(now) <= 0 or now >= deadline):
+            if remaining and (pace.seconds_left(now) <= 0 or now >= deadline):
                 raise TimeoutError("the engine reads too slowly")
 
     def _take_idle(self, address: str) -> Any | None:
--- a/postvalve/gateway/fleet/directory_reader.py
+++ b/postvalve/gateway/fleet/directory_reader.py
@@ -135,7 +135,10 @@
         self._update_fleet()
 
     def _entries_of(self, records: Sequence[KeyedRecord]) -> list[tuple[str, EngineEntry | None]]:
-        """Return engine id and entry of each record; log those that can't be used."""
+        """Return engine id and entry of each record; unusable ones are logged.
+
+        These are unreadable entries, and entries that an engine wrote before it was restarted.
+        """
         found: list[tuple[str, EngineEntry | None]] = []
         unreadable: list[KeyedRecord] = []
         for record in records:
@@ -159,7 +162,8 @@
         """Drop each retained entry that was not listed again before it expires.
 
         The event loop's timers start from a cached time that is some milliseconds old and may fire
-        that much too early, so a single check after `LAPSED_ENTRY_RETENTION` might still find the entry valid.
+        that much too early, so a single check after `LAPSED_ENTRY_RETENTION` might find the entry
+        still valid.
         """
         while (left := self._entries.seconds_to_expiry(self._clock.monotonic())) is not None:
             gevent.sleep(max(MIN_EXPIRY_INTERVAL, left))
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -125,37 +125,37 @@
     def occupancies(self, service: str) -> list[EngineOccupancy]:
         """Return the load of each healthy engine of a service; of all if none is healthy."""
         entries = self._healthy(self.engines(service))
-        rooms = self._rooms_of(service)
-        return [rooms.occupancy(entry, self.use.total(entry.life)) for entry in entries]
+        capacity_model = self._rooms_of(service)
+        return [capacity_model.occupancy(entry, self.use.total(entry.life)) for entry in entries]
 
     def has_room(self, service: str) -> bool:
         """Whether a healthy engine has a slot without online work, or no engine is listed.
 
-        Agrees with `rooms`, but stops at the first such engine.
+        Agrees with `occupancies`, but stops at the first such engine.
         """
         entries = self.engines(service)
-        rooms = self._rooms_of(service)
+        capacity_model = self._rooms_of(service)
         any_healthy = False
         for one in entries:
-            if self._standings.is_suspect(one.life):
+            if self._health.is_suspect(one.life):
                 continue
             any_healthy = True
-            if rooms.has_capacity(one, self.use.total(one.life)):
+            if capacity_model.has_capacity(one, self.use.total(one.life)):
                 return True
         # If no engine is healthy, all of them count.
         return not entries or (
             not any_healthy
-            and any(rooms.has_capacity(one, self.use.total(one.life)) for one in entries)
+            and any(capacity_model.has_capacity(one, self.use.total(one.life)) for one in entries)
         )
 
     def spare_capacity(self, entry: EngineEntry) -> int:
-        """Return the places of an engine that online work does not use.
+        """Return the capacity of an engine that online work does not use.
 
-        Negative if more requests run or wait there than the engine has places.
+        Negative if more online requests run or wait there than the engine has capacity for.
         """
         pace, count = self.pace(entry.service), self.use.total(entry.life)
-        room = self._rooms_of(entry.service).occupancy(entry, count)
-        return room.capacity(pace) - room.online
+        occupancy = self._rooms_of(entry.service).occupancy(entry, count)
+        return occupancy.capacity(pace) - occupancy.online
 
     def place_online(
         self, service: str, terms: RequestTerms, excluded: Iterable[EngineLife], left: float
@@ -173,9 +173,9 @@
         """
         memory = terms.shared_tokens + terms.own_tokens + terms.output_tokens
         memory_tokens = self._memory_of(service)
-        pace, rooms = self.pace(service), self._rooms_of(service)
+        pace, capacity_model = self.pace(service), self._rooms_of(service)
         candidates = [
-            self._candidate(entry, memory, memory_tokens, rooms, terms.own_tokens)
+            self._candidate(entry, memory, memory_tokens, capacity_model, terms.own_tokens)
             for entry in self._eligible_engines(service, terms, set(excluded))
         ]
         if not candidates:
@@ -187,7 +187,7 @@
         expected = expected_first_event(chosen.occupancy, unread, pace)
         placement = self._add(chosen.entry, False, unread, memory)
         placement.expected = expected
-        if rooms is not UNIFORM_CAPACITY:
+        if capacity_model is not UNIFORM_CAPACITY:
             placement.considered = [
                 ConsideredEngine(one.option.life, one.occupancy) for one in candidates
             ]
@@ -207,7 +207,7 @@
             # An engine that has just crashed is idle and looks like the fastest one. Without this
             # check 253 of 2,358 failed attempts went to such an engine although a healthy one was
             # known, with it 106 of 2,242.
-            if healthy := [one for one in left if not self._standings.is_suspect(one.life)]:
+            if healthy := [one for one in left if not self._health.is_suspect(one.life)]:
                 return healthy
         return left
 
@@ -234,28 +234,32 @@
         entry: EngineEntry,
         memory: int,
         memory_tokens: int,
-        rooms: ServiceCapacity,
+        capacity_model: ServiceCapacity,
         tokens: int,
     ) -> _Candidate:
         count = self.use.total(entry.life)
-        room = rooms.occupancy(entry, count)
+        occupancy = capacity_model.occupancy(entry, count)
         option = EngineOption(
             entry.life,
             entry.zone,
             entry.slots,
-            room.online + count.batch,
+            occupancy.online + count.batch,
             count.batch,
             count.unread,
             self._is_cold(entry.life),
             _memory_short(count.memory, memory, memory_tokens),
-            0.0 if room.factors is UNIFORM else rooms.queue_penalty(room, tokens),
+            0.0
+            if occupancy.factors is UNIFORM
+            else capacity_model.queue_penalty(occupancy, tokens),
         )
-        return _Candidate(entry, option, room)
+        return _Candidate(entry, option, occupancy)
 
     def batch_room(self, service: str, *, pressing: bool) -> int:
         """Return the number of batch items that may start now on a service's engines."""
-        entries, rooms = self._batch_engines(service, pressing), self._rooms_of(service)
-        return sum(max(0, self._batch_room_at(entry, pressing, rooms)) for entry in entries)
+        entries, capacity_model = self._batch_engines(service, pressing), self._rooms_of(service)
+        return sum(
+            max(0, self._batch_room_at(entry, pressing, capacity_model)) for entry in entries
+        )
 
     def relaxed_slots(self, service: str) -> int:
         """Return the slots, free or not, that non-urgent batch items may take; at least one."""
@@ -271,17 +275,19 @@
         usable = self._usable_of(service)
         if pressing:
             return usable.all
-        healthy = any(not self._standings.is_suspect(one.life) for one in usable.near)
+        healthy = any(not self._health.is_suspect(one.life) for one in usable.near)
         return usable.near if healthy else usable.all
 
-    def _batch_room_at(self, entry: EngineEntry, pressing: bool, rooms: ServiceCapacity) -> int:
+    def _batch_room_at(
+        self, entry: EngineEntry, pressing: bool, capacity_model: ServiceCapacity
+    ) -> int:
         count = self.use.total(entry.life)
-        if count.unread > MAX_UNREAD_FOR_BATCH or self._standings.is_suspect(entry.life):
+        if count.unread > MAX_UNREAD_FOR_BATCH or self._health.is_suspect(entry.life):
             return 0
         if not pressing and self._is_cold(entry.life):
             return 0
-        places = rooms.capacity(entry, count)
-        return self.use.batch_room(entry.life, places, pressing=pressing)
+        slots = capacity_model.capacity(entry, count)
+        return self.use.batch_room(entry.life, slots, pressing=pressing)
 
     def place_batch(
         self,
@@ -311,12 +317,13 @@
         """
         skipped = set(excluded)
         memory_tokens = self._memory_of(service)
-        known = self._rooms_of(service)
-        held = self._slot_time_factors(known)
-        rooms = [
+        capacity_model = self._rooms_of(service)
+        slot_time_factor = self._slot_time_factors(capacity_model)
+        ranked = [
             (
                 # An urgent item prefers engines where it ends soon.
-                self._batch_room_at(entry, pressing, known) / (held(entry) if pressing else 1.0),
+                self._batch_room_at(entry, pressing, capacity_model)
+                / (slot_time_factor(entry) if pressing else 1.0),
                 entry.zone == self._zone,
                 self._random.uniform(0, 1),
                 entry,
@@ -325,7 +332,7 @@
             if entry.life not in skipped
             and not _memory_short(self.use.total(entry.life).memory, prompt + output, memory_tokens)
         ]
-        free = [one for one in rooms if one[0] > 0]
+        free = [one for one in ranked if one[0] > 0]
         if not free:
             return None
         near = [one for one in free if one[1]] or free
@@ -333,11 +340,13 @@
         chosen = max(drawn, key=lambda one: one[:3])[3]
         return self._add(chosen, True, prompt, prompt + output)
 
-    def _slot_time_factors(self, rooms: ServiceCapacity) -> Callable[[EngineEntry], float]:
+    def _slot_time_factors(self, capacity_model: ServiceCapacity) -> Callable[[EngineEntry], float]:
         """Return a function that gives an engine's slot time relative to the service's average."""
-        if rooms is UNIFORM_CAPACITY:
+        if capacity_model is UNIFORM_CAPACITY:
             return lambda entry: 1.0
-        return lambda entry: rooms.occupancy(entry, self.use.total(entry.life)).factors.held
+        return lambda entry: (
+            capacity_model.occupancy(entry, self.use.total(entry.life)).factors.held
+        )
 
     def excess(self, life: EngineLife) -> int:
         """Return the number of batch items, of all nodes, that should be preempted at an engine."""
--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -82,13 +82,13 @@
         return pace
 
     def retain(self, services: Mapping[EngineLife, str]) -> None:
-        """Drop what is known of engine instances that the directory no longer lists."""
+        """Drop what is known of engines, or earlier lives of them, that are no longer listed."""
         self.learnt.retain(services)
         lives = {engine_hash(life) for life in services}
         self._counts.retain(lives)
         self._bad_loads &= lives
-        for signal in self._signals.values():
-            signal.retain(lives)
+        for pace_readings in self._signals.values():
+            pace_readings.retain(lives)
 
     def reports_pace(self, service: str) -> bool:
         """Whether engines of a service report their pace; otherwise all are treated as equal.
@@ -96,33 +96,35 @@
         Attempts of one burst are slow together, so equal engines often seem to differ. Without
         reports from the engines, acting on such differences costs more than it gains.
         """
-        signal = self._signals.get(service)
-        return signal is not None and signal.has_readings
+        pace_readings = self._signals.get(service)
+        return pace_readings is not None and pace_readings.has_readings
 
     def factors(self, service: str, life: EngineLife, now: float) -> PaceFactors:
         """Return how much longer than the service's average an engine takes at present."""
         key = engine_hash(life)
         factors = self.learnt.factors(key)
-        signal = self._signals.get(service)
-        told = signal.factor(key, now) if signal is not None else 1.0
-        return factors if told == 1.0 else factors.scaled(told)
+        pace_readings = self._signals.get(service)
+        reported = pace_readings.factor(key, now) if pace_readings is not None else 1.0
+        return factors if reported == 1.0 else factors.scaled(reported)
 
     def summary(self, service: str, life: EngineLife, now: float) -> PaceSummary:
         """Return what is known of an engine's pace, for status and logs."""
         key = engine_hash(life)
-        shown = self.learnt.all_samples(key, now)
-        signal = self._signals.get(service)
-        reading = signal.readings().get(key) if signal is not None else None
-        if signal is None or reading is None:
-            return PaceSummary(self.learnt.factors(key), shown.weight, _age(shown.newest_at, now))
-        told_age = now - reading.at
+        samples = self.learnt.all_samples(key, now)
+        pace_readings = self._signals.get(service)
+        reading = pace_readings.readings().get(key) if pace_readings is not None else None
+        if pace_readings is None or reading is None:
+            return PaceSummary(
+                self.learnt.factors(key), samples.weight, _age(samples.newest_at, now)
+            )
+        reported_age = now - reading.at
         return PaceSummary(
             self.learnt.factors(key),
-            shown.weight,
-            _age(shown.newest_at, now),
+            samples.weight,
+            _age(samples.newest_at, now),
             math.exp(reading.value),
-            told_age,
-            signal.confidence(told_age),
+            reported_age,
+            pace_readings.confidence(reported_age),
         )
 
     def uncounted_requests(self, life: EngineLife, now: float) -> int:
@@ -144,14 +146,14 @@
         self._signals.setdefault(service, PaceReadings()).record(key, load.pace, load.at)
         self._counts.record(key, load.requests, self.count_requests(life), load.at)
 
-    def record_bad_load(self, life: EngineLife, told: str) -> None:
+    def record_bad_load(self, life: EngineLife, reported: str) -> None:
         """Log an unreadable load report, once per engine."""
         key = engine_hash(life)
         known = self.learnt.knows(key)
         if not known or key in self._bad_loads or len(self._bad_loads) >= MAX_BAD_LOADS_LOGGED:
             return
         self._bad_loads.add(key)
-        self._events.emit(Event.ENGINE_LOAD_UNREADABLE, engine=life, told=told)
+        self._events.emit(Event.ENGINE_LOAD_UNREADABLE, engine=life, told=reported)
 
     def record_first_event(self, placement: Placement, seconds: float) -> None:
         """Record the seconds from an attempt's start to its first event."""
@@ -190,10 +192,10 @@
             self._observe(placement, PaceMetric.HELD, held, expected)
 
     def _observe(
-        self, placement: Placement, aspect: PaceMetric, seconds: float, expected: float
+        self, placement: Placement, metric: PaceMetric, seconds: float, expected: float
     ) -> None:
         now = self._clock.monotonic()
-        self.learnt.observe(placement.engine.life, aspect, seconds, expected, now)
+        self.learnt.observe(placement.engine.life, metric, seconds, expected, now)
 
     # Exchange with peers
 
@@ -205,8 +207,8 @@
             far: Whether the report goes to nodes of other zones.
         """
         now = self._clock.monotonic()
-        teller = self._far if far else self._near
-        return teller.next_part(
+        writer = self._far if far else self._near
+        return writer.next_part(
             self._reporting_engines(self.learnt.own_sample_times()),
             lambda life: self.learnt.own_samples(life, now),
             self._readings(lambda peer: not peer),
@@ -242,8 +244,8 @@
         """
         return (
             (life, one)
-            for signal in self._signals.values()
-            for life, one in signal.readings().items()
+            for pace_readings in self._signals.values()
+            for life, one in pace_readings.readings().items()
             if is_source(one.peer)
         )
 
@@ -252,13 +254,13 @@
         if not data:
             return
         try:
-            told = unpack_pace_part(data, self._clock.monotonic())
+            reported = unpack_pace_part(data, self._clock.monotonic())
         except struct.error as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=peer, error=str(exc))
             return
-        for life, shown in told.lives:
-            self.learnt.receive_samples(peer, life, shown)
-        for life, value, at in told.readings:
+        for life, samples in reported.lives:
+            self.learnt.receive_samples(peer, life, samples)
+        for life, value, at in reported.readings:
             if service := self.learnt.service_of(life):
                 self._signals.setdefault(service, PaceReadings()).record(life, value, at, peer)
 
--- a/postvalve/gateway/fleet/listed_engines.py
+++ b/postvalve/gateway/fleet/listed_engines.py
@@ -36,7 +36,7 @@
         """Returns whether there may be live engines that the directory does not list at present."""
         self.directory_age: Callable[[], float] = float
         """Returns the age of this node's copy of the directory in seconds."""
-        self._standings = EngineHealth(clock)
+        self._health = EngineHealth(clock)
         self.paces = EnginePaces(clock, events)
         self._warm_at: dict[EngineLife, float] = {}
         """Monotonic seconds at which engines that announced a warm-up will have finished it."""
@@ -50,7 +50,7 @@
                 self._events.emit(
                     Event.ENGINE_GONE, engine=life, within=round(self.directory_age(), 3)
                 )
-        self._standings.retain(engines)
+        self._health.retain(engines)
         self._update_warm_up(engines)
         for life, entry in engines.items():
             known = self._engines.get(life)
@@ -118,11 +118,11 @@
         return (
             entry is not None
             and entry.state is EngineState.READY
-            and not self._standings.is_replaced(life)
+            and not self._health.is_replaced(life)
         )
 
     def is_listed(self, life: EngineLife) -> bool:
-        """Whether the directory lists this instance of an engine."""
+        """Whether the directory lists this life of an engine, which ends with its process."""
         return life in self._engines
 
     def listed_engines(self) -> list[EngineEntry]:
@@ -131,9 +131,9 @@
 
     def state_of(self, entry: EngineEntry) -> str:
         """Return an engine's state as shown to operators."""
-        if self._standings.is_replaced(entry.life):
+        if self._health.is_replaced(entry.life):
             return "replaced"
-        return "suspect" if self._standings.is_suspect(entry.life) else entry.state.value
+        return "suspect" if self._health.is_suspect(entry.life) else entry.state.value
 
     def _is_cold(self, life: EngineLife) -> bool:
         if not self._warm_at:
@@ -142,22 +142,22 @@
 
     def _healthy(self, entries: Sequence[EngineEntry]) -> Sequence[EngineEntry]:
         """Return the engines that are not suspect; all of them if each one is."""
-        if not self._standings.any_suspect:
+        if not self._health.any_suspect:
             return entries
-        return [one for one in entries if not self._standings.is_suspect(one.life)] or entries
+        return [one for one in entries if not self._health.is_suspect(one.life)] or entries
 
     def record_success(self, life: EngineLife) -> None:
         """Record a successful attempt."""
-        self._standings.record_success(life)
+        self._health.record_success(life)
 
     def record_failure(self, life: EngineLife, reason: str) -> None:
         """Record an attempt that failed because of its engine."""
-        pause = self._standings.record_failure(life)
+        pause = self._health.record_failure(life)
         self._events.emit(Event.ENGINE_SUSPECT, engine=life, seconds=pause, reason=reason)
 
     def record_replaced(self, life: EngineLife) -> None:
         """Record that another engine has answered at its address; it gets no more work."""
-        self._standings.record_replaced(life)
+        self._health.record_replaced(life)
         self._usable = {}
         entry = self._engines.get(life)
         if entry is not None:
--- a/postvalve/gateway/fleet/load_reports.py
+++ b/postvalve/gateway/fleet/load_reports.py
@@ -219,8 +219,8 @@
 
     def _extensions(self) -> dict[int, bytes]:
         """Return the extension parts that are not empty."""
-        parts = {number: tell() for number, tell in self.extensions.items()}
-        return {number: data for number, data in parts.items() if data}
+        parts = {extension: build() for extension, build in self.extensions.items()}
+        return {extension: data for extension, data in parts.items() if data}
 
     def enable_pace_reports(self) -> None:
         """Include the pace of engines in reports and zone digests."""
--- a/postvalve/gateway/fleet/quarantine_gossip.py
+++ b/postvalve/gateway/fleet/quarantine_gossip.py
@@ -144,15 +144,15 @@
         # In random order among equals, as not all of them may fit.
         known.sort(key=lambda one: (-len(one[1].engines()), self._random_rank()))
         messages: list[gateway.QuarantineNews] = []
-        room = 0
+        space_left = 0
         for digest, entry in known:
             packed = _pack_request(digest, entry, now)
             size = len(bytes(packed)) + 4
-            if size > room:
+            if size > space_left:
                 messages.append(gateway.QuarantineNews(requests=[]))
-                room = DATAGRAM_BYTES
+                space_left = DATAGRAM_BYTES
             messages[-1].requests.append(packed)
-            room -= size
+            space_left -= size
         return messages
 
     # Receiving
@@ -160,8 +160,8 @@
     def receive(self, message: gateway.QuarantineNews, peer: str) -> None:
         """Merge the quarantined requests that a peer sent."""
         now = self._clock.monotonic()
-        for told in message.requests:
-            self._merge(told.digest, _unpack_request(told, now), peer)
+        for received in message.requests:
+            self._merge(received.digest, _unpack_request(received, now), peer)
 
     def reply(self) -> gateway.QuarantineNews:
         """Return all quarantined requests, for a peer that asks for them."""
@@ -171,8 +171,8 @@
             requests=[_pack_request(digest, entry, now) for digest, entry in known if entry]
         )
 
-    def _merge(self, digest: bytes, told: QuarantineEntry, source: str) -> None:
-        if not self._quarantine.merge(digest, told, self._clock.monotonic()):
+    def _merge(self, digest: bytes, received: QuarantineEntry, source: str) -> None:
+        if not self._quarantine.merge(digest, received, self._clock.monotonic()):
             return
         summary = self._quarantine.summary(digest, self._clock.monotonic())
         self._events.emit(
@@ -254,15 +254,15 @@
             )
             return
         since = max(0, milliseconds(self._clock.wall()) - saved.written_at_ms) / 1000
-        told = _unpack_request(saved.request, self._clock.monotonic() - since)
-        if told.expires_at() <= self._clock.monotonic():
+        received = _unpack_request(saved.request, self._clock.monotonic() - since)
+        if received.expires_at() <= self._clock.monotonic():
             self._remove_once(saved.request.digest)
         else:
-            self._saved[saved.request.digest] = len(told.engines())
-            self._merge(saved.request.digest, told, "store")
+            self._saved[saved.request.digest] = len(received.engines())
+            self._merge(saved.request.digest, received, "store")
 
     def _save(self, digest: bytes) -> None:
-        """Save a request that is held back in the store, or remove one that no longer is."""
+        """Save a request in the store while it is held back; otherwise remove it from there."""
         entry = self._quarantine.entry(digest)
         if entry is None or not self._is_saver(digest):
             return
@@ -325,12 +325,12 @@
     )
 
 
-def _unpack_request(told: gateway.SuspectRequest, now: float) -> QuarantineEntry:
+def _unpack_request(received: gateway.SuspectRequest, now: float) -> QuarantineEntry:
     return QuarantineEntry(
         {
             FailureId(EngineLife(end.engine), end.stamp): EngineFailure(
                 now - end.age_ms / 1000, end.variant, end.trial, end.excused
             )
-            for end in told.ends
+            for end in received.ends
         }
     )
--- a/postvalve/gateway/fleet/service_capacity.py
+++ b/postvalve/gateway/fleet/service_capacity.py
@@ -23,15 +23,15 @@
         ...
 
     def capacity(self, entry: EngineEntry, count: UseCount) -> int:
-        """Return the number of requests that may run at an engine."""
+        """Return the number of requests that may run at an engine at once."""
         ...
 
     def has_capacity(self, entry: EngineEntry, count: UseCount) -> bool:
-        """Whether an engine has a place that online work does not use."""
+        """Whether an engine has capacity that online work does not use."""
         ...
 
-    def queue_penalty(self, room: EngineOccupancy, tokens: int) -> float:
-        """Return how much worse an engine is than an average one, in places of its queue."""
+    def queue_penalty(self, occupancy: EngineOccupancy, tokens: int) -> float:
+        """Return how much worse an engine is than an average one, in queue positions."""
         ...
 
 
@@ -50,7 +50,7 @@
         """Whether an engine has a slot that online work does not use."""
         return count.online < entry.slots
 
-    def queue_penalty(self, room: EngineOccupancy, tokens: int) -> float:
+    def queue_penalty(self, occupancy: EngineOccupancy, tokens: int) -> float:
         """Return 0, as no engine is worse than another."""
         return 0.0
 
@@ -79,16 +79,16 @@
         )
 
     def capacity(self, entry: EngineEntry, count: UseCount) -> int:
-        """Return the requests that may run at an engine without exceeding `pause_aim`."""
+        """Return the number of requests that may run at once without exceeding `pause_aim`."""
         return self.occupancy(entry, count).capacity(self.pace)
 
     def has_capacity(self, entry: EngineEntry, count: UseCount) -> bool:
-        """Whether an engine has a place that online work does not use."""
+        """Whether an engine has capacity that online work does not use."""
         return self.occupancy(entry, count).has_capacity(self.pace)
 
-    def queue_penalty(self, room: EngineOccupancy, tokens: int) -> float:
-        """Return how much worse an engine is than an average one, in places of its queue."""
-        return queue_penalty(room, tokens, self.pace)
+    def queue_penalty(self, occupancy: EngineOccupancy, tokens: int) -> float:
+        """Return how much worse an engine is than an average one, in queue positions."""
+        return queue_penalty(occupancy, tokens, self.pace)
 
 
 UNIFORM_CAPACITY = UniformCapacity()
--- a/postvalve/gateway/fleet/usable_engines.py
+++ b/postvalve/gateway/fleet/usable_engines.py
@@ -50,12 +50,12 @@
             *generator.sample(self.near, min(CANDIDATES_PER_GROUP, len(self.near))),
             *generator.sample(self.far, min(CANDIDATES_PER_GROUP, len(self.far))),
         ]
-        wanted = {life: self._by_life[life] for life in watched if life in self._by_life}
+        preferred = {life: self._by_life[life] for life in watched if life in self._by_life}
         if prefix_key:
-            wanted |= {one.life: one for one in self._prefix_engines(prefix_key)}
+            preferred |= {one.life: one for one in self._prefix_engines(prefix_key)}
         for one in found:
-            wanted.pop(one.life, None)
-        return [*found, *wanted.values()]
+            preferred.pop(one.life, None)
+        return [*found, *preferred.values()]
 
     def _prefix_engines(self, prefix_key: str) -> list[EngineEntry]:
         """Return the preferred engines for a prefix, the same at all nodes of a zone."""
--- a/postvalve/gateway/knowledge/relayed_topics.py
+++ b/postvalve/gateway/knowledge/relayed_topics.py
@@ -186,9 +186,9 @@
 
     def _relayed(self, address: str, call: betterproto.Message, wait: float) -> gateway.StoreReply:
         self._metrics.store_calls.labels(type(call).__name__, "by a peer").inc()
-        patience = self._patience.seconds if wait else MAX_RELAY_TIMEOUT
+        timeout = self._patience.seconds if wait else MAX_RELAY_TIMEOUT
         try:
-            reply = self._transport.call(address, Channel.BATCH, call, wait + patience)
+            reply = self._transport.call(address, Channel.BATCH, call, wait + timeout)
         except PeerUnavailableError as exc:
             self._avoided.add(address, self._clock.monotonic())
             self._patience.note(False)
