--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -1,4 +1,4 @@
-"""Gateways, engines and a store in one process, over loopback sockets."""
+"""Runs gateway nodes, engines and a store in one process, connected by loopback sockets."""
 
 import json
 
@@ -29,14 +29,14 @@
 STREAM_PATH = "/stream/"
 ONCE_PATH = "/once/"
 BATCH_PATH = "/batch/"
-GIVEN_UP_AFTER = 0.4
-"""Seconds beyond its wait after which a read without an answer is given up here."""
-BACK_AFTER = 0.2
-"""Seconds until another engine is listed in the place of one that ended."""
+TIMEOUT_MARGIN = 0.4
+"""Seconds beyond its wait after which an unanswered read fails in these tests."""
+RESTART_DELAY = 0.2
+"""Seconds after which a crashed engine is restarted, or its replacement is listed."""
 
 
 class SlowClock(SystemClock):
-    """Runs at a part of the speed at which timers do, so that each of these fires early."""
+    """A clock that runs slower than the timers, so that each timer fires early."""
 
     def __init__(self, speed):
         self._speed = speed
@@ -46,7 +46,10 @@
 
 
 class SuspendedClock(SystemClock):
-    """A clock whose two times part when its machine is suspended."""
+    """A clock on which a suspension of the machine can be simulated.
+
+    `monotonic` includes the suspension, the steady time does not.
+    """
 
     def __init__(self):
         self.suspended_seconds = 0.0
@@ -56,7 +59,7 @@
 
 
 class RecordingEventLog(EventLog):
-    """Keeps events for the checks of tests."""
+    """Event log that keeps its events for assertions."""
 
     def __init__(self):
         self.written = []
@@ -66,21 +69,22 @@
 
 
 class FaultyTopics:
-    """One node's way to the store that all share."""
+    """One node's client of the shared store, with faults that tests switch on."""
 
     def __init__(self, topics):
         self._topics = topics
         self.outage_verdict = None
-        """The verdict of each call while the node can't reach the store."""
+        """Verdict with which every call fails; None while the store is reachable."""
         self.refused = 0
+        """Calls that failed with `outage_verdict`."""
         self.silent = False
-        """Whether calls are never answered."""
+        """Whether calls hang without an answer."""
         self.silent_reads = 0
-        """Waiting reads, those under way among them, that are given up without an answer."""
+        """Number of long polls, pending ones included, that time out without an answer."""
         self.holds_waiting_reads = False
-        """Whether those that wait for a record are not."""
+        """Whether long polls hang without an answer."""
         self.hung_calls = 0
-        """Calls that were not."""
+        """Calls that hung because of `silent`."""
 
     def _check(self):
         if self.silent:
@@ -104,7 +108,7 @@
         found = self._topics.read(*arguments)
         if wait and self.silent_reads:
             self.silent_reads -= 1
-            gevent.sleep(max(0.0, started + wait + GIVEN_UP_AFTER - now()))
+            gevent.sleep(max(0.0, started + wait + TIMEOUT_MARGIN - now()))
             raise StoreUnavailableError("no answer", Verdict.MAY_HAVE_RUN)
         return found
 
@@ -114,7 +118,7 @@
 
 
 class GatewayFleet:
-    """Nodes that share one store and some engines."""
+    """A fleet of gateway nodes that share one store and some engines."""
 
     def __init__(self, nodes=2, engines=2, configured=True, **configuration):
         self.topics = MemoryTopics()
@@ -139,7 +143,7 @@
         self.topics.append(DIRECTORY_TOPIC, 0, [record])
 
     def configure(self, tenants=None, limits=None, **changes):
-        """Publish a configuration; changes go into every route."""
+        """Publish a configuration; `changes` are applied to every route."""
         self._version += 2
         batch = {"kind": "batch", "runAimMs": 20000, "keepS": 60, "maxQueuedTokens": 0}
         routes = [
@@ -175,9 +179,9 @@
             record_bytes=262_144,
             call_bytes=2_097_152,
         )
-        own = self.node_topics[name] = FaultyTopics(self.topics)
+        topics = self.node_topics[name] = FaultyTopics(self.topics)
         platform = GatewayPlatform(
-            topics=own,
+            topics=topics,
             dialect=PlatformDialect(),
             job_calls=PlatformJobCalls,
             configuration_topic=CONFIGURATION_TOPIC,
@@ -201,25 +205,26 @@
             engine.stop()
 
     def kill(self, name):
-        """End a node without a word."""
+        """Stop a node abruptly, as a crash would."""
         self.nodes.pop(name).kill()
 
     def events(self, name, event):
         return [fields for one, fields in self.logs[name].written if one is event]
 
     def crash_on_body(self, body, *, reborn=False):
-        """Let all engines, and those that follow them, end under requests with this body.
+        """Make all engines, and their replacements, crash on requests with this body.
 
-        Each is back a little later, under another id, or `reborn` under the one that it had.
+        Each is replaced a little later by an engine with a new id, or with the same one if `reborn`
+        is true.
         """
         for engine in self.engines:
             engine.fatal_bodies.add(body)
-            engine.on_end = self._revive_engine if reborn else self._replace_engine
+            engine.on_end = self._restart_later if reborn else self._replace_engine
 
-    def _revive_engine(self, ended):
-        gevent.spawn_later(BACK_AFTER, self._start_again, ended)
+    def _restart_later(self, ended):
+        gevent.spawn_later(RESTART_DELAY, self._restart, ended)
 
-    def _start_again(self, ended):
+    def _restart(self, ended):
         engine = StandInEngine(ended.engine_id, ended.port, ended.born + 1)
         engine.fatal_bodies = ended.fatal_bodies
         engine.on_end = ended.on_end
@@ -228,23 +233,23 @@
         self.list_engine(engine)
 
     def _replace_engine(self, ended):
-        """Start another engine in the place of one that ended, and list it a little later."""
+        """Start a replacement for a crashed engine, and list it a little later."""
         number = len(self.engines)
         engine = StandInEngine(f"e{number}")
         engine.fatal_bodies = ended.fatal_bodies
         engine.on_end = ended.on_end
         engine.usual = ended.usual
         self.engines.append(engine)
-        gevent.spawn_later(BACK_AFTER, self._list_instead, ended, engine)
+        gevent.spawn_later(RESTART_DELAY, self._list_replacement, ended, engine)
 
-    def _list_instead(self, ended, engine):
+    def _list_replacement(self, ended, engine):
         self.topics.append(DIRECTORY_TOPIC, 0, [KeyedRecord(ended.engine_id, b"")])
         self.list_engine(engine)
 
     def request(
         self, node, path, *, method="POST", headers=(), body=b"", request_id="r1", caller=None
     ):
-        """Send one request on a connection of its own and read the whole answer."""
+        """Send one request on a new connection and read the whole response."""
         connection = self.open(node, path, method, headers, body, request_id, caller)
         try:
             return read_answer(connection)
@@ -252,13 +257,13 @@
             connection.close()
 
     def connect(self, node, caller=None):
-        """A connection on which nothing was sent, from an address of `caller`'s own."""
+        """Open a connection without sending anything, from the address `caller` if it is given."""
         host, port = self.settings[node].listen.split(":")
         source = (caller, 0) if caller else None
         return socket.create_connection((host, int(port)), source_address=source)
 
     def open(self, node, path, method="POST", headers=(), body=b"", request_id="r1", caller=None):
-        """Send one request; returns the connection."""
+        """Send one request and return its connection."""
         connection = self.connect(node, caller)
         lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}", f"Request-Id: {request_id}"]
         lines += [f"{name}: {value}" for name, value in headers]
--- a/tests/test_connect_timeout.py
+++ b/tests/test_connect_timeout.py
@@ -1,4 +1,4 @@
-"""Dark engines: how long a request waits for a connection that does not come up."""
+"""How long a request waits for a connection to an unreachable engine."""
 
 import unittest
 from unittest import mock
@@ -18,32 +18,32 @@
 from tests.gateway_support import STREAM_PATH, GatewayFleet
 
 IN_TIME = 0.3
-"""Seconds to the first event that callers count as in time here."""
+"""Seconds within which callers expect the first event in these tests."""
 
 
-class PatienceTest(unittest.TestCase):
-    def test_nothing_is_given_up_early_before_something_is_known(self):
-        patience = ConnectTimeout()
+class ConnectTimeoutTest(unittest.TestCase):
+    def test_the_full_timeout_applies_until_enough_samples_are_known(self):
+        timeout = ConnectTimeout()
         for _ in range(MIN_SAMPLES - 1):
-            patience.record(0.001)
-        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), CONNECT_TIMEOUT)
-        patience.record(0.001)
-        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), MIN_TIMEOUT)
+            timeout.record(0.001)
+        self.assertEqual(timeout.seconds(CONNECT_TIMEOUT), CONNECT_TIMEOUT)
+        timeout.record(0.001)
+        self.assertEqual(timeout.seconds(CONNECT_TIMEOUT), MIN_TIMEOUT)
 
-    def test_far_engines_and_slow_machines_get_more_time_and_not_for_ever(self):
-        patience = ConnectTimeout()
+    def test_slow_samples_raise_the_timeout_until_they_expire(self):
+        timeout = ConnectTimeout()
         for seconds in (0.001,) * 20 + (0.04,):
-            patience.record(seconds)
-        self.assertAlmostEqual(patience.seconds(CONNECT_TIMEOUT), 0.32)
-        patience.record(0.3)
-        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), CONNECT_TIMEOUT)
+            timeout.record(seconds)
+        self.assertAlmostEqual(timeout.seconds(CONNECT_TIMEOUT), 0.32)
+        timeout.record(0.3)
+        self.assertEqual(timeout.seconds(CONNECT_TIMEOUT), CONNECT_TIMEOUT)
         for _ in range(MAX_SAMPLES):
-            patience.record(0.001)
-        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), MIN_TIMEOUT)
+            timeout.record(0.001)
+        self.assertEqual(timeout.seconds(CONNECT_TIMEOUT), MIN_TIMEOUT)
 
 
-class DarkEngineTest(unittest.TestCase):
-    """Half of the engines answer nothing any more, not even a connection."""
+class UnreachableEngineTest(unittest.TestCase):
+    """Half of the engines no longer respond, not even to connection requests."""
 
     def setUp(self):
         self.fleet = GatewayFleet(nodes=1, engines=4)
@@ -52,21 +52,21 @@
             self.fleet.request("n0", STREAM_PATH + "x", request_id=f"w{number}")
             self.fleet.nodes["n0"]._pool.drop(self.fleet.engines[number % 4].address)
 
-    def test_a_request_is_served_in_time_by_another_and_runs_once(self):
-        dark = {engine.port for engine in self.fleet.engines[:2]}
+    def test_a_request_is_served_in_time_by_another_engine_and_runs_once(self):
+        unreachable = {engine.port for engine in self.fleet.engines[:2]}
         pool = self.fleet.nodes["n0"]._pool
         for engine in self.fleet.engines:
             pool.drop(engine.address)
         before = sum(len(engine.runs) for engine in self.fleet.engines)
 
-        class DarkSocket(socket.socket):
+        class UnreachableSocket(socket.socket):
             def connect(self, address):
-                if address[1] in dark:
+                if address[1] in unreachable:
                     gevent.sleep(self.gettimeout())
                     raise TimeoutError("timed out")
                 return super().connect(address)
 
-        with mock.patch.object(engine_connections.gevent_socket, "socket", DarkSocket):
+        with mock.patch.object(engine_connections.gevent_socket, "socket", UnreachableSocket):
             answers = [
                 self.fleet.request("n0", STREAM_PATH + "x", request_id=f"r{number}")
                 for number in range(8)
@@ -79,11 +79,11 @@
 
 
 class OnlyEngineTest(unittest.TestCase):
-    """Its connections turn slow, and no other engine could have the request."""
+    """Connections to the only engine become slow; no other engine can take the request."""
 
     SLOW = 0.2
 
-    def test_it_gets_all_the_time_that_a_connection_may_take(self):
+    def test_the_only_engine_gets_the_full_timeout(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         pool, address = fleet.nodes["n0"]._pool, fleet.engines[0].address
--- a/tests/test_directory_staleness.py
+++ b/tests/test_directory_staleness.py
@@ -1,4 +1,4 @@
-"""What the store has acknowledged is known in time, whatever stands still on the way to it."""
+"""Changes acknowledged by the store are known in time, whichever path to it hangs."""
 
 import json
 import unittest
@@ -23,20 +23,20 @@
 from tests.stand_in_engine import SERVICE
 
 SHORTEST_DRAIN = 2.0
-"""Seconds for which a leaving engine may still get requests on the smallest deployments."""
+"""Seconds for which a leaving engine may still get requests, on the smallest deployments."""
 REPORT_INTERVAL = 0.4
-"""Seconds between reports of peers here."""
+"""Seconds between the peers' reports in these tests."""
 
 
 class PeerNetwork:
-    """Peers that make calls; one that stands still answers nothing, and does not report."""
+    """Peers that relay calls to the store; a frozen one neither answers nor sends reports."""
 
     def __init__(self, store, names):
         self.server = RelayServer(store)
         self.names = names
         self.frozen = set()
         self.silent = set()
-        """Those whose connection says nothing more, until it is opened anew."""
+        """Peers whose open connection no longer responds; the next call opens a new one."""
 
     def call(self, address, channel, message, timeout):
         started_frozen = address in self.frozen or address in self.silent
@@ -53,7 +53,7 @@
 
 
 class Node:
-    """The parts of a node that follow the engines' directory, under virtual time."""
+    """The parts of a node that follow the engine directory, under virtual time."""
 
     def __init__(self, loop, peers=("a", "b")):
         self.store = MemoryTopics()
@@ -69,14 +69,14 @@
         self.reader = DirectoryReader(
             topics, DIRECTORY_TOPIC, parse_engine, self.fleet, self.clock, self.log
         )
-        self.peers_make_calls = self.peers_know_more = True
+        self.peers_relay = self.peers_are_ahead = True
         self._peers_read_at = 0.0
         gevent.spawn(self._report)
         gevent.spawn(self.reader.run)
 
     def silence_connections(self):
-        """Every open connection of all nodes says nothing more; new ones work."""
-        self.peers_know_more = False
+        """Make every open connection of all nodes stop responding; new ones work."""
+        self.peers_are_ahead = False
         self.own.silent_reads = 1
         self.network.silent = set(self.network.names)
 
@@ -95,13 +95,13 @@
             self._peers_read_at = now
         self.peers.observe(
             LoadReport(
-                name, 1, sequence, peer_address=name, zone="z", leaving=not self.peers_make_calls
+                name, 1, sequence, peer_address=name, zone="z", leaving=not self.peers_relay
             ),
             now,
         )
         offset = len(self.store.partition(DIRECTORY_TOPIC, 0).log)
         age = milliseconds(now - self._peers_read_at)
-        self.reader.receive(DirectoryState(offset if self.peers_know_more else 0, age), name)
+        self.reader.receive(DirectoryState(offset if self.peers_are_ahead else 0, age), name)
 
     def list_engine(self, name, state="ready"):
         entry = {"service": SERVICE, "address": "127.0.0.1:1", "slots": 4, "state": state}
@@ -113,7 +113,7 @@
         self.store.append(DIRECTORY_TOPIC, 0, [KeyedRecord(name, b"")])
 
     def lapse(self, name):
-        """An entry goes while the store answers nobody."""
+        """Drop an entry while the store is unreachable for all nodes."""
         log = self.store.partition(DIRECTORY_TOPIC, 0).log
         log.append(KeyedRecord(name, b"", len(log)))
 
@@ -122,7 +122,7 @@
 
 
 def settled_node(loop, peers=("a", "b")):
-    """A node that has read of two engines a while ago."""
+    """Return a node that knows two engines and has been running for a while."""
     node = Node(loop, peers)
     for name in ("e1", "e2"):
         node.list_engine(name)
@@ -131,16 +131,16 @@
 
 
 def offered_after(node, leave, seconds):
-    """Let an engine leave; returns what takes new work so many seconds later."""
+    """Call `leave`, wait, and return the engines that accept new work then."""
     leave()
     gevent.sleep(seconds)
     return node.offered()
 
 
 class FrozenPeerTest(unittest.TestCase):
-    """A node asks the store by a peer, and the peer stands still."""
+    """A node uses the store through a peer, and the peer freezes."""
 
-    def leave_beside_a_frozen_peer(self, phase):
+    def leave_with_a_frozen_peer(self, phase):
         def session(loop):
             node = settled_node(loop)
             node.own.outage_verdict = Verdict.NOT_RUN
@@ -152,14 +152,14 @@
 
         return run_virtual(session)
 
-    def test_a_leaving_is_known_though_the_peer_that_was_asked_stands_still(self):
+    def test_a_leaving_engine_is_noticed_though_the_relaying_peer_is_frozen(self):
         for step in range(20):
             with self.subTest(phase=step / 10):
-                self.assertEqual(self.leave_beside_a_frozen_peer(step / 10), ["e2"])
+                self.assertEqual(self.leave_with_a_frozen_peer(step / 10), ["e2"])
 
 
 class SilentConnectionsTest(unittest.TestCase):
-    """All connections of a node fall silent at one moment, those to peers as well."""
+    """All connections of a node stop responding at the same time, those to peers as well."""
 
     def leave_after_silence(self, phase):
         def session(loop):
@@ -170,45 +170,45 @@
 
         return run_virtual(session)
 
-    def test_a_leaving_is_known_by_a_new_connection(self):
+    def test_a_leaving_engine_is_noticed_over_a_new_connection(self):
         for step in range(12):
             with self.subTest(phase=step / 10):
                 self.assertEqual(self.leave_after_silence(step / 10), ["e2"])
 
 
 class LeftMeanwhileTest(unittest.TestCase):
-    """An engine leaves while only this node does not reach the store."""
+    """An engine leaves while only this node can't reach the store."""
 
-    def leave_beside_a_cut(self, verdict, peers, cut_for, left_at):
+    def leave_during_an_outage(self, verdict, peers, outage_time, left_at):
         def session(loop):
             node = settled_node(loop, peers)
-            node.peers_make_calls = False
+            node.peers_relay = False
             node.own.outage_verdict = verdict
             gevent.sleep(left_at)
             node.drop_engine("e1")
-            gevent.sleep(cut_for - left_at)
+            gevent.sleep(outage_time - left_at)
             node.own.outage_verdict = None
-            gevent.sleep(SHORTEST_DRAIN - (cut_for - left_at))
+            gevent.sleep(SHORTEST_DRAIN - (outage_time - left_at))
             return node.offered()
 
         return run_virtual(session)
 
-    def test_an_engine_that_left_is_not_taken_for_one_that_lapsed(self):
+    def test_an_engine_that_left_is_not_retained_as_lapsed(self):
         for left_at in (0.1, 0.5, 0.9, 1.1):
             with self.subTest(left_at=left_at):
-                offered = self.leave_beside_a_cut(Verdict.NOT_RUN, ("a", "b"), 1.2, left_at)
+                offered = self.leave_during_an_outage(Verdict.NOT_RUN, ("a", "b"), 1.2, left_at)
                 self.assertEqual(offered, ["e2"])
 
-    def test_a_node_that_hears_nobody_takes_no_short_cut_for_an_outage(self):
+    def test_a_node_without_peers_does_not_take_its_own_outage_for_a_general_one(self):
         for left_at in (0.1, 0.3, 0.5):
             with self.subTest(left_at=left_at):
-                offered = self.leave_beside_a_cut(Verdict.NOT_RUN, (), 0.6, left_at)
+                offered = self.leave_during_an_outage(Verdict.NOT_RUN, (), 0.6, left_at)
                 self.assertEqual(offered, ["e2"])
 
-    def test_it_is_gone_also_after_a_long_cut_if_others_read_the_directory(self):
+    def test_it_is_dropped_after_a_long_outage_if_peers_read_the_directory(self):
         def session(loop):
             node = settled_node(loop)
-            node.peers_make_calls = False
+            node.peers_relay = False
             node.own.outage_verdict = Verdict.NOT_RUN
             gevent.sleep(4.0)
             node.drop_engine("e1")
@@ -220,37 +220,40 @@
 
 
 class BehindTest(unittest.TestCase):
-    """The read of a node hangs, for whatever reason; its peers know more."""
+    """The pending read of a node hangs, while its peers are ahead."""
 
-    def test_what_peers_know_is_read_beside_a_read_that_hangs(self):
+    def test_a_second_read_catches_up_while_the_first_one_hangs(self):
         def session(loop):
             node = settled_node(loop)
             node.own.holds_waiting_reads = True
             gevent.sleep(2.0)
             offered = offered_after(node, lambda: node.drop_engine("e1"), SHORTEST_DRAIN)
-            told = [event for event, _ in node.log.written if event is Event.DIRECTORY_BEHIND]
-            return offered, len(told)
+            logged = [event for event, _ in node.log.written if event is Event.DIRECTORY_BEHIND]
+            return offered, len(logged)
 
         self.assertEqual(run_virtual(session), (["e2"], 1))
 
-    def test_nothing_is_read_beside_reads_that_come_back(self):
+    def test_no_second_read_is_made_while_reads_are_answered(self):
         def session(loop):
             node = Node(loop)
             for number in range(40):
                 node.list_engine(f"e{number}")
                 gevent.sleep(0.17)
             gevent.sleep(1.0)
-            told = [event for event, _ in node.log.written if event is Event.DIRECTORY_BEHIND]
-            return len(node.offered()), len(told)
+            logged = [event for event, _ in node.log.written if event is Event.DIRECTORY_BEHIND]
+            return len(node.offered()), len(logged)
 
         self.assertEqual(run_virtual(session), (40, 0))
 
 
 class LapsedWithTheStoreTest(unittest.TestCase):
-    """The store is away for all nodes, and entries of living engines lapse."""
+    """The store is unreachable for all nodes, and entries of live engines lapse."""
 
-    def outage(self, cut_longer):
-        """What is offered just after, 1.2 s and 2.6 s after the store's return; e1 comes back."""
+    def outage(self, extra_outage):
+        """Return the offered engines just after, 1.2 s after and 2.6 s after the end of an outage.
+
+        Both entries lapse in the outage; only e1 is listed again.
+        """
 
         def session(loop):
             node = settled_node(loop)
@@ -259,12 +262,12 @@
             node.lapse("e1")
             node.lapse("e2")
             node.store.down = False
-            node.own.outage_verdict = Verdict.NOT_RUN if cut_longer else None
-            node.peers_make_calls = not cut_longer
-            gevent.sleep(cut_longer)
+            node.own.outage_verdict = Verdict.NOT_RUN if extra_outage else None
+            node.peers_relay = not extra_outage
+            gevent.sleep(extra_outage)
             node.own.outage_verdict = None
             offered = [node.offered()]
-            gevent.sleep(1.2 - cut_longer)
+            gevent.sleep(1.2 - extra_outage)
             node.list_engine("e1")
             offered.append(node.offered())
             gevent.sleep(1.4)
@@ -272,11 +275,11 @@
 
         return run_virtual(session)
 
-    def test_entries_are_kept_until_they_must_be_back(self):
+    def test_lapsed_entries_are_retained_until_they_must_be_listed_again(self):
         both = ["e1", "e2"]
         self.assertEqual(self.outage(0.0), [both, both, ["e1"]])
 
-    def test_also_where_others_reach_the_store_first(self):
+    def test_lapsed_entries_are_retained_if_peers_reach_the_store_first(self):
         both = ["e1", "e2"]
         self.assertEqual(self.outage(0.6), [both, both, ["e1"]])
 
--- a/tests/test_engine_paces.py
+++ b/tests/test_engine_paces.py
@@ -1,4 +1,4 @@
-"""What engines tell and show comes to the nodes that choose, over real sockets."""
+"""Pace reported by engines reaches the nodes that place requests, over real sockets."""
 
 import unittest
 
@@ -9,14 +9,14 @@
 from tests.waiting import wait_until
 
 
-class ToldLoadTest(unittest.TestCase):
+class ReportedLoadTest(unittest.TestCase):
     def setUp(self):
         self.fleet = GatewayFleet(nodes=2, engines=1)
         self.addCleanup(self.fleet.stop)
         self.engine = self.fleet.engines[0]
         self.sent = 0
 
-    def tell(self, load, node="n0"):
+    def request_with_load(self, load, node="n0"):
         self.engine.usual = Behaviour(load=load)
         self.sent += 1
         answer = read_answer(self.fleet.open(node, STREAM_PATH, request_id=f"r{self.sent}"))
@@ -25,40 +25,40 @@
     def row(self, node):
         return self.fleet.nodes[node].status_document()["engines"][0]
 
-    def test_a_told_pace_is_known_with_its_age(self):
+    def test_a_reported_pace_is_shown_with_its_age(self):
         self.assertIsNone(self.row("n0")["pace_told"])
-        self.tell("1,0,4,250")
+        self.request_with_load("1,0,4,250")
         row = self.row("n0")
         self.assertEqual(row["pace_told"], 2.5)
         self.assertLess(row["pace_told_age"], 1.0)
 
-    def test_peers_hear_of_it(self):
-        """Many nodes send an engine little each; none alone would know it well."""
+    def test_peers_receive_the_reported_pace(self):
+        """Each of many nodes sends an engine few requests and has too few readings of its own."""
         wait_until(lambda: self.fleet.nodes["n1"].peers.count() == 1)
-        self.tell("1,0,4,100")
-        self.tell("1,0,4,250")
+        self.request_with_load("1,0,4,100")
+        self.request_with_load("1,0,4,250")
         wait_until(lambda: self.row("n1")["pace_told"] is not None)
         self.assertAlmostEqual(self.row("n1")["pace_told"], 2.5, delta=0.1)
 
-    def test_what_cannot_be_read_is_named_once(self):
+    def test_unreadable_load_is_logged_once_per_engine(self):
         for load in ("nonsense", "-1,0,4,100", "1,0,4,0"):
-            self.tell(load)
-        told = self.fleet.events("n0", Event.ENGINE_LOAD_UNREADABLE)
-        self.assertEqual([(one["engine"], one["told"]) for one in told], [("e0", "nonsense")])
+            self.request_with_load(load)
+        logged = self.fleet.events("n0", Event.ENGINE_LOAD_UNREADABLE)
+        self.assertEqual([(one["engine"], one["told"]) for one in logged], [("e0", "nonsense")])
         self.assertIsNone(self.row("n0")["pace_told"])
 
-    def test_an_answer_to_another_request_tells_nothing(self):
+    def test_load_in_a_response_to_another_request_is_ignored(self):
         self.engine.plan = [Behaviour(load="1,0,4,900", foreign=True)]
-        self.tell(None)
+        self.request_with_load(None)
         self.assertIsNone(self.row("n0")["pace_told"])
 
-    def test_three_figures_leave_all_as_it_was(self):
-        self.tell("3,0,4")
+    def test_load_without_a_pace_is_ignored(self):
+        self.request_with_load("3,0,4")
         paces = self.fleet.nodes["n0"]._fleet.paces
         self.assertFalse(paces.reports_pace("s"))
         self.assertEqual(paces.pack_report(1), b"")
 
-    def test_the_pauses_that_callers_bear_come_with_the_configuration(self):
+    def test_the_pause_aim_follows_the_configuration(self):
         self.fleet.configure(gapAimMs=250)
         node = self.fleet.nodes["n0"]
         wait_until(lambda: node._fleet.pause_aim("s") == 0.25)
--- a/tests/test_engine_watch.py
+++ b/tests/test_engine_watch.py
@@ -1,4 +1,4 @@
-"""Batch items give way at once: who watches over an engine, and what it tells."""
+"""Fast preemption of batch items: which node watches an engine, and which items it preempts."""
 
 import unittest
 from unittest import mock
@@ -16,11 +16,11 @@
 from tests.test_zone_digest import FleetCase
 from tests.waiting import wait_until
 
-_TOLD = Event.ITEM_TOLD_TO_GIVE_WAY
+_PREEMPTION = Event.ITEM_TOLD_TO_GIVE_WAY
 
 
 class WatchTest(unittest.TestCase):
-    def test_items_go_before_any_report_in_turn_tells_of_the_requests(self):
+    def test_items_are_preempted_before_any_scheduled_report(self):
         fleet = GatewayFleet(nodes=3, engines=1)
         self.addCleanup(fleet.stop)
         wait_until(lambda: all(len(one.peers.all()) == 2 for one in fleet.nodes.values()))
@@ -29,18 +29,18 @@
         for name in ("n1", "n2"):
             items = fleet.nodes[name]._reports.items
             wait_until(lambda items=items: len(items.at(engine_hash("e0"))) == 3)
-        # From now on nodes hear of each other only out of turn.
+        # From now on nodes send no scheduled reports, only those to watchers.
         with mock.patch.object(ReportSchedule, "take_turn", return_value=False):
             for number, name in enumerate(("n1", "n2", "n1")):
                 gevent.spawn(fleet.request, name, STREAM_PATH, request_id=f"r{number}")
             wait_until(lambda: fleet.events("n0", Event.ROUTED_ITEM_PREEMPTED))
             gevent.sleep(0.3)
-        # Four slots for three online requests and two items: one may wait among these.
+        # Four slots for three online requests and two items: one of these may be queued.
         self.assertEqual(len(fleet.events("n0", Event.ROUTED_ITEM_PREEMPTED)), 1)
-        told = [
+        requests = [
             one for name in fleet.nodes for one in fleet.events(name, Event.ITEM_TOLD_TO_GIVE_WAY)
         ]
-        self.assertTrue(told)
+        self.assertTrue(requests)
 
 
 class WatcherTest(FleetCase):
@@ -56,27 +56,27 @@
     def watchers(self, node):
         return {one.life: node.reports.watch._watcher_of(one.life) for one in self.entries}
 
-    def test_one_node_of_the_zone_watches_over_each_engine(self):
+    def test_each_engine_is_watched_by_one_node_of_its_zone(self):
         near = [node for node in self.nodes if node.identity.zone == "z0"]
         views = [self.watchers(node) for node in near]
         self.assertTrue(all(view == views[0] for view in views))
         self.assertGreater(len(set(views[0].values())), 1)
         self.assertLessEqual(set(views[0].values()), {node.name for node in near})
 
-    def test_nobody_of_another_zone_watches(self):
+    def test_no_node_of_another_zone_is_watcher(self):
         far = next(node for node in self.nodes if node.identity.zone == "z1")
         self.assertEqual(set(self.watchers(far).values()), {None})
 
-    def test_the_watcher_tells_the_node_of_the_least_urgent_item(self):
+    def test_the_watcher_requests_preemption_of_the_least_urgent_item(self):
         near = [node for node in self.nodes if node.identity.zone == "z0"]
         watcher = next(one for one in near if self.watchers(one)["e0"] == one.name)
         holder, other = [one for one in near if one is not watcher][:2]
         engine = engine_hash("e0")
         holder.reports.items_running = lambda: encode_running([(engine, 90)])
         other.reports.items_running = lambda: encode_running([(engine, 10)])
-        told = []
+        requests = []
         for node in (holder, other):
-            node.reports.watch.on_preempt = lambda engine, urgency, name=node.name: told.append(
+            node.reports.watch.on_preempt = lambda engine, urgency, name=node.name: requests.append(
                 (name, engine, urgency)
             )
         self.play(1.0)
@@ -84,19 +84,19 @@
         watcher.reports.watch.preempt_excess()
         watcher.reports.watch.preempt_excess()
         self.network.deliver()
-        self.assertEqual(told, [(holder.name, engine, 90)])
+        self.assertEqual(requests, [(holder.name, engine, 90)])
 
     def test_a_node_of_another_zone_tells_items_to_go_and_logs_it(self):
         holder = next(node for node in self.nodes if node.identity.zone == "z0")
         far = next(node for node in self.nodes if node.identity.zone == "z1")
-        told = []
-        holder.reports.watch.on_preempt = lambda engine, urgency: told.append(urgency)
+        requests = []
+        holder.reports.watch.on_preempt = lambda engine, urgency: requests.append(urgency)
         far.reports._fleet.excess = lambda engine_id: 1
         far.reports.items.at = lambda engine: [(90, holder.name)]
         far.reports.watch.preempt_remote("e0")
         self.network.deliver()
-        self.assertEqual(told, [90])
-        logged = [fields for event, fields in far.log.written if event is _TOLD]
+        self.assertEqual(requests, [90])
+        logged = [fields for event, fields in far.log.written if event is _PREEMPTION]
         self.assertEqual(logged, [{"engine": "e0", "peer": holder.name, "excess": 1}])
 
 
--- a/tests/test_failed_engines.py
+++ b/tests/test_failed_engines.py
@@ -1,9 +1,9 @@
-"""Requests and engines that failed a moment ago.
+"""Requests are not sent to an engine that has just failed while a healthy one is known.
 
-Where three of six engines had just ended, the other three soon had no free slot, and each one that
-had ended looked like the only engine by which a request could be in time: it had nothing to do. So
-requests went there and failed. Of 197 attempts that failed in 30 s, 92 were sent to an engine which
-the node itself knew to have failed within the last seconds, 28 of them while it knew a sound one.
+When three of six engines had crashed, the other three soon had no free slot. A crashed engine was
+idle and thus looked like the only one that could be in time, so requests went there and failed. Of
+197 attempts that failed in 30 s, 92 were sent to an engine that had failed within the last seconds
+as the node knew, 28 of them while the node knew a healthy one.
 """
 
 import random
@@ -33,7 +33,7 @@
         self.fleet.record_failure("failed", "closed before an answer")
 
     def place(self, excluded=()):
-        """Place a request that has no time to wait for a slot."""
+        """Place a request that can't wait for a slot."""
         return self.fleet.place_online("s", TERMS, excluded, 0.1).engine.life
 
     def fill(self, *engines, requests=SLOTS):
@@ -41,25 +41,25 @@
             for _ in range(requests):
                 self.fleet.use.enter(engine, batch=False)
 
-    def learn_pace(self):
+    def record_latencies(self):
         for _ in range(10):
             self.fleet.pace("s").observe_first_event(100, 0.05)
             self.fleet.pace("s").observe_slot_time(5.0)
 
-    def test_one_that_failed_is_left_alone_while_others_are_full(self):
+    def test_a_failed_engine_is_avoided_while_others_are_full(self):
         self.fill("sound", "far")
         self.assertNotIn("failed", {self.place() for _ in range(20)})
-        self.learn_pace()
+        self.record_latencies()
         self.assertNotIn("failed", {self.place() for _ in range(20)})
 
-    def test_one_that_failed_is_left_alone_while_others_are_farther(self):
+    def test_a_failed_engine_is_avoided_in_favour_of_another_zone(self):
         self.fill("far", requests=SLOTS - 1)
         self.assertEqual(self.place(excluded=("sound",)), "far")
 
-    def test_it_is_used_where_no_other_is_left(self):
+    def test_a_failed_engine_is_used_if_no_other_is_left(self):
         self.assertEqual(self.place(excluded=("sound", "far")), "failed")
 
-    def test_it_is_used_again_after_a_while(self):
+    def test_a_failed_engine_is_used_again_after_the_suspect_time(self):
         self.fill("sound", "far")
         self.clock.monotonic.return_value = SUSPECT_TIME
         self.assertEqual(self.place(), "failed")
--- a/tests/test_feature_status.py
+++ b/tests/test_feature_status.py
@@ -1,4 +1,7 @@
-"""What takes all nodes is on only while all that are heard can do it, and doesn't flap."""
+"""Features that need all nodes are enabled only while every heard node supports them.
+
+Nodes that come and go must not make a feature flap.
+"""
 
 import random
 import unittest
@@ -16,8 +19,8 @@
 
 LINE, SHARES = Feature.LINE, Feature.BATCH_SHARES
 OWN = LINE | SHARES
-LOOK = 0.5
-"""Seconds between looks."""
+UPDATE_INTERVAL = 0.5
+"""Seconds between updates."""
 
 
 class BuildsCase(unittest.TestCase):
@@ -26,7 +29,7 @@
         self.peers = PeerView("me")
         self.peers.gate = FeatureGate(OWN)
         self.heard = {}
-        """What each peer that reports can do, by name."""
+        """Features of each reporting peer, by its name."""
         clock = mock.Mock(monotonic=lambda: self.now)
         self.feature_status = FeatureStatus(self.peers, clock, self.log)
 
@@ -41,81 +44,81 @@
             self.peers.observe(report, self.now)
 
     def play(self, seconds):
-        for _ in range(round(seconds / LOOK)):
-            self.now += LOOK
+        for _ in range(round(seconds / UPDATE_INTERVAL)):
+            self.now += UPDATE_INTERVAL
             for name, features in self.heard.items():
                 self.report(name, features)
             self.peers.expire(self.now)
             self.feature_status.update()
 
-    def told(self):
+    def logged_features(self):
         return [fields["on"] for event, fields in self.log.written]
 
 
-class SwitchTest(BuildsCase):
-    def test_a_node_that_starts_waits(self):
+class EnablingTest(BuildsCase):
+    def test_a_starting_node_enables_nothing_before_it_has_settled(self):
         self.heard = {"a": OWN}
         self.play(SETTLE_TIME)
         self.assertEqual(self.peers.features(), Feature.NONE)
-        self.play(2 * LOOK)
+        self.play(2 * UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), OWN)
 
-    def test_an_earlier_build_keeps_all_off_from_its_first_report_on(self):
+    def test_the_first_report_of_an_older_build_disables_all_features(self):
         self.heard = {"a": OWN}
         self.play(2 * SETTLE_TIME)
         self.report("old", None)
         self.assertEqual(self.peers.features(), Feature.NONE)
 
-    def test_so_does_a_zone_whose_digest_tells_nothing(self):
+    def test_a_digest_without_features_disables_all_features(self):
         self.heard = {"zone:far": OWN}
         self.play(2 * SETTLE_TIME)
         self.assertEqual(self.peers.features(), OWN)
         self.report("zone:far", None)
         self.assertEqual(self.peers.features(), Feature.NONE)
 
-    def test_only_what_it_lacks_goes_off(self):
+    def test_only_features_that_a_peer_lacks_are_disabled(self):
         self.heard = {"a": OWN}
         self.play(2 * SETTLE_TIME)
         self.report("old", SHARES)
         self.assertEqual(self.peers.features(), SHARES)
 
-    def test_a_later_build_keeps_nothing_off(self):
+    def test_a_newer_build_disables_nothing(self):
         self.heard = {"a": sum(Feature) | 1 << 30}
         self.play(2 * SETTLE_TIME)
         self.assertEqual(self.peers.features(), OWN)
 
-    def test_all_is_on_again_when_the_last_earlier_node_is_gone(self):
+    def test_features_are_enabled_when_the_last_older_node_is_gone(self):
         self.heard = {"a": OWN, "old": None}
         self.play(2 * SETTLE_TIME)
         del self.heard["old"]
-        self.play(SILENT_AFTER + SETTLE_TIME - LOOK)
+        self.play(SILENT_AFTER + SETTLE_TIME - UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), Feature.NONE)
-        self.play(4 * LOOK)
+        self.play(4 * UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), OWN)
 
-    def test_an_able_node_that_starts_takes_nothing_away(self):
+    def test_a_starting_node_with_support_disables_nothing(self):
         self.heard = {"a": OWN}
         self.play(2 * SETTLE_TIME)
         self.heard["new"] = OWN
-        self.play(LOOK)
+        self.play(UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), OWN)
 
-    def test_a_node_that_stood_still_for_long_begins_anew(self):
+    def test_a_node_that_was_suspended_settles_again(self):
         self.heard = {"a": OWN}
         self.play(2 * SETTLE_TIME)
         self.now += SETTLE_TIME
-        self.play(LOOK)
+        self.play(UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), Feature.NONE)
 
-    def test_an_earlier_node_heard_now_and_then_switches_nothing_on(self):
+    def test_an_older_node_heard_intermittently_enables_nothing(self):
         self.heard = {"a": OWN}
         for _ in range(20):
             self.report("old", None)
-            self.play(SETTLE_TIME - LOOK)
-        self.assertEqual(self.told(), [])
+            self.play(SETTLE_TIME - UPDATE_INTERVAL)
+        self.assertEqual(self.logged_features(), [])
 
-    def test_whoever_comes_and_goes_each_matter_changes_seldom(self):
-        """On at the most once in `SETTLE_TIME`, and never while somebody heard can't."""
+    def test_features_change_seldom_while_nodes_come_and_go(self):
+        """Enabled at most once in `SETTLE_TIME`, and never while a heard node lacks support."""
         draw = random.Random(1)
         for _ in range(2_000):
             name = draw.choice(["a", "b", "c", "zone:far"])
@@ -123,39 +126,39 @@
                 self.heard.pop(name, None)
             else:
                 self.heard[name] = draw.choice([OWN, OWN, OWN, SHARES, None])
-            self.play(draw.choice([LOOK, 2.0, 9.0]))
+            self.play(draw.choice([UPDATE_INTERVAL, 2.0, 9.0]))
             self.assertFalse(self.peers.features() & ~self.peers.common_features())
-        changes = len(self.told())
+        changes = len(self.logged_features())
         self.assertGreater(changes, 20)
         self.assertLess(changes, 2 * 2 * self.now / SETTLE_TIME)
 
 
-class TellingTest(BuildsCase):
-    def test_each_change_is_one_line_with_who_keeps_it_off(self):
+class ReportingTest(BuildsCase):
+    def test_each_change_is_logged_once_with_the_peers_that_lack_support(self):
         self.heard = {"a": OWN}
         self.play(2 * SETTLE_TIME)
         self.heard["old"] = SHARES
         self.play(SETTLE_TIME)
         events = [event for event, _ in self.log.written]
         self.assertEqual(events, [Event.FEATURES_CHANGED] * 2)
-        self.assertEqual(self.told(), [["line", "batch_shares"], ["batch_shares"]])
+        self.assertEqual(self.logged_features(), [["line", "batch_shares"], ["batch_shares"]])
         self.assertEqual(self.log.written[1][1]["lacking"], {"line": ["old"]})
 
-    def test_status_tells_own_and_lesser_builds_and_what_is_off(self):
+    def test_status_shows_features_and_peers_that_lack_some(self):
         self.heard = {"a": OWN, "zone:far": None}
-        self.play(LOOK)
+        self.play(UPDATE_INTERVAL)
         far = ["zone:far"]
         peers = {"line batch_shares": 1, "none": 1}
         wanted = {"own": ["line", "batch_shares"], "peers": peers, "lesser_peers": {"zone:far": []}}
         wanted |= {"on": [], "off": {"line": far, "batch_shares": far}}
         self.assertEqual(self.feature_status.fields(), wanted)
 
-    def test_status_tells_that_a_matter_settles(self):
+    def test_status_shows_that_a_feature_settles(self):
         self.heard = {"a": LINE | SHARES}
-        self.play(LOOK)
+        self.play(UPDATE_INTERVAL)
         self.assertEqual(self.feature_status.fields()["off"]["line"], ["settling, 10 s"])
 
-    def test_the_status_of_a_node_has_it(self):
+    def test_status_document_of_a_node_includes_the_features(self):
         fleet = GatewayFleet(nodes=2, engines=1)
         self.addCleanup(fleet.stop)
         node = fleet.nodes["n0"]
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -1,9 +1,9 @@
-"""What a decision on one request costs where there are thousands of engines.
+"""Cost of placing one request with thousands of engines.
 
-Each request looked at every engine of its service before it drew the four that it chose among:
-0.19 ms at 72 engines, 9.0 ms at 3,000, and 2.4 ms more to see that there is room. Each change of
-the directory or of the nodes worked out anew who watches over which engine: 37 ms at 1,000 engines
-and 100 nodes of a zone, up to twice a second.
+Considering every engine of a service for each request took 0.19 ms with 72 engines and 9.0 ms with
+3,000, and 2.4 ms more to find that there is room. Determining the watchers of all engines at each
+change of the directory or the nodes took 37 ms with 1,000 engines and 100 nodes in a zone, up to
+twice a second.
 """
 
 import random
@@ -23,8 +23,8 @@
 SLOTS = 6
 ZONES = ("z0", "z1", "z2")
 FEW, MANY = 72, 3_000
-MOST_LOOKED_AT = 120
-"""Engines at which one request may look."""
+MAX_CONSIDERED = 120
+"""Most engines that may be considered for one request."""
 
 
 def entry(number):
@@ -47,8 +47,8 @@
         terms = RequestTerms("r", None, None, key, shared, 100, 10)
         return fleet.place_online("s", terms, excluded, left).engine
 
-    def looked_at(self, fleet, act):
-        """Engines whose counts `act` reads."""
+    def count_considered(self, fleet, act):
+        """Return the number of engines whose counts `act` reads."""
         with mock.patch.object(fleet.use, "total", wraps=fleet.use.total) as total:
             act()
         return len({one.args[0] for one in total.call_args_list})
@@ -58,21 +58,25 @@
             for _ in range(online):
                 fleet.use.enter(life, batch=False)
 
-    def test_a_request_looks_at_a_bounded_number_of_engines(self):
+    def test_a_bounded_number_of_engines_is_considered_for_a_request(self):
         for engines in (FEW, MANY):
             fleet = self.fleet_of(engines)
             for shared in (0, 5_000):
-                looked = self.looked_at(fleet, lambda f=fleet, s=shared: self.place(f, "k", s))
-                self.assertLessEqual(looked, MOST_LOOKED_AT, engines)
+                considered = self.count_considered(
+                    fleet, lambda f=fleet, s=shared: self.place(f, "k", s)
+                )
+                self.assertLessEqual(considered, MAX_CONSIDERED, engines)
 
-    def test_whether_there_is_room_is_told_by_the_first_engine_that_has_some(self):
+    def test_the_check_for_room_stops_at_the_first_engine_that_has_some(self):
         fleet = self.fleet_of(MANY)
-        self.assertEqual(self.looked_at(fleet, lambda: self.assertTrue(fleet.has_room("s"))), 1)
+        self.assertEqual(
+            self.count_considered(fleet, lambda: self.assertTrue(fleet.has_room("s"))), 1
+        )
         self.fill(fleet, [one.life for one in fleet.engines("s")])
         self.assertFalse(fleet.has_room("s"))
         self.assertTrue(fleet.has_room("nobody serves this"))
 
-    def test_room_at_an_engine_that_failed_counts_where_no_other_is_sound(self):
+    def test_room_at_failed_engines_counts_if_no_engine_is_healthy(self):
         fleet = self.fleet_of(2)
         first, second = (one.life for one in fleet.engines("s"))
         self.fill(fleet, [second])
@@ -87,20 +91,20 @@
         self.assertGreater(len(chosen), 350)
         self.assertEqual({int(one[2:]) % len(ZONES) for one in chosen}, {0})
 
-    def test_kept_parts_are_found_by_all_nodes_of_a_zone(self):
-        keepers = set()
+    def test_all_nodes_of_a_zone_prefer_the_same_engine_for_a_prefix(self):
+        preferred = set()
         for seed in range(4):
-            keepers.add(self.place(self.fleet_of(MANY, seed), "key", 5_000).life)
-        self.assertEqual(len(keepers), 1)
-        # The next one takes its place where it is full, at all nodes alike.
+            preferred.add(self.place(self.fleet_of(MANY, seed), "key", 5_000).life)
+        self.assertEqual(len(preferred), 1)
+        # When it is full, all nodes choose the same next engine.
         others = set()
         for seed in range(4):
             fleet = self.fleet_of(MANY, seed)
-            self.fill(fleet, keepers)
+            self.fill(fleet, preferred)
             others.add(self.place(fleet, "key", 5_000, left=0.06).life)
-        self.assertEqual(len(others - keepers), 1)
+        self.assertEqual(len(others - preferred), 1)
 
-    def test_an_engine_is_found_where_only_one_is_left(self):
+    def test_the_last_engine_left_is_found(self):
         fleet = self.fleet_of(MANY)
         *skipped, last = (one.life for one in fleet.engines("s"))
         self.assertEqual(self.place(fleet, excluded=skipped).life, last)
@@ -121,7 +125,7 @@
             wanted = {key: preferred_owner(key, nodes) for key in keys} if nodes else {}
             self.assertEqual(owners.of, wanted)
 
-    def test_one_change_costs_what_changed(self):
+    def test_the_cost_of_a_change_depends_on_the_change(self):
         keys = [f"e{number}" for number in range(1_000)]
         nodes = [f"n{number}" for number in range(100)]
         owners = Owners()
@@ -130,5 +134,5 @@
             owners.update([*keys, "another"], nodes)
             owners.update([*keys, "another"], [*nodes, "another"])
             owners.update(keys, nodes)
-        # A new key among all nodes, a new node for each key beside its owner, and what it owned.
+        # A new key against all nodes, a new node against each key's owner, then the keys it owned.
         self.assertLess(score.call_count, 100 + 2 * 1_001 + 3_000)
--- a/tests/test_node_directory.py
+++ b/tests/test_node_directory.py
@@ -1,4 +1,4 @@
-"""Nodes learn of each other by the store, and read what online requests need first."""
+"""Nodes find each other through the store, and read what online requests need first."""
 
 import unittest
 
@@ -22,24 +22,24 @@
 
 
 class NodeDirectoryTest(unittest.TestCase):
-    def test_of_two_nodes_the_later_one_sees_the_other(self):
+    def test_the_later_one_of_two_nodes_finds_the_other(self):
         topics = MemoryTopics()
         one, two = directory(topics, "one"), directory(topics, "two")
-        told = []
-        two.on_change = lambda: told.append(True)
+        notified = []
+        two.on_change = lambda: notified.append(True)
         one.announce()
         two.announce()
         self.assertEqual(two.addresses()["one"], ("at-one", "z"))
-        self.assertEqual(told, [True])
+        self.assertEqual(notified, [True])
 
-    def test_an_announcement_is_repeated_until_the_store_answers(self):
+    def test_an_announcement_is_retried_until_the_store_answers(self):
         topics = MemoryTopics()
         topics.lost_answers = 1
         one = directory(topics, "one")
         one.announce()
         self.assertEqual(set(one.addresses()), {"one"})
 
-    def test_unreadable_records_are_passed_over_and_told(self):
+    def test_unreadable_records_are_skipped_and_logged(self):
         topics = MemoryTopics()
         topics.append(NODE_TOPIC, 0, [KeyedRecord("bad", b"\xff\xff\xff")])
         one = directory(topics, "one")
@@ -63,17 +63,17 @@
         self.fleet.topics.newest = newest
 
     def test_jobs_are_read_after_what_online_requests_need(self):
-        patience, gateway_module.JOBS_PATIENCE = gateway_module.JOBS_PATIENCE, 60.0
-        self.addCleanup(setattr, gateway_module, "JOBS_PATIENCE", patience)
+        former, gateway_module.JOBS_PATIENCE = gateway_module.JOBS_PATIENCE, 60.0
+        self.addCleanup(setattr, gateway_module, "JOBS_PATIENCE", former)
         node = self.fleet.start_node("n0")
         wait_until(lambda: NODE_TOPIC in self.read)
         self.assertNotIn(JOB_TOPIC, self.read)
         self.fleet.configure()
         wait_until(lambda: node.ready and JOB_TOPIC in self.read)
 
-    def test_jobs_do_not_wait_for_ever(self):
-        patience, gateway_module.JOBS_PATIENCE = gateway_module.JOBS_PATIENCE, 0.05
-        self.addCleanup(setattr, gateway_module, "JOBS_PATIENCE", patience)
+    def test_the_wait_before_jobs_are_read_is_bounded(self):
+        former, gateway_module.JOBS_PATIENCE = gateway_module.JOBS_PATIENCE, 0.05
+        self.addCleanup(setattr, gateway_module, "JOBS_PATIENCE", former)
         self.fleet.start_node("n0")
         wait_until(lambda: JOB_TOPIC in self.read)
 
--- a/tests/test_quarantine_gossip.py
+++ b/tests/test_quarantine_gossip.py
@@ -1,8 +1,8 @@
-"""How soon all nodes know of a request under which engines end, and what it costs to tell.
+"""How soon all nodes know a request under which engines crash, and what the gossip costs.
 
-Such a request comes again at any node some tenths of a second later, so news that is slow, or lost
-with a datagram, costs the fleet further engines. Nodes tell it on under virtual time here, which no
-load of the machine can stretch.
+Such a request is sent again to any node some tenths of a second later, so records that spread
+slowly, or get lost with a datagram, cost the fleet more engines. The nodes run under virtual time,
+so load on the machine does not affect the results.
 """
 
 import random
@@ -29,21 +29,21 @@
 from tests.gateway_support import RecordingEventLog
 
 REQUEST = RequestIdentity(b"0123456789abcdef", 1)
-AGAIN_AFTER = 0.15
-"""Seconds after which such a request comes again at the earliest."""
+RESEND_AFTER = 0.15
+"""Least seconds after which such a request is sent again."""
 SPREAD_TIME = 1.5
-"""Seconds within which all nodes must know: news may pass a node by, and the next round tells it.
-Without a loss 380 nodes know after 0.22 s."""
+"""Seconds within which all nodes must know the request: changes may miss a node, which then learns
+them in the next round. Without loss 380 nodes know it after 0.22 s."""
 MANY_REQUESTS = 40
-"""More than the datagrams of a round hold."""
+"""More requests than fit into the datagrams of a round."""
 ROUND_BYTES = ROUND_PEERS * ROUND_DATAGRAMS * (DATAGRAM_BYTES + HEADER.size)
-"""Bytes a second that rounds may cost a node, whatever is known."""
+"""Most bytes per second that a node sends in rounds, however many requests it knows."""
 DELAY = (0.001, 0.01)
-"""Seconds that a datagram is on its way."""
+"""Bounds of a datagram's transit time in seconds."""
 
 
 class Peers:
-    """All other nodes, heard a moment ago."""
+    """Peer view in which all other nodes have just been heard."""
 
     def __init__(self, node_id, names):
         self._others = [
@@ -63,17 +63,17 @@
 
 
 class Network:
-    """Nodes that tell each other by datagrams, some of which are lost."""
+    """Nodes that exchange datagrams, some of which are lost."""
 
     def __init__(self, loop, size, loss, seed):
         self._random = random.Random(seed)
         self._loss = loss
         self.cut_off = set()
-        """Nodes that get no datagrams."""
+        """Nodes that receive no datagrams."""
         self.sent = {f"n{number}": 0 for number in range(size)}
-        """Bytes that each node has sent."""
-        self.answer_after = 0.0
-        """Seconds that an answer to a node that asks takes."""
+        """Bytes sent by each node."""
+        self.answer_delay = 0.0
+        """Seconds until a call to another node is answered."""
         self.quarantines = {}
         self.sharings = {}
         self._clock = VirtualClock(loop)
@@ -81,7 +81,7 @@
             gevent.spawn(self.join(name).run)
 
     def join(self, name):
-        """One more node, which does not tell or ask yet."""
+        """Add a node that does not send or ask yet."""
         transport = SimpleNamespace(
             send=lambda address, data: self._send(name, address, data),
             call=lambda address, channel, message, timeout: self._call(address, message),
@@ -109,16 +109,16 @@
             )
 
     def _call(self, target, fetch):
-        gevent.sleep(self.answer_after)
+        gevent.sleep(self.answer_delay)
         return self.sharings[target].reply()
 
-    def end_engines(self, now, request=REQUEST):
-        """Each of some nodes sees another engine end under a request."""
+    def crash_engines(self, now, request=REQUEST):
+        """Let an engine crash under a request at each of some nodes."""
         for number in range(HOLD_AFTER):
             self.quarantines[f"n{number}"].record_end(request, f"e{number}", now, now)
 
-    def hold(self, now):
-        """Whether all nodes hold the request back."""
+    def all_hold(self, now):
+        """Return whether all nodes hold the request back."""
         return all(
             one.check_request(REQUEST, now).permission is RunPermission.HELD
             for one in self.quarantines.values()
@@ -126,25 +126,25 @@
 
 
 def spread(size, loss, seed):
-    """Seconds until all nodes hold the request back."""
+    """Return the seconds until all nodes hold the request back."""
 
-    def play(loop):
+    def session(loop):
         network = Network(loop, size, loss, seed)
-        network.end_engines(loop.now())
-        while not network.hold(loop.now()) and loop.now() < 20 * SPREAD_TIME:
+        network.crash_engines(loop.now())
+        while not network.all_hold(loop.now()) and loop.now() < 20 * SPREAD_TIME:
             gevent.sleep(0.01)
         return loop.now()
 
-    return run_virtual(play)
+    return run_virtual(session)
 
 
 class SpreadTest(unittest.TestCase):
-    def test_without_a_loss_they_know_before_it_can_come_again(self):
+    def test_without_loss_all_nodes_know_before_the_request_is_sent_again(self):
         for size in (3, 13):
             with self.subTest(size=size):
-                self.assertLessEqual(spread(size, 0.0, 1), AGAIN_AFTER)
+                self.assertLessEqual(spread(size, 0.0, 1), RESEND_AFTER)
 
-    def test_all_nodes_know_soon(self):
+    def test_all_nodes_know_soon_in_spite_of_loss(self):
         for size, loss in ((3, 0.3), (13, 0.1), (13, 0.3), (71, 0.1), (195, 0.1)):
             with self.subTest(size=size, loss=loss):
                 self.assertLessEqual(
@@ -153,30 +153,30 @@
 
 
 class RoundTest(unittest.TestCase):
-    def test_a_node_that_all_news_passed_by_is_told_again(self):
-        def play(loop):
+    def test_a_node_that_missed_all_changes_learns_them_in_a_round(self):
+        def session(loop):
             network = Network(loop, 13, 0.0, 1)
             network.cut_off.add("n12")
-            network.end_engines(loop.now())
+            network.crash_engines(loop.now())
             gevent.sleep(5.0)
-            self.assertFalse(network.hold(loop.now()))
+            self.assertFalse(network.all_hold(loop.now()))
             network.cut_off.clear()
             gevent.sleep(2 * ROUND_INTERVAL)
-            return network.hold(loop.now())
+            return network.all_hold(loop.now())
 
-        self.assertTrue(run_virtual(play))
+        self.assertTrue(run_virtual(session))
 
 
 class LearnTest(unittest.TestCase):
-    """A node that starts takes no request before it knows what the others know."""
+    """A starting node learns the quarantine of the others before it takes requests."""
 
-    def learn(self, answer_after):
-        """Seconds until a node that asks has learnt, and what it knows then."""
+    def learn(self, answer_delay):
+        """Return the seconds until a node has finished learning, and how many requests it knows."""
 
-        def play(loop):
+        def session(loop):
             network = Network(loop, 3, 0.0, 1)
-            network.answer_after = answer_after
-            network.end_engines(loop.now())
+            network.answer_delay = answer_delay
+            network.crash_engines(loop.now())
             gevent.sleep(1.0)
             network.join("late")
             started = loop.now()
@@ -186,27 +186,27 @@
             sharing.learned.wait()
             return loop.now() - started, len(network.quarantines["late"])
 
-        return run_virtual(play)
+        return run_virtual(session)
 
-    def test_it_waits_for_a_peer_that_is_slow(self):
+    def test_a_starting_node_waits_for_a_slow_peer(self):
         self.assertEqual(self.learn(0.8 * LEARN_TIMEOUT), (0.8 * LEARN_TIMEOUT, 1))
 
-    def test_it_does_not_wait_for_ever(self):
+    def test_the_wait_for_peers_is_bounded(self):
         self.assertEqual(self.learn(5 * LEARN_TIMEOUT), (LEARN_TIMEOUT, 0))
 
 
 class CostTest(unittest.TestCase):
-    def test_what_rounds_cost_does_not_grow_with_what_is_known(self):
+    def test_the_cost_of_rounds_does_not_grow_with_the_quarantine(self):
         seconds = 10
 
-        def play(loop):
+        def session(loop):
             network = Network(loop, 13, 0.1, 1)
             for number in range(MANY_REQUESTS):
                 request = RequestIdentity(number.to_bytes(16, "big"), 1)
-                network.end_engines(loop.now(), request)
+                network.crash_engines(loop.now(), request)
             gevent.sleep(1.0)
             before = dict(network.sent)
             gevent.sleep(seconds)
             return max(network.sent[name] - before[name] for name in before)
 
-        self.assertLessEqual(run_virtual(play) / seconds, ROUND_BYTES)
+        self.assertLessEqual(run_virtual(session) / seconds, ROUND_BYTES)
--- a/tests/test_relayed_topics.py
+++ b/tests/test_relayed_topics.py
@@ -1,4 +1,4 @@
-"""A node that can't reach the store works by a peer that does."""
+"""A node that can't reach the store uses it through a peer that can."""
 
 import json
 import unittest
@@ -49,12 +49,12 @@
 
 
 class StorePathTest(unittest.TestCase):
-    def test_single_failures_change_nothing(self):
+    def test_a_single_failure_changes_nothing(self):
         path = StoreReachability()
         changes = [path.note(answered) for answered in (False, True, False, True)]
         self.assertEqual((changes, path.failing), ([False] * 4, False))
 
-    def test_failures_in_a_row_and_one_answer_change_it(self):
+    def test_consecutive_failures_and_one_answer_change_the_state(self):
         path = StoreReachability()
         changes = [path.note(False) for _ in range(FAILING_AFTER + 1)]
         self.assertEqual(changes.count(True), 1)
@@ -62,14 +62,14 @@
         self.assertTrue(path.note(True))
         self.assertFalse(path.failing)
 
-    def test_a_store_out_of_reach_is_tried_now_and_then(self):
+    def test_an_unreachable_store_is_probed_periodically(self):
         path = StoreReachability()
         for _ in range(FAILING_AFTER):
             path.note(False)
         tried = [path.use_direct(number * PROBE_INTERVAL / 4) for number in range(9)]
         self.assertEqual(tried, [True, False, False, False] * 2 + [True])
 
-    def test_a_peer_of_the_zone_that_reaches_the_store(self):
+    def test_the_relay_is_a_peer_that_reaches_the_store_preferably_of_the_zone(self):
         self.assertIsNone(relay_address(view(), "z", 0.0))
         failing = report("a", store_failing=True)
         leaving = report("b", leaving=True)
@@ -80,28 +80,28 @@
         self.assertEqual(relay_address(view(far, near), "z", 0.0, ["at-d"]), "at-c")
         self.assertIsNone(relay_address(view(far, near), "z", 0.0, ["at-c", "at-d"]))
 
-    def test_a_peer_that_has_fallen_silent_is_not_asked(self):
+    def test_a_silent_peer_is_not_used(self):
         peers = view(report("a"))
         self.assertEqual(relay_address(peers, "z", HEARD_WITHIN), "at-a")
         self.assertIsNone(relay_address(peers, "z", HEARD_WITHIN + 0.1))
 
-    def test_a_peer_that_did_not_answer_is_passed_over_for_a_while(self):
+    def test_a_peer_that_did_not_answer_is_avoided_for_a_while(self):
         avoided = AvoidedPeers()
         avoided.add("at-a", 5.0)
         self.assertIn("at-a", avoided.at(5.0 + AVOID_TIME - 0.1))
         self.assertNotIn("at-b", avoided.at(5.0))
         self.assertNotIn("at-a", avoided.at(5.0 + AVOID_TIME))
 
-    def test_patience_grows_only_where_several_do_not_answer(self):
-        patience, seconds = RelayTimeout(), []
+    def test_the_timeout_grows_only_after_several_unanswered_calls(self):
+        timeout, seconds = RelayTimeout(), []
         for answered in (False, False, False, False, True, False):
-            seconds.append(patience.seconds)
-            patience.note(answered)
+            seconds.append(timeout.seconds)
+            timeout.note(answered)
         self.assertEqual(seconds, [0.5, 0.5, 1.0, 2.0, 2.0, 0.5])
 
 
 class PeerTransport:
-    """Carries calls to one relay server, or fails."""
+    """Transport that passes calls to one relay server, or fails them."""
 
     def __init__(self, server):
         self.server = server
@@ -112,7 +112,7 @@
         self.calls += 1
         if self.error is not None:
             raise self.error
-        # Through the codec, as on the wire.
+        # Encoded and decoded as on the wire.
         reply = self.server.serve(type(message)().parse(bytes(message)))
         return gateway.StoreReply().parse(bytes(reply))
 
@@ -127,28 +127,28 @@
 class RelayedTopicsTest(unittest.TestCase):
     def setUp(self):
         self.store = MemoryTopics()
-        self.own = FaultyTopics(self.store)
+        self.direct = FaultyTopics(self.store)
         self.transport = PeerTransport(RelayServer(self.store))
         self.peers = view(report("a"))
         self.log = RecordingEventLog()
         self.metrics = GatewayMetrics()
         self.topics = RelayedTopics(
-            self.own, "z", Clock(), self.log, self.transport, self.peers, self.metrics
+            self.direct, "z", Clock(), self.log, self.transport, self.peers, self.metrics
         )
 
-    def cut(self, verdict=Verdict.NOT_RUN):
-        self.own.outage_verdict = verdict
+    def outage(self, verdict=Verdict.NOT_RUN):
+        self.direct.outage_verdict = verdict
         for _ in range(FAILING_AFTER):
             self.topics.read("t", 0, 0, 0.0, 100)
         self.assertTrue(self.topics.failing)
 
-    def test_nothing_goes_by_a_peer_while_the_store_answers(self):
+    def test_nothing_is_relayed_while_the_store_answers(self):
         self.topics.append("t", 0, [KeyedRecord("k", b"v")])
         self.assertEqual(self.transport.calls, 0)
 
-    def test_every_call_by_a_peer_is_as_the_own_one(self):
+    def test_relayed_calls_have_the_same_results_as_direct_ones(self):
         records = [KeyedRecord("k", b"v"), KeyedRecord("l", b"\x00")]
-        self.cut()
+        self.outage()
         self.assertEqual(self.topics.append("t", 0, records, at=0), 0)
         self.assertEqual(self.topics.append("t", 0, records), 2)
         with self.assertRaises(PositionTakenError) as taken:
@@ -165,28 +165,28 @@
         with self.assertRaises(HistoryGoneError):
             self.topics.read("t", 0, 0, 0.0, 100)
 
-    def test_an_append_that_may_be_done_is_not_repeated_by_a_peer(self):
-        self.own.outage_verdict = Verdict.MAY_HAVE_RUN
+    def test_an_append_that_may_have_been_made_is_not_relayed(self):
+        self.direct.outage_verdict = Verdict.MAY_HAVE_RUN
         with self.assertRaises(StoreUnavailableError) as error:
             self.topics.append("t", 0, [KeyedRecord("k", b"v")])
         self.assertIs(error.exception.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.transport.calls, 0)
 
-    def test_a_refused_append_is_made_by_a_peer(self):
-        self.own.outage_verdict = Verdict.NOT_RUN
+    def test_a_refused_append_is_relayed(self):
+        self.direct.outage_verdict = Verdict.NOT_RUN
         self.assertEqual(self.topics.append("t", 0, [KeyedRecord("k", b"v")]), 0)
 
-    def test_nobody_is_asked_when_no_peer_reaches_the_store(self):
+    def test_no_peer_is_used_if_none_reaches_the_store(self):
         self.peers.observe(
             LoadReport(node_id="a", incarnation=1, sequence=2, store_failing=True), 0.0
         )
-        self.own.outage_verdict = Verdict.NOT_RUN
+        self.direct.outage_verdict = Verdict.NOT_RUN
         with self.assertRaises(StoreUnavailableError):
             self.topics.newest("t", 0)
         self.assertEqual(self.transport.calls, 0)
 
-    def test_the_verdict_of_the_way_to_the_peer_counts(self):
-        self.cut()
+    def test_the_verdict_of_a_failed_call_to_the_peer_is_passed_on(self):
+        self.outage()
         for verdict in (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN):
             self.topics._avoided = AvoidedPeers()
             self.transport.error = PeerUnavailableError("gone", verdict)
@@ -194,16 +194,16 @@
                 self.topics.append("t", 0, [KeyedRecord("k", b"v")])
             self.assertIs(error.exception.verdict, verdict)
 
-    def test_the_verdict_of_the_peers_store_counts(self):
-        self.cut()
+    def test_the_verdict_of_the_peers_own_call_is_passed_on(self):
+        self.outage()
         self.store.lost_answers = 1
         with self.assertRaises(StoreUnavailableError) as error:
             self.topics.append("t", 0, [KeyedRecord("k", b"v")])
         self.assertIs(error.exception.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_the_way_back_is_told_and_used(self):
-        self.cut()
-        self.own.outage_verdict = None
+    def test_a_reachable_store_is_logged_and_used_directly_again(self):
+        self.outage()
+        self.direct.outage_verdict = None
         self.topics.read("t", 0, 0, 0.0, 100)
         gevent.sleep(0)
         self.assertFalse(self.topics.failing)
@@ -215,25 +215,25 @@
         ]
         self.assertEqual(values, [1, FAILING_AFTER, FAILING_AFTER + 1])
         self.assertEqual(counted("Probe", "answered")._value.get(), 1)
-        told = [event for event, _ in self.log.written]
-        self.assertEqual(told, [Event.STORE_OUT_OF_REACH, Event.STORE_REACHED])
+        logged = [event for event, _ in self.log.written]
+        self.assertEqual(logged, [Event.STORE_OUT_OF_REACH, Event.STORE_REACHED])
 
-    def test_an_own_way_that_stays_lost_holds_no_call_up(self):
-        self.cut()
-        self.own.silent = True
+    def test_a_hanging_probe_delays_no_call(self):
+        self.outage()
+        self.direct.silent = True
         for _ in range(3):
             self.assertEqual(self.topics.read("t", 0, 0, 0.0, 100).next_offset, 0)
             gevent.sleep(0)
-        self.assertEqual(self.own.hung_calls, 1)
+        self.assertEqual(self.direct.hung_calls, 1)
         self.assertTrue(self.topics.failing)
 
     @given(st.lists(st.booleans(), max_size=30))
-    def test_a_cut_loses_and_doubles_no_append(self, cuts):
-        """Against the store alone: the same records in the same order."""
+    def test_an_outage_loses_and_repeats_no_append(self, outages):
+        """Compares with direct appends: the same records in the same order."""
         store = MemoryTopics()
-        own = FaultyTopics(store)
+        direct = FaultyTopics(store)
         topics = RelayedTopics(
-            own,
+            direct,
             "z",
             Clock(),
             RecordingEventLog(),
@@ -241,23 +241,23 @@
             view(report("a")),
             GatewayMetrics(),
         )
-        for number, cut in enumerate(cuts):
-            own.outage_verdict = Verdict.NOT_RUN if cut else None
+        for number, outage in enumerate(outages):
+            direct.outage_verdict = Verdict.NOT_RUN if outage else None
             topics.append("t", 0, [KeyedRecord(f"k{number}", b"v")])
         keys = [one.key for one in store.partition("t", 0).log]
-        self.assertEqual(keys, [f"k{number}" for number in range(len(cuts))])
+        self.assertEqual(keys, [f"k{number}" for number in range(len(outages))])
 
 
 class StatusTest(JobCase):
-    def test_a_node_tells_what_it_believes(self):
+    def test_the_status_document_shows_the_state_of_a_node(self):
         self.usual(silent=True)
         self.submit("n0", "j")
         nodes = list(self.fleet.nodes.values())
 
-        def told():
+        def logged():
             return [one["batch"] for node in nodes for one in node.status_document()["engines"]]
 
-        wait_until(lambda: sum(told()) == 6)
+        wait_until(lambda: sum(logged()) == 6)
         document = json.loads(json.dumps(nodes[0].status_document()))
         self.assertEqual([one["node_id"] for one in document["nodes"]], ["n1"])
         self.assertEqual([one["engine_id"] for one in document["engines"]], ["e0", "e1"])
@@ -270,10 +270,10 @@
         self.assertEqual(sorted(knowledge), ["directory_age", "revision", "revision_age"])
 
 
-class CutNodeTest(JobCase):
+class UnreachableStoreTest(JobCase):
     nodes = 3
 
-    def test_a_node_cut_off_from_the_store_serves_all_the_same(self):
+    def test_a_node_that_can_not_reach_the_store_serves_jobs_and_configuration(self):
         for verdict in (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN):
             with self.subTest(verdict=verdict):
                 job_id = f"j-{verdict.value}"
@@ -293,7 +293,7 @@
                 wait_until(lambda topics=topics: not topics.failing)
         self.assertEqual(len(self.runs()), 6)
 
-    def test_a_job_that_came_to_a_cut_node_is_found_everywhere(self):
+    def test_a_job_submitted_to_a_node_without_the_store_is_found_everywhere(self):
         self.usual(silent=True)
         self.fleet.node_topics["n0"].outage_verdict = Verdict.NOT_RUN
         self.assertEqual(self.submit("n0", "j").status, 202)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections that fall silent for good, while new ones work."""
+"""Open connections that stop responding for good, while new ones work."""
 
 import json
 import unittest
@@ -34,16 +34,16 @@
             patience.note(seconds)
         return patience
 
-    def test_a_store_that_is_quick_is_given_up_soon_by_waiting_reads_too(self):
+    def test_a_fast_store_gets_a_short_timeout_also_for_long_polls(self):
         patience = self.patience(*[0.01] * 5)
         self.assertEqual(patience.seconds(0.0), QUICK_ANSWER_TIMEOUT)
         self.assertEqual(patience.seconds(0.8), 0.8 + QUICK_ANSWER_TIMEOUT)
 
-    def test_a_store_that_is_slow_or_not_known_gets_its_time(self):
+    def test_a_slow_or_unknown_store_gets_the_full_timeout(self):
         for patience in (self.patience(), self.patience(*[0.01] * 5, 0.4)):
             self.assertEqual(patience.seconds(0.8), 0.8 + ANSWER_TIMEOUT)
 
-    def test_it_is_quick_again_after_a_few_answers(self):
+    def test_the_timeout_is_short_again_after_a_few_fast_answers(self):
         patience = self.patience(*[0.01] * 5, QUICK_ANSWER_TIMEOUT, *[0.005] * 3)
         self.assertEqual(patience.seconds(0.0), QUICK_ANSWER_TIMEOUT)
 
@@ -66,7 +66,7 @@
     def append(self):
         return self.store.append("jobs", 0, [KeyedRecord("k", b"v")])
 
-    def test_after_one_silent_connection_no_other_that_rests_is_used(self):
+    def test_after_one_silent_connection_no_idle_one_is_used(self):
         for _ in range(20):
             self.append()
         gevent.joinall([gevent.spawn(self.append) for _ in range(4)], raise_error=True)
@@ -89,10 +89,10 @@
         self.addCleanup(self.proxy.stop)
         self.client = NetworkTransport(f"127.0.0.1:{free_port()}", RecordingEventLog())
         self.addCleanup(self.client.stop)
-        self.hold = 0.0
+        self.delay = 0.0
 
     def answer(self, message):
-        gevent.sleep(self.hold)
+        gevent.sleep(self.delay)
         return gateway.RevisionReply(revision=7)
 
     def call(self, timeout=5.0):
@@ -101,30 +101,30 @@
         return self.client.call(address, Channel.BATCH, request, timeout).revision
 
     def failure(self, timeout=5.0):
-        """The error of a call that fails."""
+        """Return the error of a call that must fail."""
         with self.assertRaises(PeerUnavailableError) as failed:
             self.call(timeout)
         return failed.exception
 
-    def test_a_connection_that_said_nothing_is_opened_anew(self):
+    def test_a_silent_connection_is_replaced(self):
         self.assertEqual(self.call(), 7)
         self.proxy.silence()
         self.assertIs(self.failure(timeout=0.2).verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.call(), 7)
         self.assertEqual(self.proxy.accepted, 2)
 
-    def test_a_call_that_is_slow_beside_others_that_are_answered_ends_no_connection(self):
+    def test_a_slow_call_beside_answered_ones_closes_no_connection(self):
         self.assertEqual(self.call(), 7)
-        self.hold = 1.0
+        self.delay = 1.0
         slow = gevent.spawn(self.failure, 0.4)
         gevent.sleep(0.1)
-        self.hold = 0.0
+        self.delay = 0.0
         self.assertEqual(self.call(), 7)
         self.assertIs(slow.get().verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.call(), 7)
         self.assertEqual(self.proxy.accepted, 1)
 
-    def test_callers_that_waited_for_a_connection_that_failed_fail_with_it(self):
+    def test_calls_that_wait_for_a_failing_connection_fail_with_it(self):
         self.proxy.stop()
         calls = [gevent.spawn(self.failure) for _ in range(3)]
         for one in calls:
@@ -139,8 +139,8 @@
         self.addCleanup(self.proxy.stop)
         self.pool = ConnectionPool(SystemClock())
 
-    def send(self, patience=2.0, **options):
-        """Send one; it may take as long as the machine is busy, but where it finds silence."""
+    def send(self, timeout=2.0, **options):
+        """Send a request and read its response; only a silent connection reaches the time-out."""
         request = (
             b"POST /x HTTP/1.1\r\nRequest-Id: r\r\nExpect-Instance: e0\r\nContent-Length: 0\r\n\r\n"
         )
@@ -150,8 +150,8 @@
             address, request, deadline, still_usable=lambda: True, **options
         )
         try:
-            answer.read_head(patience)
-            while answer.read_event(patience):
+            answer.read_head(timeout)
+            while answer.read_event(timeout):
                 pass
         except AttemptError:
             answer.abort()
@@ -165,7 +165,7 @@
         self.assertEqual(self.proxy.accepted, 1)
         self.proxy.silence()
         with self.assertRaises(AttemptError):
-            self.send(patience=0.2)
+            self.send(timeout=0.2)
         self.send()
         self.send(new_connection=True)
         self.assertEqual(self.proxy.accepted, 3)
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -1,8 +1,8 @@
 """A machine that is suspended for some seconds.
 
-The steady clock that a process usually reads stands still meanwhile, so a node that wakes up takes
-what it knew before for fresh: engines that have left since, a lease that others took over, a
-configuration that was replaced. Ages must come from the clock that counts the suspension.
+CLOCK_MONOTONIC, the usual steady clock, stops meanwhile. A node that resumes would take outdated
+state for fresh: engines that have left, a lease that another node took over, a configuration that
+was replaced. Ages must come from a clock that includes the suspension.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 
 class SystemClockTest(unittest.TestCase):
-    def test_a_suspension_counts(self):
+    def test_monotonic_time_includes_a_suspension(self):
         clock = SystemClock()
         before = clock.monotonic()
         running = time.clock_gettime
@@ -45,19 +45,19 @@
         self.node = self.fleet.nodes["n1"]
         wait_until(lambda: self.node.ready and len(self.node.peers.all()) == 1)
 
-    def test_what_it_knew_before_is_as_old_as_the_suspension(self):
+    def test_the_age_of_the_directory_includes_the_suspension(self):
         wait_until(lambda: self.node.status_document()["knowledge"]["directory_age"] < 1.5)
         self.fleet.node_topics["n1"].silent = True
         self.clock.suspended_seconds += 7.0
         self.assertGreaterEqual(self.node.status_document()["knowledge"]["directory_age"], 7.0)
 
-    def test_peers_get_their_time_anew(self):
+    def test_peers_are_not_dropped_because_of_the_suspension(self):
         self.clock.suspended_seconds += 7.0
         gevent.sleep(1.0)
         self.assertEqual(len(self.node.peers.all()), 1)
         self.assertEqual(self.fleet.events("n1", Event.PEER_SILENT), [])
 
-    def test_a_request_that_was_under_way_gets_its_answer_when_its_time_is_over(self):
+    def test_a_pending_request_is_answered_though_its_deadline_has_passed(self):
         self.fleet.engines[0].usual = Behaviour(thinks=2.0)
         connection = self.fleet.open("n1", STREAM_PATH, headers=[("Deadline-Ms", "3000")])
         self.addCleanup(connection.close)
@@ -68,15 +68,15 @@
 
 
 class QuickStoreClock(SuspendedClock):
-    """By its steady time each answer of the store takes 5 ms, however busy this machine is."""
+    """A clock by whose steady time each answer of the store takes 5 ms on any machine."""
 
     def __init__(self):
         super().__init__()
-        self._looks = 0
+        self._reads = 0
 
     def steady(self):
-        self._looks += 1
-        return 0.005 * self._looks
+        self._reads += 1
+        return 0.005 * self._reads
 
 
 class StoreTest(unittest.TestCase):
@@ -95,7 +95,7 @@
         start_response("200 OK", [("Content-Length", str(len(content)))])
         return [content]
 
-    def test_it_is_not_taken_for_slow_because_this_machine_was_suspended(self):
+    def test_a_suspension_does_not_make_the_store_look_slow(self):
         for suspension in (0.0, 0.0, 0.0, 0.0, 7.0):
             self.suspension = suspension
             self.store.append("jobs", 0, [KeyedRecord("k", b"v")])
--- a/tests/test_topic_follower.py
+++ b/tests/test_topic_follower.py
@@ -1,4 +1,4 @@
-"""A follower misses nothing, whatever overtakes what."""
+"""A follower misses no record, in whatever order its concurrent reads finish."""
 
 import contextlib
 import unittest
@@ -18,7 +18,7 @@
 
 
 class SlowPages(MemoryTopics):
-    """The first answer with newest records comes late."""
+    """A store whose first answer to `newest` is delayed until `gate` is set."""
 
     def __init__(self):
         super().__init__()
@@ -61,7 +61,7 @@
 class OvertakingTest(FollowerCase):
     topics_class = SlowPages
 
-    def test_a_late_page_does_not_bring_back_an_older_state(self):
+    def test_a_delayed_page_does_not_restore_an_older_state(self):
         self.add("a")
         late = gevent.spawn(self.follower.catch_up)
         gevent.sleep(0)
@@ -76,7 +76,7 @@
 
 
 class GrowingPages(MemoryTopics):
-    """Records are appended between the first page of newest records and the next."""
+    """A store in which records are appended between the first and the second page."""
 
     between = ()
 
@@ -99,9 +99,9 @@
         self.last = max(offsets)
         super().observe(records, whole)
 
-    def test_records_that_come_between_pages_are_given_in_their_order(self):
+    def test_records_appended_between_pages_are_passed_on_in_order(self):
         self.add(*(f"k{number:04d}" for number in range(700)))
-        # The first one's place is on a page that was read, the second one's on one that was not.
+        # "early" belongs to a page that was already read, "late" to one that was not.
         self.topics.between = ("early", "late")
         self.follower.catch_up()
         self.follower.catch_up()
@@ -109,7 +109,7 @@
 
 
 class FailingPages(MemoryTopics):
-    """Each second call for a page gets no answer."""
+    """A store that does not answer every second call for a page."""
 
     pages = 0
 
@@ -121,27 +121,27 @@
 
 
 class FailingPagesTest(FollowerCase):
-    """A page that got no answer made the first read begin anew.
+    """An unanswered page must not restart the first read.
 
-    Where every node starts at once the store is at its limit, and a directory of 3,000 engines has
-    six pages: with each second page lost none of them was ever read whole.
+    When all nodes start at once the store is overloaded, and a directory of 3,000 engines has six
+    pages. With every second page lost, a read that restarts never completes.
     """
 
     topics_class = FailingPages
 
-    def test_a_read_goes_on_after_the_last_page_that_came(self):
+    def test_a_read_resumes_after_the_last_answered_page(self):
         self.add(*(f"k{number:04d}" for number in range(1_800)))
         for _ in range(6):
             with contextlib.suppress(StoreUnavailableError):
                 self.follower.catch_up()
-                # What comes between the pages is read after them.
+                # Records appended between the pages are read after them.
                 self.add("last")
         self.assertTrue(self.follower.loaded)
         self.assertEqual(self.topics.pages, 7)
         self.follower.catch_up()
         self.assertEqual(len(self.seen), 1_801)
 
-    def test_what_is_deleted_between_the_pages_is_not_kept(self):
+    def test_records_deleted_between_pages_are_not_kept(self):
         self.add(*(f"k{number:04d}" for number in range(900)))
         with self.assertRaises(StoreUnavailableError):
             self.follower.catch_up()
@@ -156,10 +156,10 @@
 
 
 class AgeTest(unittest.TestCase):
-    """What a follower claims to know is what the store was surely asked for."""
+    """The age of a follower's copy counts from when the store surely looked for records."""
 
     def age_after_a_read(self, held):
-        """Of 1.0 s, given up to a wait of 0.8 s, that found nothing."""
+        """Return the age 0.5 s after an empty read with a wait of 0.8 s that took 1.0 s."""
 
         class LateTopics(MemoryTopics):
             def read(self, topic, part, offset, wait, limit):
@@ -178,15 +178,15 @@
 
         return run_virtual(session)
 
-    def test_a_read_that_the_store_held_tells_of_all_that_time(self):
+    def test_a_read_held_by_the_store_covers_its_whole_wait(self):
         self.assertEqual(self.age_after_a_read(0.8), 0.7)
 
-    def test_one_that_was_late_on_its_way_tells_of_its_start(self):
+    def test_a_read_delayed_on_its_way_covers_only_its_start(self):
         self.assertEqual(self.age_after_a_read(0.0), 1.5)
 
 
 class FollowTest(FollowerCase):
-    def test_everything_comes_in_order(self):
+    def test_all_records_are_passed_on(self):
         self.add("a")
         self.start()
         for number in range(20):
@@ -195,7 +195,7 @@
         wait_until(lambda: len(self.seen) == 21)
         self.assertTrue(self.follower.loaded)
 
-    def test_own_records_need_no_reading_where_nobody_wrote_before(self):
+    def test_own_records_are_not_read_unless_others_were_appended_before(self):
         self.add("a")
         self.follower.catch_up()
         record = KeyedRecord("own", b"v")
@@ -208,7 +208,7 @@
         self.follower.catch_up()
         self.assertEqual(sorted(self.seen), ["a", "b", "own"])
 
-    def test_many_pages(self):
+    def test_a_snapshot_of_many_pages_is_read(self):
         self.add(*(f"k{number:04d}" for number in range(1300)))
         self.follower.catch_up()
         self.assertEqual(len(self.seen), 1300)
@@ -223,17 +223,17 @@
         wait_until(lambda: sorted(self.seen) == ["b", "c"])
         self.assertEqual(len([one for one, _ in self.log.written]), 1)
 
-    def test_lost_and_regained_store_is_told_once(self):
+    def test_an_outage_and_its_end_are_logged_once(self):
         self.topics.down = True
         self.start()
         gevent.sleep(0.6)
         self.topics.down = False
         self.add("a")
         wait_until(lambda: "a" in self.seen)
-        told = [event for event, _ in self.log.written]
-        self.assertEqual(told, [Event.STORE_LOST, Event.STORE_REGAINED])
+        logged = [event for event, _ in self.log.written]
+        self.assertEqual(logged, [Event.STORE_LOST, Event.STORE_REGAINED])
 
-    def test_catching_up_without_the_store_fails_and_keeps_what_was_known(self):
+    def test_catching_up_without_the_store_fails_and_keeps_the_state(self):
         self.add("a")
         self.follower.catch_up()
         self.topics.down = True
--- a/tests/test_unknown_messages.py
+++ b/tests/test_unknown_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a kind that only another build knows: harmless, and a line at the most."""
+"""Messages of a kind that this build does not know do no harm and are logged at most once."""
 
 import contextlib
 import unittest
@@ -21,9 +21,9 @@
 from tests.gateway_support import RecordingEventLog
 from tests.ports import free_port
 
-LATER_KIND = 250
-"""A kind that no build has."""
-LATER = HEADER.pack(3, LATER_KIND, 7) + b"new"
+UNKNOWN_KIND = 250
+"""A message kind that no build uses."""
+UNKNOWN_FRAME = HEADER.pack(3, UNKNOWN_KIND, 7) + b"new"
 
 
 class CallTest(unittest.TestCase):
@@ -37,35 +37,35 @@
         self.conn = socket.create_connection((host, int(port)), timeout=5.0)
         self.addCleanup(self.conn.close)
 
-    def told(self):
+    def logged(self):
         return [event for event, _ in self.log.written]
 
-    def test_calls_beside_it_are_answered(self):
-        self.conn.sendall(LATER + encode_frame(gateway.RevisionFetch(), 8))
+    def test_other_calls_on_the_connection_are_answered(self):
+        self.conn.sendall(UNKNOWN_FRAME + encode_frame(gateway.RevisionFetch(), 8))
         answers = {number: msg for msg, number in (read_frame(self.conn), read_frame(self.conn))}
         self.assertEqual(answers[8], gateway.RevisionReply(revision=9))
         self.assertEqual(answers[7], peer.Acknowledgement())
 
-    def test_a_caller_hears_at_once_that_it_is_not_known(self):
-        self.conn.sendall(LATER)
+    def test_an_unknown_call_is_acknowledged_at_once(self):
+        self.conn.sendall(UNKNOWN_FRAME)
         self.assertEqual(read_frame(self.conn), (peer.Acknowledgement(), 7))
 
-    def test_any_number_of_them_is_one_line(self):
-        self.conn.sendall(LATER * 50)
+    def test_unknown_calls_are_logged_once(self):
+        self.conn.sendall(UNKNOWN_FRAME * 50)
         for _ in range(50):
             read_frame(self.conn)
-        self.assertEqual(self.told(), [Event.MESSAGES_NOT_KNOWN])
+        self.assertEqual(self.logged(), [Event.MESSAGES_NOT_KNOWN])
 
-    def test_what_is_no_frame_still_ends_the_connection(self):
-        self.conn.sendall(HEADER.pack(0xFFFF_FFFF, LATER_KIND, 7))
+    def test_an_invalid_frame_still_closes_the_connection(self):
+        self.conn.sendall(HEADER.pack(0xFFFF_FFFF, UNKNOWN_KIND, 7))
         with contextlib.suppress(ConnectionResetError):
             self.assertIsNone(read_frame(self.conn))
-        self.assertEqual(self.told(), [Event.PEER_MESSAGE_INVALID])
+        self.assertEqual(self.logged(), [Event.PEER_MESSAGE_INVALID])
 
 
 class ReplyTest(unittest.TestCase):
     def begin_call(self):
-        """Returns the call, its peer's connection and its number."""
+        """Start a call; return it with the peer's end of its connection and its number."""
         listener = socket.socket()
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -79,15 +79,15 @@
         _, number = read_frame(conn)
         return call, conn, number
 
-    def test_a_reply_that_is_not_known_ends_no_other_call(self):
+    def test_an_unknown_reply_does_not_affect_other_calls(self):
         call, conn, number = self.begin_call()
-        conn.sendall(LATER + encode_frame(gateway.RevisionReply(revision=9), number))
+        conn.sendall(UNKNOWN_FRAME + encode_frame(gateway.RevisionReply(revision=9), number))
         self.assertEqual(call.get(timeout=5.0), gateway.RevisionReply(revision=9))
 
-    def test_a_call_whose_reply_is_not_known_may_have_run(self):
-        """An acknowledgement would say that the peer didn't know the call."""
+    def test_a_call_with_an_unknown_reply_may_have_run(self):
+        """Only an acknowledgement would mean that the peer does not know the call."""
         call, conn, number = self.begin_call()
-        conn.sendall(HEADER.pack(3, LATER_KIND, number) + b"new")
+        conn.sendall(HEADER.pack(3, UNKNOWN_KIND, number) + b"new")
         with self.assertRaises(PeerUnavailableError) as caught:
             call.get(timeout=3.0)
         self.assertIs(caught.exception.verdict, Verdict.MAY_HAVE_RUN)
@@ -104,20 +104,20 @@
             PeerServices(identity, clock, self.log, mock.Mock(), fleet, self.peers, dict, None)
         )
 
-    def told(self):
+    def logged(self):
         return [(event, fields["count"]) for event, fields in self.log.written]
 
-    def test_any_number_of_them_is_a_line_a_minute(self):
+    def test_unknown_datagrams_are_logged_once_a_minute(self):
         for _ in range(100):
             self.now += 0.1
-            self.reports.receive(LATER, "127.0.0.1:9")
-        self.assertEqual(self.told(), [(Event.MESSAGES_NOT_KNOWN, 1)])
+            self.reports.receive(UNKNOWN_FRAME, "127.0.0.1:9")
+        self.assertEqual(self.logged(), [(Event.MESSAGES_NOT_KNOWN, 1)])
         self.now += TOLD_INTERVAL
-        self.reports.receive(LATER, "127.0.0.1:9")
-        self.assertEqual(self.told()[1:], [(Event.MESSAGES_NOT_KNOWN, 100)])
+        self.reports.receive(UNKNOWN_FRAME, "127.0.0.1:9")
+        self.assertEqual(self.logged()[1:], [(Event.MESSAGES_NOT_KNOWN, 100)])
 
-    def test_reports_beside_them_are_read(self):
-        self.reports.receive(LATER, "127.0.0.1:9")
+    def test_reports_between_unknown_datagrams_are_handled(self):
+        self.reports.receive(UNKNOWN_FRAME, "127.0.0.1:9")
         report = LoadReport("a", 1, 1, zone="z")
         self.reports.receive(encode_frame(PackedReport(report.pack()), 0), "127.0.0.1:9")
         self.assertIsNotNone(self.peers.get("a"))
