--- a/postvalve/gateway/engines/quarantine_guard.py
+++ b/postvalve/gateway/engines/quarantine_guard.py
@@ -129,11 +129,11 @@
         if error.verdict is Verdict.NOT_RUN:
             self._end_trial()
         elif isinstance(error, EngineCutError) and self._just_began:
-            self._note_crash()
+            self._record_crash()
             self._end_trial()
         self.end()
 
-    def _note_crash(self) -> None:
+    def _record_crash(self) -> None:
         now = self._clock.monotonic()
         counts = self._quarantine.record_end(self.identity, self._life, self._sent_at, now)
         decision = self._quarantine.check_request(self.identity, now)
@@ -160,7 +160,7 @@
         responding. It then counts as a crash until the engine responds again.
         """
         if self._trial is not None:
-            self._note_crash()
+            self._record_crash()
             self._end_trial()
 
     def _end_trial(self) -> None:
--- a/postvalve/gateway/fleet/directory_reader.py
+++ b/postvalve/gateway/fleet/directory_reader.py
@@ -79,12 +79,12 @@
         return DirectoryState(self._follower.next_offset, milliseconds(self._follower.age))
 
     def update_age(self) -> None:
-        """Take in the age of this node's copy; called a few times a second."""
-        self._note_fresh(self._follower.fresh_at)
+        """Record the age of this node's copy; called a few times a second."""
+        self._record_fresh(self._follower.fresh_at)
 
     def receive(self, state: DirectoryState, peer: str) -> None:
-        """Take in a peer's directory state; start an extra read if the peer is ahead."""
-        self._note_fresh(self._clock.monotonic() - state.age_ms / 1000)
+        """Record the age of a peer's copy; start an extra read if the peer is ahead."""
+        self._record_fresh(self._clock.monotonic() - state.age_ms / 1000)
         behind = self._follower.loaded and self._follower.next_offset < state.offset
         if behind and not self._is_catching_up:
             self._is_catching_up = True
@@ -105,7 +105,7 @@
             Event.DIRECTORY_BEHIND, peer=peer, offset=offset, known=known, error=error
         )
 
-    def _note_fresh(self, fresh_at: float) -> None:
+    def _record_fresh(self, fresh_at: float) -> None:
         now = self._clock.monotonic()
         was_unavailable = self._shared.unavailable
         self._shared.note(fresh_at, now)
@@ -114,7 +114,7 @@
 
     def _store_regained(self) -> None:
         """Handle the first answer of the store after an outage."""
-        self._note_fresh(self._follower.requested_at)
+        self._record_fresh(self._follower.requested_at)
         self._entries.store_back(self._clock.monotonic())
 
     def log_if_stale(self) -> None:
--- a/postvalve/gateway/fleet/load_reports.py
+++ b/postvalve/gateway/fleet/load_reports.py
@@ -73,7 +73,7 @@
         self._sequence = 0
         self._targets: tuple[list[str], list[str]] = ([], [])
         """Addresses of the peers in this node's zone, and in all other zones."""
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
         self._changed = GeventEvent()
         self.leaving = False
         self.revision: Callable[[], int] = lambda: -1
@@ -120,7 +120,7 @@
 
     def refresh_targets(self) -> None:
         """Determine the report targets again, as the peers have changed, and report soon."""
-        self._looked_at = float("-inf")
+        self._refreshed_at = float("-inf")
         self._changed.set()
 
     def next_report(self) -> bytes:
@@ -139,17 +139,17 @@
             self._changed.wait(IDLE_INTERVAL - MIN_INTERVAL)
 
     def _seconds_left(self) -> float:
-        """Return the seconds until the next report that has changes is due."""
+        """Return the seconds until a report with changes is due."""
         now = self._clock.monotonic()
         groups = zip((self._near, self._far), self._targets, strict=True)
-        left = [pace.seconds_left(len(peers), now) for pace, peers in groups if pace.waiting]
+        left = [one.seconds_left(len(peers), now) for one, peers in groups if one.waiting]
         return min(left, default=0.0)
 
     def send_due(self) -> None:
         """Send a report to each group of peers for which one is due."""
         now = self._clock.monotonic()
-        if now - self._looked_at >= TARGETS_AGE:
-            self._looked_at = now
+        if now - self._refreshed_at >= TARGETS_AGE:
+            self._refreshed_at = now
             self._expire(now)
             self._fleet.paces.update()
             self.on_refresh()
@@ -161,8 +161,8 @@
         groups = zip((self._near, self._far), self._targets, (False, True), strict=True)
         due = [
             (far, addresses)
-            for pace, addresses, far in groups
-            if pace.take_turn(len(addresses), now) and addresses
+            for schedule, addresses, far in groups
+            if schedule.take_turn(len(addresses), now) and addresses
         ]
         if due:
             self._send(due)
@@ -242,7 +242,7 @@
 
     @singledispatchmethod
     def _handle(self, msg: Message, address: str) -> None:
-        """Handle a decoded message; messages of the native node protocol are ignored."""
+        """Handle a decoded message; those of the product's own interface are ignored."""
 
     @_handle.register
     def _(self, msg: gateway.ZoneDigest, address: str) -> None:
--- a/postvalve/gateway/fleet/quarantine_gossip.py
+++ b/postvalve/gateway/fleet/quarantine_gossip.py
@@ -90,7 +90,7 @@
         """Set once this node has learned the quarantine of others, or the wait has timed out."""
         self.on_learned: Callable[[], None] = lambda: None
         """Called after `learned` was set."""
-        quarantine.on_change = self._note_change
+        quarantine.on_change = self._record_change
 
     # Sending
 
@@ -109,7 +109,7 @@
                 for digest in self._quarantine.digests():
                     self._save(digest)
 
-    def _note_change(self, digest: bytes) -> None:
+    def _record_change(self, digest: bytes) -> None:
         self._changes.add(digest)
         self._changed.set()
 
@@ -241,9 +241,9 @@
             self._events.emit(Event.QUARANTINE_NOT_LEARNT, source="store", error=exc.message)
             return
         for record in records.records:
-            self._take_record(record)
+            self._load_record(record)
 
-    def _take_record(self, record: KeyedRecord) -> None:
+    def _load_record(self, record: KeyedRecord) -> None:
         if not record.value:
             return
         try:
@@ -290,7 +290,7 @@
         return self._services.peers.successor(digest.hex(), self_works=True) == node_id
 
     def _remove_once(self, digest: bytes) -> None:
-        """Remove an expired request from the store, once."""
+        """Remove an expired request from the store, unless this node has done so already."""
         if digest not in self._removed:
             self._removed.add(digest)
             self._remove(digest)
--- a/postvalve/gateway/fleet/zone_digests.py
+++ b/postvalve/gateway/fleet/zone_digests.py
@@ -1,4 +1,4 @@
-"""Zone digests over UDP: sends those of this zone, and forwards those of others in this zone."""
+"""Zone digests over UDP: sends those of this zone, and forwards those of others within it."""
 
 from __future__ import annotations
 
--- a/postvalve/gateway/knowledge/relayed_topics.py
+++ b/postvalve/gateway/knowledge/relayed_topics.py
@@ -65,8 +65,8 @@
         self._transport = transport
         self._peers = peers
         self._metrics = metrics
-        self._path = StoreReachability()
-        self._patience = RelayTimeout()
+        self._reachability = StoreReachability()
+        self._relay_timeout = RelayTimeout()
         self._avoided = AvoidedPeers()
         self._probing = False
         self._last_read = ("", 0, 0)
@@ -77,7 +77,7 @@
     @property
     def failing(self) -> bool:
         """Whether this node can't reach the store directly."""
-        return self._path.failing
+        return self._reachability.failing
 
     def append(
         self, topic: str, part: int, records: Sequence[KeyedRecord], at: int | None = None
@@ -122,7 +122,7 @@
         wait: float = 0.0,
     ) -> Result:
         kind = type(call).__name__
-        relay = self._relay() if self._path.failing else None
+        relay = self._relay() if self._reachability.failing else None
         if relay is not None:
             self._probe_if_due()
             return result(self._relayed(relay, call, wait))
@@ -134,7 +134,7 @@
             # An append that may have been made must not be repeated under the same keys.
             must_not_repeat = isinstance(call, gateway.StoreAppend) and unanswered
             # Only a connection may have failed: the follower retries over a new one first.
-            retry_directly = bool(wait) and unanswered and not self._path.failing
+            retry_directly = bool(wait) and unanswered and not self._reachability.failing
             if relay is None or must_not_repeat or retry_directly:
                 raise
         return result(self._relayed(relay, call, wait))
@@ -156,7 +156,7 @@
 
     def _probe_if_due(self) -> None:
         """Start a probe of the direct path if one is due; it runs in parallel to other calls."""
-        if not self._probing and self._path.use_direct(self._clock.monotonic()):
+        if not self._probing and self._reachability.use_direct(self._clock.monotonic()):
             self._probing = True
             gevent.spawn(self._probe)
 
@@ -174,7 +174,7 @@
             self._probing = False
 
     def _record(self, answered: bool, error: str = "") -> None:
-        if not self._path.note(answered):
+        if not self._reachability.note(answered):
             return
         event = Event.STORE_REACHED if answered else Event.STORE_OUT_OF_REACH
         self._events.emit(event, error=error, relay=self._relay() or "")
@@ -186,18 +186,18 @@
 
     def _relayed(self, address: str, call: betterproto.Message, wait: float) -> gateway.StoreReply:
         self._metrics.store_calls.labels(type(call).__name__, "by a peer").inc()
-        timeout = self._patience.seconds if wait else MAX_RELAY_TIMEOUT
+        timeout = self._relay_timeout.seconds if wait else MAX_RELAY_TIMEOUT
         try:
             reply = self._transport.call(address, Channel.BATCH, call, wait + timeout)
         except PeerUnavailableError as exc:
             self._avoided.add(address, self._clock.monotonic())
-            self._patience.note(False)
+            self._relay_timeout.note(False)
             raise StoreUnavailableError(f"relay {address}: {exc.message}", exc.verdict) from exc
-        self._patience.note(True)
+        self._relay_timeout.note(True)
         if not isinstance(reply, gateway.StoreReply):
             # An acknowledgement: the peer's build does not know the call and has not made it.
-            reply_kind = f"relay {address}: {type(reply).__name__}"
-            raise StoreUnavailableError(reply_kind, Verdict.NOT_RUN)
+            reason = f"relay {address}: {type(reply).__name__}"
+            raise StoreUnavailableError(reason, Verdict.NOT_RUN)
         if reply.outcome == _Outcome.STORE_OUTCOME_DONE:
             return reply
         if reply.outcome == _Outcome.STORE_OUTCOME_POSITION_TAKEN:
--- a/postvalve/gateway/knowledge/topic_follower.py
+++ b/postvalve/gateway/knowledge/topic_follower.py
@@ -145,16 +145,16 @@
 
     def run(self) -> None:
         """Follow the topic; never returns."""
-        pause = RETRY_DELAY
+        delay = RETRY_DELAY
         while True:
             try:
                 self._read_once()
-                pause = RETRY_DELAY
+                delay = RETRY_DELAY
                 gevent.sleep(self._pause)
             except PlatformError as error:
                 self._record_failure(error)
-                gevent.sleep(pause)
-                pause = min(MAX_RETRY_DELAY, pause * RETRY_BACKOFF)
+                gevent.sleep(delay)
+                delay = min(MAX_RETRY_DELAY, delay * RETRY_BACKOFF)
 
     def _read_once(self) -> None:
         if not self.loaded:
