--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -222,9 +222,9 @@
             engine.on_end = self._restart_later if reborn else self._replace_engine
 
     def _restart_later(self, ended):
-        gevent.spawn_later(RESTART_DELAY, self._restart, ended)
+        gevent.spawn_later(RESTART_DELAY, self._start_again, ended)
 
-    def _restart(self, ended):
+    def _start_again(self, ended):
         engine = StandInEngine(ended.engine_id, ended.port, ended.born + 1)
         engine.fatal_bodies = ended.fatal_bodies
         engine.on_end = ended.on_end
