--- a/postvalve/gateway/fleet/listed_engines.py
+++ b/postvalve/gateway/fleet/listed_engines.py
@@ -122,7 +122,7 @@
         )
 
     def is_listed(self, life: EngineLife) -> bool:
-        """Whether the directory lists this life of an engine, which ends with its process."""
+        """Whether the directory lists this life of an engine, that is, this run of its process."""
         return life in self._engines
 
     def listed_engines(self) -> list[EngineEntry]:
--- a/postvalve/gateway/fleet/placement.py
+++ b/postvalve/gateway/fleet/placement.py
@@ -35,7 +35,7 @@
     memory: int = 0
     """Tokens of the engine's memory that this attempt may need."""
     to_read: int = 0
-    """Prompt tokens, its own included, that the engine must read before its first event."""
+    """Prompt tokens that the engine must read before the attempt's first event, its own included."""
     expected: float = 0.0
     """Expected seconds from the placement to the first event."""
 
--- a/tests/test_feature_status.py
+++ b/tests/test_feature_status.py
@@ -23,7 +23,7 @@
 """Seconds between updates."""
 
 
-class BuildsCase(unittest.TestCase):
+class FeatureStatusCase(unittest.TestCase):
     def setUp(self):
         self.now, self.sequence, self.log = 0.0, 0, RecordingEventLog()
         self.peers = PeerView("me")
@@ -55,7 +55,7 @@
         return [fields["on"] for event, fields in self.log.written]
 
 
-class EnablingTest(BuildsCase):
+class EnablingTest(FeatureStatusCase):
     def test_a_starting_node_enables_nothing_before_it_has_settled(self):
         self.heard = {"a": OWN}
         self.play(SETTLE_TIME)
@@ -133,7 +133,7 @@
         self.assertLess(changes, 2 * 2 * self.now / SETTLE_TIME)
 
 
-class ReportingTest(BuildsCase):
+class ReportingTest(FeatureStatusCase):
     def test_each_change_is_logged_once_with_the_peers_that_lack_support(self):
         self.heard = {"a": OWN}
         self.play(2 * SETTLE_TIME)
--- a/tests/test_relayed_topics.py
+++ b/tests/test_relayed_topics.py
@@ -48,7 +48,7 @@
     return peers
 
 
-class StorePathTest(unittest.TestCase):
+class StoreReachabilityTest(unittest.TestCase):
     def test_a_single_failure_changes_nothing(self):
         path = StoreReachability()
         changes = [path.note(answered) for answered in (False, True, False, True)]
--- a/tests/test_unknown_messages.py
+++ b/tests/test_unknown_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a kind that this build does not know do no harm and are logged at most once."""
+"""Messages of a kind that this build does not know do no harm and cause few log lines."""
 
 import contextlib
 import unittest
