--- a/postvalve/gateway/fleet/placement.py
+++ b/postvalve/gateway/fleet/placement.py
@@ -35,7 +35,7 @@
     memory: int = 0
     """Tokens of the engine's memory that this attempt may need."""
     to_read: int = 0
-    """Prompt tokens that the engine must read before the attempt's first event, its own included."""
+    """Prompt tokens that the engine must read before the attempt's first event, with its own."""
     expected: float = 0.0
     """Expected seconds from the placement to the first event."""
 
