--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -1,4 +1,4 @@
-"""What this node knows of how fast engines are: learnt, told by engines, and told by peers."""
+"""Pace of engines: learnt from attempts, reported by engines, and exchanged with peers."""
 
 from __future__ import annotations
 
@@ -23,29 +23,30 @@
 from postvalve.events import Event, EventLog
 from postvalve.gateway.fleet.placement import Placement
 
-LOOK_INTERVAL = 1.0
-"""Seconds between looks at which engines differ, at the least: a tenth of the time in which samples
-fade, and at 65 nodes and 45 engines some 3 ms each."""
-CHANGES_TOLD = 8
-"""Engines of which one look tells by a line each that they begin or cease to differ."""
-BAD_LOADS_TOLD = 1_000
-"""Engines whose bad figures are told of, once each."""
+EVALUATION_INTERVAL = 1.0
+"""Least seconds between evaluations of which engines differ: a tenth of the decay time of samples.
+One evaluation takes some 3 ms with 65 nodes and 45 engines."""
+MAX_CHANGES_LOGGED = 8
+"""Most engines logged one by one in each evaluation as differing, or no longer differing."""
+MAX_BAD_LOADS_LOGGED = 1_000
+"""Most engines whose unreadable load is logged; each is logged once."""
 
 
 @dataclass(frozen=True, slots=True)
 class PaceSummary:
-    """What is known of one engine's pace; ages in seconds, None where nothing is known."""
+    """What is known of one engine's pace; ages in seconds, None if nothing is known."""
 
     learnt: PaceFactors
     weight: float
-    """Of the samples of all nodes."""
+    """Total weight of the samples of all nodes."""
     age: float | None = None
-    """Since the newest of them."""
+    """Age of the newest of these samples."""
     reported: float | None = None
-    """What the engine told last, for 1.0 as usual."""
+    """Pace that the engine reported last, relative to its usual one."""
     reported_age: float | None = None
+    """Age of that report."""
     trust: float = 0.0
-    """How much of it counts still, from 0 to 1."""
+    """Weight given to that report at its age, from 0 to 1."""
 
 
 def _age(at: float, now: float) -> float | None:
@@ -53,7 +54,7 @@
 
 
 class EnginePaces:
-    """Paces of all services and engines."""
+    """Latency estimates of all services, and the pace of each engine relative to its service."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
         self._clock = clock
@@ -63,77 +64,79 @@
         self._signals: dict[str, PaceReadings] = {}
         self._counts = CountCorrection()
         self._near = PacePartWriter()
-        """To the zone."""
+        """Reports to nodes of this zone."""
         self._far = PacePartWriter()
-        """To other zones' nodes that are told directly."""
+        """Reports to nodes of other zones."""
         self._zone = PacePartWriter()
-        """To other zones, for all nodes of this one."""
+        """Digests to other zones, on behalf of all nodes of this zone."""
         self._bad_loads: set[int] = set()
-        self._looked_at = float("-inf")
+        self._evaluated_at = float("-inf")
         self.count_requests: Callable[[EngineLife], int] = lambda life: 0
-        """Gives the requests of all nodes at an engine, as this node counts them."""
+        """Returns the requests of all nodes at an engine, as this node counts them."""
 
     def service(self, service: str) -> ServiceLatency:
-        """The pace of a service's engines together."""
+        """Return the latency estimates of a service, averaged over its engines."""
         pace = self._services.get(service)
         if pace is None:
             pace = self._services[service] = ServiceLatency()
         return pace
 
     def retain(self, services: Mapping[EngineLife, str]) -> None:
-        """The directory lists these engines: what was known of other lives ends with them."""
+        """Drop what is known of engines, or earlier lives of them, that are no longer listed."""
         self.learnt.retain(services)
         lives = {engine_hash(life) for life in services}
         self._counts.retain(lives)
         self._bad_loads &= lives
-        for signal in self._signals.values():
-            signal.retain(lives)
+        for pace_readings in self._signals.values():
+            pace_readings.retain(lives)
 
     def reports_pace(self, service: str) -> bool:
-        """Whether engines of a service tell their pace; others are taken for alike.
+        """Whether engines of a service report their pace; otherwise all are treated as equal.
 
-        Attempts of one heap are slow together, so that equal engines often look as if they
-        differed; without their own word that costs more than it brings.
+        Attempts of one burst are slow together, so equal engines often seem to differ. Without
+        reports from the engines, acting on such differences costs more than it gains.
         """
-        signal = self._signals.get(service)
-        return signal is not None and signal.has_readings
+        pace_readings = self._signals.get(service)
+        return pace_readings is not None and pace_readings.has_readings
 
     def factors(self, service: str, life: EngineLife, now: float) -> PaceFactors:
-        """How much longer than usual for its service an engine takes now."""
+        """Return how much longer than the service's average an engine takes at present."""
         key = engine_hash(life)
         factors = self.learnt.factors(key)
-        signal = self._signals.get(service)
-        told = signal.factor(key, now) if signal is not None else 1.0
-        return factors if told == 1.0 else factors.scaled(told)
+        pace_readings = self._signals.get(service)
+        reported = pace_readings.factor(key, now) if pace_readings is not None else 1.0
+        return factors if reported == 1.0 else factors.scaled(reported)
 
     def summary(self, service: str, life: EngineLife, now: float) -> PaceSummary:
-        """What is known of an engine's pace, with its age."""
+        """Return what is known of an engine's pace, for status and logs."""
         key = engine_hash(life)
-        shown = self.learnt.all_samples(key, now)
-        signal = self._signals.get(service)
-        reading = signal.readings().get(key) if signal is not None else None
-        if signal is None or reading is None:
-            return PaceSummary(self.learnt.factors(key), shown.weight, _age(shown.newest_at, now))
-        told_age = now - reading.at
+        samples = self.learnt.all_samples(key, now)
+        pace_readings = self._signals.get(service)
+        reading = pace_readings.readings().get(key) if pace_readings is not None else None
+        if pace_readings is None or reading is None:
+            return PaceSummary(
+                self.learnt.factors(key), samples.weight, _age(samples.newest_at, now)
+            )
+        reported_age = now - reading.at
         return PaceSummary(
             self.learnt.factors(key),
-            shown.weight,
-            _age(shown.newest_at, now),
+            samples.weight,
+            _age(samples.newest_at, now),
             math.exp(reading.value),
-            told_age,
-            signal.confidence(told_age),
+            reported_age,
+            pace_readings.confidence(reported_age),
         )
 
     def uncounted_requests(self, life: EngineLife, now: float) -> int:
-        """Requests at an engine that no node reports, as it told itself."""
+        """Return the requests at an engine beyond those that nodes report, by its own count."""
         return self._counts.requests(engine_hash(life), now)
 
-    # What attempts show
+    # Samples from attempts
 
     def record_load(self, placement: Placement, load: EngineLoad) -> None:
-        """An engine told its load with an answer."""
+        """Record the load that an engine reported with a response."""
         if load.pace is None:
-            # Engines that tell no pace are taken as they always were.
+            # Load without a pace is ignored: such engines are treated as equal.
             return
         life = placement.engine.life
         key = engine_hash(life)
@@ -143,17 +146,17 @@
         self._signals.setdefault(service, PaceReadings()).record(key, load.pace, load.at)
         self._counts.record(key, load.requests, self.count_requests(life), load.at)
 
-    def record_bad_load(self, life: EngineLife, told: str) -> None:
-        """An engine's figures can't be read: it is named once."""
+    def record_bad_load(self, life: EngineLife, reported: str) -> None:
+        """Log an unreadable load report, once per engine."""
         key = engine_hash(life)
         known = self.learnt.knows(key)
-        if not known or key in self._bad_loads or len(self._bad_loads) >= BAD_LOADS_TOLD:
+        if not known or key in self._bad_loads or len(self._bad_loads) >= MAX_BAD_LOADS_LOGGED:
             return
         self._bad_loads.add(key)
-        self._events.emit(Event.ENGINE_LOAD_UNREADABLE, engine=life, told=told)
+        self._events.emit(Event.ENGINE_LOAD_UNREADABLE, engine=life, told=reported)
 
     def record_first_event(self, placement: Placement, seconds: float) -> None:
-        """An attempt's first event came after so many seconds."""
+        """Record the seconds from an attempt's start to its first event."""
         if not placement.found_slot:
             return
         pace = self.service(placement.engine.service)
@@ -162,13 +165,13 @@
             self._observe(placement, PaceMetric.FIRST, seconds, expected)
 
     def record_end(self, placement: Placement, times: AttemptTimes, *, whole: bool = True) -> None:
-        """An attempt ended by no fault of its engine.
+        """Record the timings of an attempt that did not fail because of its engine.
 
         Args:
-            placement: Where.
-            times: Of its events.
-            whole: Whether it got its last event; one that was ended by this system still shows
-                how fast its events came.
+            placement: Placement of the attempt.
+            times: Times of its events.
+            whole: Whether its response was complete; an attempt stopped by this node, such as a
+                preempted one, still shows the pauses between its events.
         """
         pause = times.mean_pause
         if not pause:
@@ -177,7 +180,7 @@
         running = placement.running
         pace.observe_pause(running, pause)
         if times.requested_at:
-            # Items are read in the intervals of a poll, which show no single pause.
+            # Events of batch items are read at polling intervals, which hide single pauses.
             pace.observe_longest_pause(running, times.longest_pause)
         usual = pace.pause(running)
         if not usual:
@@ -189,19 +192,24 @@
             self._observe(placement, PaceMetric.HELD, held, expected)
 
     def _observe(
-        self, placement: Placement, aspect: PaceMetric, seconds: float, expected: float
+        self, placement: Placement, metric: PaceMetric, seconds: float, expected: float
     ) -> None:
         now = self._clock.monotonic()
-        self.learnt.observe(placement.engine.life, aspect, seconds, expected, now)
+        self.learnt.observe(placement.engine.life, metric, seconds, expected, now)
 
-    # What peers tell
+    # Exchange with peers
 
     def pack_report(self, peers: int, *, far: bool = False) -> bytes:
-        """The part of a report where so many peers are told, for all of the zone or all beyond."""
+        """Return the pace part of the next load report.
+
+        Args:
+            peers: Number of peers that get reports, which bounds the size of the part.
+            far: Whether the report goes to nodes of other zones.
+        """
         now = self._clock.monotonic()
-        teller = self._far if far else self._near
-        return teller.next_part(
-            self._worth_telling(self.learnt.own_sample_times()),
+        writer = self._far if far else self._near
+        return writer.next_part(
+            self._reporting_engines(self.learnt.own_sample_times()),
             lambda life: self.learnt.own_samples(life, now),
             self._readings(lambda peer: not peer),
             peers,
@@ -209,63 +217,71 @@
         )
 
     def pack_zone_digest(self, peers: list[str], zones: int) -> bytes:
-        """The part of a digest of this node and these peers, to so many zones."""
+        """Return the pace part of the next zone digest.
+
+        Args:
+            peers: Nodes of this zone whose samples are included beside those of this node.
+            zones: Number of zones that get digests, which bounds the size of the part.
+        """
         now = self._clock.monotonic()
         names = set(peers)
         return self._zone.next_part(
-            self._worth_telling(self.learnt.sample_times()),
+            self._reporting_engines(self.learnt.sample_times()),
             lambda life: self.learnt.samples_of(life, names, now),
             self._readings(lambda peer: not peer or peer in names),
             zones,
             now,
         )
 
-    def _worth_telling(self, lives: Iterator[tuple[int, float]]) -> Iterator[tuple[int, float]]:
-        """Lives of services whose engines tell their pace."""
+    def _reporting_engines(self, lives: Iterator[tuple[int, float]]) -> Iterator[tuple[int, float]]:
+        """Select the engines of services whose engines report their pace."""
         return (one for one in lives if self.reports_pace(self.learnt.service_of(one[0])))
 
-    def _readings(self, heard_from: Callable[[str], bool]) -> Iterator[tuple[int, PaceReading]]:
-        """The newest reading of each engine that came from some peers, or from the engine."""
+    def _readings(self, is_source: Callable[[str], bool]) -> Iterator[tuple[int, PaceReading]]:
+        """Yield the newest reading of each engine if its source satisfies `is_source`.
+
+        The source is a peer's id, or empty for a report of the engine to this node.
+        """
         return (
             (life, one)
-            for signal in self._signals.values()
-            for life, one in signal.readings().items()
-            if heard_from(one.peer)
+            for pace_readings in self._signals.values()
+            for life, one in pace_readings.readings().items()
+            if is_source(one.peer)
         )
 
     def receive(self, peer: str, data: bytes) -> None:
-        """Take in what a peer tells; a part that is cut is left out."""
+        """Take in the pace part of a peer's report or digest; a malformed part is logged."""
         if not data:
             return
         try:
-            told = unpack_pace_part(data, self._clock.monotonic())
+            reported = unpack_pace_part(data, self._clock.monotonic())
         except struct.error as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=peer, error=str(exc))
             return
-        for life, shown in told.lives:
-            self.learnt.receive_samples(peer, life, shown)
-        for life, value, at in told.readings:
+        for life, samples in reported.lives:
+            self.learnt.receive_samples(peer, life, samples)
+        for life, value, at in reported.readings:
             if service := self.learnt.service_of(life):
                 self._signals.setdefault(service, PaceReadings()).record(life, value, at, peer)
 
     def forget(self, peer: str) -> None:
-        """What a peer told comes by another way now."""
+        """Drop the samples received from a peer, which its zone's digests contain from now on."""
         self.learnt.drop_peer(peer)
 
-    # What follows
+    # Evaluation
 
     def update(self) -> None:
-        """Work out which engines differ; called a few times a second."""
+        """Determine which engines differ from the rest; called a few times a second."""
         now = self._clock.monotonic()
-        if now - self._looked_at < LOOK_INTERVAL:
+        if now - self._evaluated_at < EVALUATION_INTERVAL:
             return
-        self._looked_at = now
+        self._evaluated_at = now
         changes = [
             one
             for one in self.learnt.update(now)
             if self.reports_pace(self.learnt.service_of(engine_hash(one.life)))
         ]
-        for change in changes[:CHANGES_TOLD]:
+        for change in changes[:MAX_CHANGES_LOGGED]:
             self._events.emit(
                 Event.ENGINE_DIFFERS if change.differs else Event.ENGINE_DIFFERS_NO_MORE,
                 engine=change.life,
