--- a/postvalve/gateway/serving/application.py
+++ b/postvalve/gateway/serving/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application for clients: routes, limits, answers and how they end."""
+"""The WSGI application that clients talk to: routing, request limits, responses and errors."""
 
 from __future__ import annotations
 
@@ -39,17 +39,19 @@
 from postvalve.settings.routes import EdgeLimits, RouteSpec
 
 START_PATIENCE = 2.5
-"""Seconds that a request waits at a node that has just started, for its configuration and engines.
-A start takes less than one; entries of engines that lapsed with the store are back after two."""
+"""Seconds that a request waits at a node that has just started, until it has a configuration and
+engines. A start takes less than one second; directory entries that expired while the store was
+unavailable are back after two."""
 START_SHARE = 0.5
-"""Share of a request's time that it waits there; with the rest its client can be served
-elsewhere."""
+"""Fraction of a request's time that it may spend waiting for a node to start; the rest is left for
+the client to be served by another node."""
 LEAVING_RETRY_AFTER = 0.1
-"""Seconds told to a client of a node that is about to end; others serve it at once."""
+"""Retry-After in seconds from a node that is draining; other nodes can serve the client at once."""
 NOT_READY_RETRY_AFTER = 0.5
-"""Seconds told to a client of a node that has no configuration yet."""
+"""Retry-After in seconds from a node that has no configuration yet."""
 DEADLINE_MARGIN = 0.02
-"""Seconds before the route's timeout at which a request is given up, to answer in time."""
+"""Seconds before the route's timeout at which a request is given up, so that the error response
+still reaches the client in time."""
 HOP_HEADERS = frozenset(
     (
         "connection",
@@ -61,13 +63,13 @@
         "proxy-connection",
     )
 )
-"""Headers that concern one connection only."""
+"""Hop-by-hop headers, which apply to a single connection and are not forwarded."""
 
 StartResponse = Callable[..., Any]
 
 
 class GatewayApplication:
-    """Serves clients."""
+    """WSGI application of the client-facing server."""
 
     def __init__(
         self,
@@ -89,7 +91,7 @@
         self._random = generator
         self._accounts = accounts
         self.draining = False
-        """Whether connections end after their answers."""
+        """Whether responses carry `Connection: close`."""
         self.refusing = False
         """Whether new requests are refused."""
         self._runs: set[RoutedRun] = set()
@@ -98,7 +100,7 @@
         self.key_policy = KeyPolicy()
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one request and count it under its tenant."""
         self.in_progress += 1
         arrived_at = self._clock.monotonic()
         try:
@@ -144,7 +146,7 @@
             yield from self._send(start_response, self._error_reply(error))
         except (GeneratorExit, CutAnswer):
             raise
-        except Exception as error:  # every failure is answered, and the process goes on
+        except Exception as error:  # any failure gets a response, and the process keeps running
             account.failed(error)
             self._events.emit(Event.REQUEST_ERROR, request=request_id, error=repr(error))
             failure = PostvalveError("unexpected error")
@@ -195,7 +197,7 @@
         return call
 
     def _usable_table(self, call: HttpCall) -> RouteTable:
-        """The configuration in force, alike for all that is decided of a request."""
+        """Return the configuration in force, which is used for all decisions about this request."""
         self._await_start(call)
         table = self._table()
         if table is None:
@@ -227,7 +229,7 @@
             raise
 
     def _await_start(self, call: HttpCall) -> None:
-        """Wait for what this node needs to serve, within the request's time."""
+        """Wait until this node can serve, within the time that the client allows."""
         if self._started.is_set():
             return
         allowed = self._services.dialect.read_terms(call.headers).allowed
@@ -279,7 +281,8 @@
         watch = ClientWatch(connection, client_gone)
         try:
             answer = run.start()
-            # A later attempt has another head; the client sees that of the first.
+            # A retried attempt has response headers of its own; the client gets those of the first
+            # one.
             status, headers = f"{answer.status} {answer.reason}", self._answer_headers(answer)
             if not _is_stream(answer):
                 body = ahead.body(run.body())
@@ -287,7 +290,8 @@
                 yield body
                 return
             events = ahead.events()
-            # The head waits for the first event, so that a failure until then has a status.
+            # The headers are sent with the first event, so that a failure before it can still set
+            # the status.
             first = next(events, b"")
             start_response(status, headers)
             yield first
@@ -299,7 +303,7 @@
             self._runs.discard(run)
 
     def abandon(self) -> None:
-        """End every attempt under way."""
+        """Abort every request under way."""
         for run in list(self._runs):
             run.client_gone()
 
@@ -331,7 +335,8 @@
 
 
 def _needs_key(call: HttpCall, table: RouteTable) -> bool:
-    """Whether a call about jobs needs a key: those of the host's open routes may have none."""
+    """Whether a call about jobs needs an API key: not where the host has a batch route that allows
+    anonymous requests."""
     routes = table.routes_of_host(call.host)
     return not any(route.batch is not None and route.anonymous for route in routes)
 
--- a/postvalve/gateway/serving/caller_accounts.py
+++ b/postvalve/gateway/serving/caller_accounts.py
@@ -1,4 +1,4 @@
-"""What callers of this node got: how requests end, put into the accounts and told to operators."""
+"""Counts how requests at this node end, by tenant, for metrics, the status document and the log."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 from postvalve.gateway.serving.http_server import CutAnswer
 
 TELL_INTERVAL = 10.0
-"""Seconds between lines about what tenants got."""
+"""Seconds between two log events that summarise what tenants got."""
 HOLDERS = 3
-"""Tenants that are named as those who hold engines."""
+"""Number of tenants named as those with the most requests at engines."""
 TOLD = 5
-"""Tenants of each order in such a line."""
+"""Number of tenants in each list of a summary event."""
 
 ENDS: dict[type[BaseException], End] = {
     AuthenticationError: End.KEY_UNKNOWN,
@@ -59,11 +59,11 @@
     ClientGoneError: End.LEFT,
     GeneratorExit: End.LEFT,
 }
-"""How requests end by an error; the nearest class of an error counts."""
+"""The outcome that each error stands for; of an error's base classes the nearest one decides."""
 
 
 def end_of(error: BaseException) -> End:
-    """How a request ended that raised `error`."""
+    """Return the outcome of a request that raised `error`."""
     if isinstance(error, CutAnswer) and error.__cause__ is not None:
         return end_of(error.__cause__)
     for kind in type(error).__mro__:
@@ -74,7 +74,8 @@
 
 
 class RequestAccount:
-    """One request, from its arrival to its end; a context that ends it whatever happens."""
+    """Outcome and times of one request. As a context manager it records the request on exit,
+    whatever happened."""
 
     __slots__ = (
         "_arrived_at",
@@ -98,9 +99,9 @@
         self._tenant = ""
         self._target_latency = 0.0
         self._waited: float | None = None
-        """Seconds until its first engine got it; None before."""
+        """Seconds until the first attempt at an engine began; None before that."""
         self._placed_at: float | None = None
-        """When the attempt under way began."""
+        """When the current attempt began; None between attempts."""
         self._first_at: float | None = None
         self._seconds = 0.0
         self._end: End | None = None
@@ -130,55 +131,56 @@
         )
 
     def dismiss(self) -> None:
-        """Do not count it: it asks for nothing that an engine does."""
+        """Leave this call out of the counts, since it asks for no work of an engine."""
         self._counted = False
 
     def identify(self, tenant: str, target_latency: float) -> None:
-        """Tell whose it is, and the seconds after which its first event is late."""
+        """Set the request's tenant, and the seconds after which its first event counts as late."""
         self._tenant = tenant
         self._target_latency = target_latency
 
     def placed(self, now: float) -> None:
-        """An attempt at an engine begins."""
+        """Record that an attempt at an engine begins."""
         self._placed_at = now
         self._book.note_started(self._tenant)
         if self._waited is None:
             self._waited = now - self._arrived_at
 
     def not_run(self) -> None:
-        """The engine did not take the attempt under way."""
+        """Record that the engine refused the current attempt: its time does not count as engine
+        time."""
         self._take_back()
 
     def released(self) -> None:
-        """The engine is done with the attempt under way, if there is one."""
+        """Record that the engine is done with the current attempt, if there is one."""
         placed_at = self._take_back()
         if placed_at is not None:
             self._seconds += self._clock.monotonic() - placed_at
 
     def _take_back(self) -> float | None:
-        """End the attempt under way; returns when it began, None where there is none."""
+        """End the current attempt; returns when it began, or None if there is none."""
         placed_at, self._placed_at = self._placed_at, None
         if placed_at is not None:
             self._book.note_stopped(self._tenant)
         return placed_at
 
     def first_event(self) -> None:
-        """The first event of its answer came."""
+        """Record that the first event of the response has arrived."""
         self._first_at = self._clock.monotonic()
 
     def whole(self) -> None:
-        """Its answer is whole."""
+        """Record that the response is complete."""
         first_at = self._clock.monotonic() if self._first_at is None else self._first_at
         in_time = first_at - self._arrived_at <= self._target_latency
         self._end = self._end or (End.IN_TIME if in_time else End.LATE)
 
     def failed(self, error: BaseException) -> None:
-        """It ended by an error; what was told first counts."""
+        """Record that the request failed with `error`; an outcome recorded earlier stands."""
         self._end = self._end or end_of(error)
 
 
 class CallerAccounts:
-    """The accounts of this node, for its parts and its operators."""
+    """Request counts of this node by tenant."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
         self._clock = clock
@@ -186,26 +188,29 @@
         self.accounts = Accounts()
         self._told_at = clock.monotonic()
         self._told = 0
-        """What was counted until the last line."""
+        """Number of records counted up to the last summary event."""
 
     def open(self, arrived_at: float) -> RequestAccount:
-        """An account for a request that arrived; nobody's until it is told whose it is."""
+        """Return an account for a request that has arrived; its tenant is set once it is
+        identified."""
         return RequestAccount(self.accounts, self._clock, arrived_at)
 
     def rows(self) -> list[Row]:
-        """See `Accounts.rows`."""
+        """Return one row for each tenant, see `Accounts.rows`."""
         return self.accounts.rows(self._clock.monotonic())
 
     def documents(self) -> list[dict[str, Any]]:
-        """The rows, for the status document."""
+        """Return the rows as JSON objects for the status document."""
         return [row.fields() for row in self.rows()]
 
     def holders(self) -> dict[str, int]:
-        """Tenants with the most online requests of this node at engines now, and how many."""
+        """Return the tenants with the most online requests of this node at engines now, with their
+        numbers."""
         return self.accounts.holders(HOLDERS)
 
     def tell(self) -> None:
-        """Write a line once in a while, if tenants got anything since the last one."""
+        """Emit a summary event every `TELL_INTERVAL` seconds, unless nothing was counted since the
+        last."""
         now = self._clock.monotonic()
         if now - self._told_at < TELL_INTERVAL or self._told == self.accounts.noted:
             return
@@ -223,6 +228,6 @@
 
 
 def _summary(tenant: str, counts: Counts) -> dict[str, Any]:
-    """The counts of a line that are not 0."""
+    """Return the non-zero counts of a tenant."""
     told = {name: value for name, value in counts.fields().items() if value}
     return {"tenant": tenant, **told}
--- a/postvalve/gateway/serving/client_watch.py
+++ b/postvalve/gateway/serving/client_watch.py
@@ -1,4 +1,4 @@
-"""Notices at once that a client has closed its connection while its request is served."""
+"""Detects at once that a client has closed its connection while its request is being served."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import gevent
 
 READ_EVENT = 1
-"""libev's event of a readable socket."""
+"""libev's READ flag: the socket is readable."""
 
 
 class ClientWatch:
-    """Watches one connection without a greenlet of its own."""
+    """Watches one connection through the event loop, without a greenlet of its own."""
 
     def __init__(self, connection: Any, on_gone: Callable[[], None]) -> None:
         self._connection = connection
@@ -22,13 +22,14 @@
         self._watcher.start(self._readable)
 
     def _readable(self) -> None:
-        # Bytes are the client's next request; only an end or an error means that it left.
+        # Readable bytes are the client's next request; only end of file or an error is a
+        # disconnect.
         self._watcher.stop()
         if not _has_bytes(self._connection):
             gevent.spawn(self._on_gone)
 
     def stop(self) -> None:
-        """Stop to watch."""
+        """Stop watching the connection."""
         self._watcher.stop()
         self._watcher.close()
 
--- a/postvalve/gateway/serving/fair_shares.py
+++ b/postvalve/gateway/serving/fair_shares.py
@@ -1,4 +1,5 @@
-"""This node's part in the fair shares: it stamps for tenants, and tells what it knows."""
+"""Start-time fair queueing at this node: assigns start tags to requests and exchanges clocks with
+peers."""
 
 from __future__ import annotations
 
@@ -18,33 +19,36 @@
 from postvalve.core.scheduling.weights import weights_of
 
 LEAST_TENANTS = 2
-"""Tenants of the configuration from which there is something to share."""
+"""Number of configured tenants from which fair queueing is enabled."""
 UNKNOWN_COST = 1.0
-"""Slot seconds of a request while nobody knows what one takes: without any cost all would get the
-same tag. What it took corrects the account."""
+"""Cost in slot seconds of a request of a service whose slot time is not known yet. With a cost of 0
+all requests would get the same tag. The account is corrected when the request ends."""
 ROWS_TOLD = 20
-"""Tenants whose tags `status` shows, those furthest beyond their shares first."""
+"""Number of tenants whose tags the status document lists, those furthest ahead of the clock
+first."""
 
 
 class FairShares:
-    """Tags of this node; off where the configuration names fewer than two tenants."""
+    """Start tags and corrections of tenants; disabled where the configuration names fewer than
+    two."""
 
     def __init__(self, table: Callable[[], RouteTable | None]) -> None:
-        """Know nothing yet; `table` gives the routes in force."""
+        """Begin without any account; `table` returns the routes in force."""
         self._table = table
         self._seen: RouteTable | None = None
         self._weights: dict[str, float] = {}
         self.clock = ShareClock()
         self._lent = TagBook(self.clock)
-        """Of tenants that this node lends to, or stamps for because nobody else does."""
+        """Finish tags of the tenants for which this node is the lender, or for which no lender
+        assigned a tag."""
         self._untold: dict[str, float] = {}
-        """Corrections by tenant that its lender has not heard, in slot seconds."""
+        """Corrections by tenant, in slot seconds, that were not sent to its lender yet."""
         self.first_waiting: Callable[[], dict[int, Place]] = dict
-        """Gives the first that waits here, by the hash of its service."""
+        """Returns the first request queued here for each service, by the hash of the service."""
 
     @property
     def enabled(self) -> bool:
-        """Whether tenants have shares."""
+        """Whether tenants have fair shares."""
         self._look()
         return len(self._weights) >= LEAST_TENANTS
 
@@ -59,62 +63,67 @@
         self._untold = {one: told for one, told in self._untold.items() if one in self._weights}
 
     def work(self, tenant: str, cost: float) -> Work:
-        """What a tenant's next request tells its lender; corrections are told once.
+        """Return cost and correction to send to the lender with a tenant's next request.
+
+        A correction is returned once, and is then no longer pending.
 
         Args:
-            tenant: Who sends it.
-            cost: Slot seconds that it may take; 0 while nobody knows.
+            tenant: The tenant that sends the request.
+            cost: Slot seconds that the request is expected to take; 0 if unknown.
         """
         if not self.enabled:
             return Work(0.0)
         untold = self._untold.pop(tenant, 0.0)
         correction = max(-MAX_COST, min(MAX_COST, untold))
         if untold != correction:
-            # Many ended since the last one: no lender takes more at once.
+            # Lenders accept no larger correction at once; the rest goes with the next request.
             self._untold[tenant] = untold - correction
         return Work(min(MAX_COST, cost or UNKNOWN_COST), correction)
 
     def enter(self, tenant: str, work: Work, told: float) -> RequestShare | None:
-        """Count a request in; None where there are no shares.
+        """Open the account of one request; returns None where tenants have no shares.
 
         Args:
-            tenant: Who sends it; requests without a tenant share one account.
-            work: What was told of it.
-            told: The start tag that its lender gave; 0 where nobody did.
+            tenant: The tenant that sent it; requests without a tenant share one account.
+            work: Cost and correction that were sent to the lender.
+            told: The start tag that the lender assigned; 0 if none did.
         """
         if not self.enabled:
             return None
         return RequestShare(self, tenant, work.cost, told or self.stamp(tenant, work))
 
     def stamp(self, tenant: str, work: Work) -> float:
-        """The start tag of a request."""
+        """Assign the start tag of a tenant's next request."""
         self._look()
         return self._lent.stamp(tenant, self._weights.get(tenant, 1.0), work)
 
     def note_end(self, tenant: str, correction: float) -> None:
-        """A request took so many slot seconds beyond what was told; fewer where negative."""
+        """Add to a tenant's pending correction the slot seconds that a request took beyond its
+        estimated cost; negative if it took less."""
         if tenant in self._weights or not tenant:
             self._untold[tenant] = self._untold.get(tenant, 0.0) + correction
 
     def forget(self) -> None:
-        """This node stood still, and others stamped meanwhile."""
+        """Drop all finish tags: this node was suspended, and other nodes assigned tags
+        meanwhile."""
         self._lent.forget()
 
     def pack(self) -> bytes:
-        """What reports tell; nothing where there are no shares."""
+        """Encode the clock and the queue heads for load reports; empty where tenants have no
+        shares."""
         if not self.enabled:
             return b""
         return ShareNews(self.clock.now, self.first_waiting()).pack()
 
     def hear(self, data: bytes) -> ShareNews | None:
-        """Take in what a peer tells."""
+        """Decode what a peer reported and merge its clock; returns None if it can't be decoded."""
         news = unpack_news(data)
         if news is not None:
             self.clock.merge(news.clock)
         return news
 
     def fields(self) -> dict[str, Any]:
-        """What this node stamps by, for operators."""
+        """Return the clock and the tags that this node assigned, for the status document."""
         last = sorted(self._lent.finishes().items(), key=lambda one: -one[1])[:ROWS_TOLD]
         now = self.clock.now
         rows = [{"tenant": name, "ahead_s": round(at - now, 3)} for name, at in last]
@@ -123,26 +132,26 @@
 
 @dataclass(slots=True)
 class RequestShare:
-    """What one request costs its tenant."""
+    """What one request costs its tenant, in slot seconds."""
 
     shares: FairShares
     tenant: str
     estimate: float
-    """Slot seconds that were told of it."""
+    """Slot seconds that were estimated for it in advance."""
     tag: float
     _took: float = 0.0
     _since: float | None = field(default=None)
 
     def enter(self, now: float) -> None:
-        """An engine gets it."""
+        """Record that an engine gets the request."""
         self._since = now
 
     def leave(self, now: float) -> None:
-        """That engine has ended with it."""
+        """Record that the engine is done with the request."""
         if self._since is not None:
             self._took += now - self._since
             self._since = None
 
     def end(self) -> None:
-        """Correct the account: whoever was refused gets back what it was told to cost."""
+        """Correct the tenant's account: a request that was refused gets its estimated cost back."""
         self.shares.note_end(self.tenant, min(MAX_COST, self._took) - self.estimate)
--- a/postvalve/gateway/serving/http_calls.py
+++ b/postvalve/gateway/serving/http_calls.py
@@ -1,4 +1,4 @@
-"""Calls of clients and the answers that a node gives of its own."""
+"""HTTP requests from clients, and the responses that a node gives itself."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpCall:
-    """One request of a client, as it came."""
+    """A client's request, unchanged."""
 
     method: str
     target: str
-    """Path and query, unchanged."""
+    """Path and query as received."""
     host: str
     headers: Headers
     body: bytes
     address: str = ""
-    """That the call came from; the same caller may come from several."""
+    """IP address that the request came from; one caller may use several."""
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The path of the target."""
         return self.target.partition("?")[0]
 
     @property
     def query(self) -> str:
-        """The query, undecoded."""
+        """The query of the target, not decoded."""
         return self.target.partition("?")[2]
 
     @property
     def header_bytes(self) -> int:
-        """Bytes of its headers, never more than came: a client at the limit must not be refused.
+        """Size of the headers in bytes, never more than was received.
 
-        Blanks at values count for nothing, nor does the request's line, which has a limit of the
-        server's own; a line's end may be one byte.
+        Whitespace around values is not counted, a line ending counts as one byte, and the request
+        line has a limit of its own in the server. So no client within the limit is refused.
         """
         return sum(len(name) + len(value) + len(":\n") for name, value in self.headers)
 
     def header(self, name: str) -> str | None:
-        """One header, by its name in any case."""
+        """Return the value of a header, its name in any case; None if it is absent."""
         wanted = name.lower()
         return next((value for key, value in self.headers if key.lower() == wanted), None)
 
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """A whole answer of this node's own."""
+    """A complete response that this node gives itself."""
 
     status: int
     body: bytes = b""
@@ -62,7 +62,7 @@
 
     @property
     def status_line(self) -> str:
-        """Code and phrase."""
+        """Status code and reason phrase."""
         try:
             return f"{self.status} {HTTPStatus(self.status).phrase}"
         except ValueError:
@@ -70,7 +70,7 @@
 
 
 def error_reply(error: PostvalveError, retry_headers: list[tuple[str, str]]) -> HttpReply:
-    """An error as an answer; its verdict stands in the body."""
+    """Convert an error to a JSON response, with its verdict in the body."""
     document = {
         "error": {"message": error.message, "code": error.code, "verdict": error.verdict.value}
     }
@@ -78,14 +78,14 @@
 
 
 class JobCalls(Protocol):
-    """Calls about batch jobs, in the spelling of one platform."""
+    """API calls about batch jobs in the format of one platform."""
 
     def matches(self, call: HttpCall) -> bool:
-        """Whether a call is about jobs, wherever routes lead."""
+        """Whether a call belongs to this API; it then takes precedence over all routes."""
         ...
 
     def serve(self, call: HttpCall, caller: Caller) -> HttpReply:
-        """Serve such a call; jobs of other tenants do not exist for it.
+        """Serve a call of this API; a caller sees only the jobs of its own tenant.
 
         Raises:
             PostvalveError: with the verdict.
@@ -93,7 +93,7 @@
         ...
 
     def submit(self, call: HttpCall, route: RouteSpec, caller: Caller) -> HttpReply:
-        """Take a job that came to a batch route.
+        """Accept a job that was sent to a batch route.
 
         Raises:
             PostvalveError: with the verdict.
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP servers: for clients, for readiness, and for metrics."""
+"""The gateway's HTTP servers: for clients, for readiness checks, and for metrics."""
 
 from __future__ import annotations
 
@@ -13,35 +13,37 @@
 from postvalve.wsgi_handler import SendAtOnceHandler
 
 MAX_CONNECTIONS = 3_000
-"""Connections of clients that are open at once."""
+"""Client connections that may be open at once."""
 HEAD_TIMEOUT = 3.0
-"""Seconds from a head's first bytes to its end, until a configuration says otherwise."""
+"""Seconds that a request's headers may take from their first byte on, until a configuration sets
+another limit."""
 CONNECTION_KEY = "postvalve.connection"
 TARGET_KEY = "postvalve.target"
 HEADERS_KEY = "postvalve.headers"
 LAG_KEY = "postvalve.lag"
-"""What to call when a write waits for the client for the first time."""
+"""Key of a callback in the WSGI environ, called when a write has to wait for the client for the
+first time."""
 HEAD_END = b"\r\n\r\n"
 HEAD_TOO_SLOW = (
     "408 Request Timeout",
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 )
-"""Status, and answer, to a head that came too slowly; nothing ran."""
+"""Status, and response, to a client that sent its headers too slowly; the request did not run."""
 
 Application = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
 class CutAnswer(GreenletExit):
-    """Raised by an application to end an answer so that it looks cut."""
+    """Raised by an application to end a response so that the client sees it as truncated."""
 
 
 class _Handler(SendAtOnceHandler):
-    """Passes targets and headers on as they came; tells when a client lags."""
+    """Passes the target and the headers on unchanged, and reports when a client lags behind."""
 
     _head_limit: gevent.Timeout | None = None
 
     def handle_one_request(self) -> Any:
-        """Serve one request, if its head comes in time."""
+        """Serve one request, if its headers arrive in time."""
         try:
             return super().handle_one_request()
         except gevent.Timeout as limit:
@@ -52,7 +54,7 @@
             self._end_head_limit()
 
     def read_requestline(self) -> str:
-        """Wait for the next request; the connection rests until its first bytes are there."""
+        """Wait for the next request; the connection counts as idle until the first bytes arrive."""
         self.socket.settimeout(self.server.idle_timeout)
         self.server.resting.add(self)
         try:
@@ -78,19 +80,20 @@
             self._send_rest(memoryview(data)[sent:])
 
     def _send_rest(self, rest: memoryview) -> None:
-        """Send what the connection doesn't take at once; the first time, say that it lags."""
+        """Send what the socket did not accept at once; the first time, call the lag callback."""
         lags = self.environ and self.environ.pop(LAG_KEY, None)
         if lags:
             lags()
         try:
             super()._sendall(rest)
         except OSError as error:
-            # The client's fault, and no other answer could be sent.
+            # The error is the client's, and no other response can be sent. A non-zero length keeps
+            # the server from sending one.
             self.response_length += 1
             raise CutAnswer(str(error)) from error
 
     def get_environ(self) -> dict[str, Any]:
-        """The request, with its target and headers unchanged."""
+        """Return the WSGI environ, with the target and the headers as received."""
         self._end_head_limit()
         environ: dict[str, Any] = super().get_environ()
         environ[CONNECTION_KEY] = self.socket
@@ -100,7 +103,8 @@
 
 
 def _unfold(value: str) -> str:
-    """A header's value in one line: a folded one may look like two headers to who reads it next."""
+    """Return a folded header value on one line: the next reader may take a folded value for two
+    headers."""
     return " ".join(value.splitlines())
 
 
@@ -118,51 +122,51 @@
             log=None,
             error_log=None,
             spawn=Pool(MAX_CONNECTIONS),
-            # The default would look a name up.
+            # By default the server would resolve its host name.
             environ={"SERVER_NAME": host, "SERVER_PORT": port},
             backlog=1024,
         )
 
 
 class GatewayServer:
-    """Listens for clients."""
+    """The HTTP server for clients."""
 
     def __init__(self, listen: str, application: Application, idle_timeout: float = 60.0) -> None:
         self._server = _Server(listen, application, idle_timeout)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def set_idle_timeout(self, seconds: float) -> None:
-        """Set how long a connection may rest, from its next rest on."""
+        """Set how long a connection may be idle; applies from its next idle time on."""
         self._server.idle_timeout = seconds
 
     def set_head_timeout(self, seconds: float) -> None:
-        """Set how long a head may take from its first bytes on."""
+        """Set how long a request's headers may take from their first byte on."""
         self._server.head_timeout = seconds
 
     def close_listener(self) -> None:
-        """Take no new connections; those that are open go on."""
+        """Accept no new connections; open ones continue."""
         self._server.close()
 
     def close_resting(self) -> None:
-        """End the connections on which no request is under way."""
+        """Close the connections that have no request under way."""
         for handler in list(self._server.resting):
             handler.socket.close()
 
     def stop(self, timeout: float) -> None:
-        """Stop; requests in progress have `timeout` seconds."""
+        """Stop the server; requests under way get `timeout` seconds to finish."""
         self._server.close()
         gevent.spawn(self._server.stop, timeout).join(timeout)
 
 
 def plain_server(listen: str, answer: Callable[[str], tuple[str, bytes]]) -> WSGIServer:
-    """A server for other programs of the operators.
+    """Return an HTTP server for health checks and metrics.
 
     Args:
         listen: IP:PORT.
-        answer: Gives status and text for a path.
+        answer: Returns status line and plain text body for a path.
     """
 
     def application(environ: dict[str, Any], start_response: Callable[..., Any]) -> list[bytes]:
--- a/postvalve/gateway/serving/lag.py
+++ b/postvalve/gateway/serving/lag.py
@@ -1,4 +1,5 @@
-"""Tells who lags from who keeps up, where what is sent or comes is larger than sockets hold."""
+"""Tells clients that lag behind from those that keep up, where a body or response is larger than
+the socket buffers."""
 
 from __future__ import annotations
 
@@ -8,24 +9,26 @@
 import gevent
 
 LAG = 0.5
-"""Seconds that a client is waited for, all waits together, before what is held for it counts.
-A large body seldom comes whole with its head, nor does a large answer go out by one write; one that
-goes at a link's full speed must not be given up for others."""
+"""Seconds that a client must have been waited for, in total, before the data held for it counts. A
+large body seldom arrives complete with its headers, nor is a large response sent by one write; a
+transfer at the full speed of its link must not be given up in favour of others."""
 LAG_STEP = 0.05
-"""Seconds between two looks whether a client is waited for."""
+"""Seconds between two checks whether the client is being waited for."""
 
 
 def await_lag(connection: Any, event: int) -> None:
-    """Wait until a client lags.
+    """Return once a client has been waited for during `LAG` seconds in total.
 
     Args:
-        connection: The client's.
-        event: What it is waited for: `select.POLLIN` to send, `select.POLLOUT` to read.
+        connection: The client's socket.
+        event: What is waited for: `select.POLLIN` for the client to send, `select.POLLOUT` for it
+            to read.
     """
     waited = 0.0
     while waited < LAG:
         gevent.sleep(LAG_STEP)
-        # A node that is busy, or has stood still, finds it ready: it didn't wait for the client.
+        # If the node was busy or suspended, the socket is ready by now: that time was not spent
+        # waiting for the client.
         waited += 0.0 if _is_ready(connection, event) else LAG_STEP
 
 
