--- a/postvalve/gateway/__init__.py
+++ b/postvalve/gateway/__init__.py
@@ -1,1 +1,2 @@
-"""Routed traffic: requests that pass through unchanged, and batch jobs of such requests."""
+"""Routed traffic: requests that are passed on unchanged, and batch jobs made up of such
+requests."""
--- a/postvalve/gateway/gateway.py
+++ b/postvalve/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: wires the parts together, starts them, drains them."""
+"""One gateway process: constructs its parts, connects them, starts them and drains them."""
 
 from __future__ import annotations
 
@@ -70,26 +70,27 @@
 from postvalve.settings.routes import RouteSpec, ServiceSpec
 
 CONFIGURATION_WAIT = 1.0
-"""Seconds that a read of the operator's topic waits. A way that falls silent is noticed so much
-later, and a revision must be in force everywhere within 2 s on the smallest deployments."""
+"""Seconds that a read of the operators' topic waits for new records. A store path that stops
+answering is noticed that much later, and on the smallest deployments a revision must be in force
+everywhere within 2 s."""
 CONFIGURATION_PAUSE = 0.05
 HOUSEKEEPING_INTERVAL = 1.0
 STATUS_PATH = "/status"
-"""Path at the metrics address that tells what the node believes."""
+"""Path of the status document on the metrics server."""
 PURGE_INTERVAL = 10.0
 DRAIN_CHECK = 0.05
 DRAIN_RESERVE = 0.8
-"""Seconds before the kill at which a drain ends whatever is left."""
+"""Seconds before the process is killed at which a drain stops waiting for requests under way."""
 JOBS_PATIENCE = 2.0
-"""Seconds that the topic of jobs waits for configuration and engines. When all nodes start
-together its records fill the store's links, and online requests need none of them."""
+"""Seconds that the reader of the jobs topic waits for configuration and engines. When all nodes
+start together its records fill the store's links, and online requests need none of them."""
 IDLE_FACTOR = 2.0
-"""Resting connections are kept so many times longer than clients may use them."""
+"""Factor by which idle connections are kept open longer than clients may reuse them."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayPlatform:
-    """What the platform's adapter brings."""
+    """What a platform adapter provides."""
 
     topics: KeyedTopics
     dialect: Dialect
@@ -100,16 +101,16 @@
     directory_topic: str
     parse_engine: DirectoryParser
     status_time: float
-    """Seconds after its sending that a job stays readable."""
+    """Seconds for which a job stays readable after its submission."""
 
 
 def short_id() -> str:
-    """A new id, unique in the fleet."""
+    """Return a random id of 16 hex digits."""
     return uuid.uuid4().hex[:16]
 
 
 class Gateway:
-    """A gateway process."""
+    """The parts of a gateway process, and its start and drain."""
 
     def __init__(
         self, settings: GatewaySettings, platform: GatewayPlatform, clock: Clock, events: EventLog
@@ -303,17 +304,17 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the platform should send clients here."""
+        """Whether the platform should send clients to this node."""
         return not self._draining and self._serves
 
     @property
     def _serves(self) -> bool:
-        """Whether there are a configuration and engines, and what must not run is known."""
+        """Whether there are a configuration and engines, and the quarantine state was loaded."""
         listed = self.configuration.table is not None and bool(self._fleet.listed_engines())
         return listed and self._sharing.learned.is_set()
 
     def start(self) -> None:
-        """Start everything."""
+        """Start all servers and background tasks."""
         self._transport.serve(self._serve_peer, self._reports.receive)
         self._server.start()
         self._ready_server.start()
@@ -349,7 +350,7 @@
         self._greenlets.append(gevent.spawn(self._guard, task))
 
     def kill(self) -> None:
-        """End at once, without a word to anybody; for tests of what others do then."""
+        """Stop at once, without notice to peers or clients; for tests of how they react."""
         gevent.killall(self._greenlets, block=False)
         self._transport.stop()
         self._server.stop(0.0)
@@ -362,23 +363,23 @@
             try:
                 task()
                 return
-            except Exception as error:  # a background task must go on whatever happens
+            except Exception as error:  # a background task is restarted after any error
                 self._events.emit(
                     Event.BACKGROUND_TASK_FAILED, task=task.__qualname__, error=repr(error)
                 )
                 gevent.sleep(HOUSEKEEPING_INTERVAL)
 
     def wait(self) -> None:
-        """Return when the process may end."""
+        """Block until the process may exit."""
         self._stopped.wait()
 
-    # What other programs ask
+    # Status and metrics
 
     def _readiness(self, path: str) -> tuple[str, bytes]:
         return ("200 OK", b"ready\n") if self.ready else ("503 Service Unavailable", b"not ready\n")
 
     def status_document(self) -> dict[str, Any]:
-        """What this node believes of the fleet."""
+        """Return what this node knows of the fleet."""
         return {
             "node_id": self._settings.node_id,
             "zone": self._settings.zone,
@@ -426,7 +427,7 @@
             return self._limits.reply(message)
         return self._relay.serve(message)
 
-    # What the store tells
+    # Changes read from the store
 
     def _directory_changed(self) -> None:
         self._note_usable()
@@ -460,7 +461,7 @@
         self._usable.wait(JOBS_PATIENCE)
         self._log.follower.run()
 
-    # What peers tell
+    # Reports of peers
 
     def _hear_shares(self, teller: str, parts: Extensions) -> None:
         news = self._shares.hear(parts.get(Extension.SHARE_CLOCK, b""))
@@ -495,7 +496,7 @@
             self._accounts.tell()
 
     def _purge(self) -> None:
-        """Drop jobs that nobody may ask for any more from the store."""
+        """Delete jobs from the store that can no longer be queried."""
         while True:
             gevent.sleep(PURGE_INTERVAL)
             now_ms = milliseconds(self._clock.wall())
@@ -514,7 +515,7 @@
             self._events.emit(Event.ROUTED_JOBS_PURGED, jobs=len(expired))
 
     def _sweep(self) -> None:
-        """Drop saved progress of items that nobody runs any more."""
+        """Delete saved progress of items whose jobs have ended."""
         while True:
             gevent.sleep(SWEEP_INTERVAL)
             sweeper = self.peers.successor(PROGRESS_TOPIC, self_works=True)
@@ -526,10 +527,10 @@
             except StoreUnavailableError:
                 continue
 
-    # Stopping
+    # Shutdown
 
     def request_drain(self) -> None:
-        """Drain; may be called from a signal handler."""
+        """Start a drain; may be called from a signal handler."""
         self._drain_signal.set()
 
     def _await_drain(self) -> None:
@@ -550,7 +551,8 @@
             items=self._runner.in_progress,
         )
         gevent.sleep(self._settings.drain_notice)
-        # Clients go elsewhere now; a request that comes all the same could be cut at the end.
+        # Clients have been told to go elsewhere. A request that still arrives might be truncated by
+        # the exit of the process.
         self.application.refusing = True
         self._server.close_listener()
         self._server.close_resting()
--- a/postvalve/gateway/metrics.py
+++ b/postvalve/gateway/metrics.py
@@ -14,7 +14,7 @@
 
 
 class GatewayMetrics:
-    """All metrics, in a registry of their own."""
+    """All metrics of a gateway, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -80,29 +80,29 @@
         )
 
     def tell_tenants(self, rows: Callable[[], list[Row]]) -> None:
-        """Tell what tenants got as well."""
+        """Export the counts of tenants as well; `rows` returns the current ones."""
         self.registry.register(_TenantCollector(rows))
 
     def exposition(self) -> bytes:
-        """The metrics in Prometheus' text format."""
+        """Return the metrics in Prometheus' text format."""
         return generate_latest(self.registry)
 
 
 class _TenantCollector(Collector):
-    """Counts by tenant; labels are as many as there are accounts, see `core/scheduling/accounts`.
+    """Counts by tenant, with one set of series for each account of `core/scheduling/accounts`.
 
-    A tenant that loses its account loses its series, and the sum of the others grows.
+    The series of a tenant that loses its account end, and the row of all other tenants grows.
     """
 
     def __init__(self, rows: Callable[[], list[Row]]) -> None:
         self._rows = rows
 
     def describe(self) -> list[CounterMetricFamily]:
-        """Nothing is read for the sake of names."""
+        """Return nothing, so that registering the collector reads no counts."""
         return []
 
     def collect(self) -> Iterator[CounterMetricFamily]:
-        """The accounts as they are now."""
+        """Yield the current counts."""
         requests = CounterMetricFamily(
             "postvalve_tenant_requests", "Requests that ended", labels=["tenant", "end"]
         )
--- a/postvalve/gateway/serving/__init__.py
+++ b/postvalve/gateway/serving/__init__.py
@@ -1,1 +1,1 @@
-"""How a client's request is served: HTTP, its decisions in their order, its attempts at engines."""
+"""Serves client requests: HTTP, admission decisions in their order, and attempts at engines."""
--- a/postvalve/gateway/serving/line.py
+++ b/postvalve/gateway/serving/line.py
@@ -1,6 +1,7 @@
-"""This node's part in the line of its zone: it tells who waits here, and keeps the lines it should.
+"""This node's side of the queues that its zone shares, one for each service.
 
-See `core/scheduling/line` for the rules.
+It reports the requests queued here to the node that coordinates a queue, and coordinates queues
+itself. See `core/scheduling/line` for the rules.
 """
 
 from __future__ import annotations
@@ -34,73 +35,76 @@
 from postvalve.messages.generated import gateway
 
 FIRST_GRANTS = 0x7FFFFFFF
-"""Numbers that a keeper's grants may begin with: the rest of 32 bits is left for those after."""
+"""Mask of the first number of a coordinator's grants: the rest of the 32-bit range is left for
+those that follow."""
 ZONES_AGE = 0.1
-"""Seconds for which it is remembered how many zones there are: asked for at each look."""
+"""Seconds for which the number of zones is cached; every evaluation of the queue needs it."""
 
 
 class Line(Protocol):
-    """What the waiting room asks of it."""
+    """What the admission queue asks of the shared queue of its zone."""
 
     def stands(self, service: str) -> bool:
-        """Whether a keeper grants the slots of a service to those that wait here."""
+        """Whether a coordinator grants the slots of a service to the requests queued here."""
         ...
 
     def ahead(self, service: str, number: int) -> int | None:
-        """Requests of all nodes before one that waits here; None where nobody told."""
+        """Return how many requests of all nodes go before one queued here; None if that is
+        unknown."""
         ...
 
     def granted(self, service: str, number: int) -> bool:
-        """Whether one that waits here may start."""
+        """Whether a request queued here was granted a slot."""
         ...
 
     def show(self, waiting: dict[str, list[tuple[int, Place]]]) -> None:
-        """Those that wait here now, by service, in order, with their numbers."""
+        """Update the requests queued here now: numbers and places by service, in order."""
         ...
 
 
 class NoLine:
-    """Each node by itself."""
+    """Used where a node takes part in no shared queue."""
 
     def stands(self, service: str) -> bool:
-        """Never."""
+        """Return False: there is no coordinator."""
         return False
 
     def ahead(self, service: str, number: int) -> int | None:
-        """Nobody tells."""
+        """Return None: no coordinator reports positions."""
         return None
 
     def granted(self, service: str, number: int) -> bool:
-        """Nobody grants."""
+        """Return False: no coordinator grants slots."""
         return False
 
     def show(self, waiting: dict[str, list[tuple[int, Place]]]) -> None:
-        """Nobody hears it."""
+        """Ignore the update."""
 
 
 @dataclass(slots=True)
 class _Told:
-    """What this node has told of one service, and what it heard."""
+    """The requests queued here for one service, as last reported to the coordinator, and its
+    answers."""
 
     name: str
     waiting: tuple[int, ...] = ()
-    """Numbers in order, as last told."""
+    """Numbers of the requests last reported, in order."""
     sent_at: float = float("-inf")
     unanswered_since: float | None = None
     silent: bool = False
-    """Whether the keeper did not answer in time."""
+    """Whether the coordinator did not answer in time."""
     keeper: str | None = None
-    """Whom it was told."""
+    """Node id of the coordinator that the queue was reported to."""
     taken: int = 0
-    """Number of the last grant that was taken in."""
+    """Number of the last grant received."""
     taken_told: int = 0
-    """The same, as last told."""
+    """The value of `taken` when the queue was last reported."""
     granted: set[int] = field(default_factory=set)
     ahead: dict[int, int] = field(default_factory=dict)
 
 
 class ZoneLine:
-    """Lines of this node's zone."""
+    """This node's side of the shared queues of its zone, one for each service."""
 
     def __init__(self, services: PeerServices) -> None:
         self._identity = services.identity
@@ -114,22 +118,22 @@
         self._numbers = 0
         self._zones_at = float("-inf")
         self._zones = 1
-        """Zones with nodes, that share the engines."""
+        """Number of zones that have nodes; all of them share the engines."""
         self._told: dict[int, _Told] = {}
         self._keepers: dict[int, LineKeeper] = {}
         self._names: dict[int, str] = {}
-        """Services by hash."""
+        """Service names by hash."""
         self.leaving = False
         self.own_report: Callable[[], bytes] = bytes
-        """Gives this node's present report, as a datagram."""
+        """Returns this node's current load report as a datagram."""
         self.on_granted: Callable[[], None] = lambda: None
-        """Called when requests that wait here may start."""
+        """Called when requests queued here were granted slots."""
 
-    # Those that wait here
+    # Requests queued at this node
 
     @property
     def _usable(self) -> bool:
-        """Whether all nodes that are heard can do this: others don't know its messages."""
+        """Whether all live peers support shared queues; older builds do not know these messages."""
         return Feature.LINE in self._peers.features()
 
     def _count_zones(self, now: float) -> None:
@@ -139,25 +143,27 @@
             self._zones = len(zones | {self._identity.zone})
 
     def stands(self, service: str) -> bool:
-        """See `Line`."""
+        """Whether a coordinator grants the slots of a service to the requests queued here."""
         told = self._told.get(service_hash(service))
         return told is not None and bool(told.waiting) and not told.silent and self._usable
 
     def ahead(self, service: str, number: int) -> int | None:
-        """See `Line`."""
+        """Return how many requests of all nodes go before one queued here; None if that is
+        unknown."""
         told = self._told.get(service_hash(service))
         if told is None or told.silent or number not in told.ahead:
             return None
-        # The keeper knows its own zone; the others take slots of all engines at the same pace.
+        # The coordinator knows only its own zone; the other zones take slots of all engines at the
+        # same rate.
         return told.ahead[number] * self._zones
 
     def granted(self, service: str, number: int) -> bool:
-        """See `Line`."""
+        """Whether a request queued here was granted a slot."""
         told = self._told.get(service_hash(service))
         return told is not None and number in told.granted
 
     def show(self, waiting: dict[str, list[tuple[int, Place]]]) -> None:
-        """See `Line`."""
+        """Report the requests queued here to the coordinators, where a report is due."""
         if not self._usable:
             self._told.clear()
             return
@@ -171,7 +177,7 @@
             if told.name in waiting or not told.waiting:
                 continue
             if told.taken != told.taken_told:
-                # What was granted is in this node's own counts now.
+                # This node's load report includes the granted requests by now.
                 self._send_state(key, told, [], now)
             else:
                 self._rest(told)
@@ -190,7 +196,7 @@
         identity = self._identity
         keeper = keeper_of(identity.zone, key, self._nodes())
         if keeper != told.keeper:
-            # Each keeper numbers its grants itself: none of this one's was taken in yet.
+            # Each coordinator numbers its own grants: none of the new one's was received yet.
             told.keeper, told.taken, told.taken_told = keeper, 0, 0
         state = State(
             key,
@@ -211,7 +217,8 @@
         if peer is None:
             return
         if told.taken != told.taken_told:
-            # What was started by the last grants must be counted before the keeper grants again.
+            # The requests started by the last grants must be counted before the coordinator grants
+            # more.
             self._transport.send(peer.report.peer_address, self.own_report())
             told.taken_told = told.taken
         msg = gateway.LineState(packed=state.pack())
@@ -219,7 +226,8 @@
 
     @staticmethod
     def _rest(told: _Told) -> None:
-        """Nobody waits here any more: no answer is due."""
+        """Clear the queue of a service for which no request waits any more; no answer is
+        expected."""
         told.waiting = ()
         told.ahead = {}
         if not told.silent:
@@ -233,7 +241,7 @@
         self._events.emit(Event.LINE_SILENT, service=told.name, seconds=round(now - since, 3))
 
     def _nodes(self) -> list[str]:
-        """Nodes of the zone that may keep a line."""
+        """Return the nodes of the zone that may coordinate a queue."""
         near = self._peers.neighbours(self._identity.zone)
         now = self._clock.monotonic()
         nodes = [
@@ -244,7 +252,7 @@
         return nodes if self.leaving else [*nodes, self._identity.node_id]
 
     def hear_grant(self, msg: gateway.LineGrant, address: str) -> None:
-        """Take in a keeper's answer."""
+        """Process a coordinator's answer."""
         try:
             self._take_grant(unpack_grant(msg.packed))
         except LineMessageError as exc:
@@ -264,17 +272,17 @@
             told.granted |= new
             self.on_granted()
         if grant.granted and not told.waiting:
-            # Nobody waits here any more: hand it back.
+            # No request is queued here any more: return the granted slots.
             self._send_state(grant.service, told, [], self._clock.monotonic())
 
-    # The lines that this node keeps
+    # Queues that this node coordinates
 
     @property
     def _may_keep(self) -> bool:
         return self._usable and not self.leaving
 
     def hear_state(self, msg: gateway.LineState, address: str) -> None:
-        """Take in who waits at a peer."""
+        """Process a peer's report of the requests queued there."""
         try:
             self._take_state(unpack_state(msg.packed))
         except LineMessageError as exc:
@@ -287,28 +295,30 @@
         self._count_zones(now)
         keeper = self._keepers.get(state.service)
         if keeper is None:
-            # Numbers go on beyond those of a former life: no keeper grants so many a second.
+            # Numbers continue above those of a previous run of this node: no coordinator makes more
+            # than a thousand grants per second.
             first = milliseconds(self._clock.wall()) & FIRST_GRANTS
             keeper = self._keepers[state.service] = LineKeeper(state.service, first)
         if keeper.hear(state, now):
             self._grant(state.service, keeper, {state.node_id} if state.waiting else set())
 
     def hear_report(self, report: LoadReport) -> None:
-        """A peer's counts came in: grant what has come free."""
+        """Process a peer's load report, and grant the slots that have come free."""
         self._new_nodes.hear(report.node_id, report.incarnation, self._clock.monotonic())
         self.look()
 
     def look(self) -> None:
-        """Grant what has come free."""
+        """Grant the slots that have come free."""
         if not self._may_keep:
-            # Another one keeps the lines, or nobody: grants by old states would go beside theirs.
+            # Another node coordinates the queues, or none does: grants based on old reports would
+            # be made in addition to its own.
             self._keepers.clear()
         for service, keeper in list(self._keepers.items()):
             if keeper.stands:
                 self._grant(service, keeper, set())
 
     def _grant(self, service: int, keeper: LineKeeper, asking: set[str]) -> None:
-        """Grant free places, and answer those that asked and those that got some."""
+        """Grant free slots, and answer the nodes that reported and those that got a grant."""
         now = self._clock.monotonic()
         keeper.expire(now, len(self._nodes()))
         name = self._names.get(service) or self._service_named(service)
@@ -332,9 +342,11 @@
         return self._names.get(service)
 
     def _free(self, service: str) -> int:
-        """Places at the zone's engines, and this zone's part of the free slots at the others.
+        """Return how many requests the engines can still take from this zone's queue.
 
-        Engines that failed a moment ago run nothing and look free: they count where all did.
+        That is the free places at the zone's own engines, and this zone's part of the free slots
+        elsewhere. Engines that failed a moment ago run nothing and look free; they count only if
+        all of them failed.
         """
         entries = self._fleet.engines(service)
         sound = [one for one in entries if self._fleet.state_of(one) != "suspect"] or entries
@@ -345,8 +357,8 @@
                 near += max(0, left + QUEUED_PLACES)
             else:
                 far += max(0, left)
-        # One slot is one request's also where no zone's part is a whole one: where nobody waits in
-        # the others it would stand idle.
+        # A single free slot elsewhere is granted even where the zone's part is less than one: if
+        # the other zones have no request waiting, it would stay idle.
         return near + far // self._zones or min(1, far)
 
     def _send(self, node_id: str, grant: Grant) -> None:
@@ -359,7 +371,7 @@
             self._transport.send(peer.report.peer_address, data)
 
     def fields(self) -> dict[str, Any]:
-        """Lines as this node knows them, for operators."""
+        """Return the queues as this node knows them, for the status document."""
         kept = [
             {
                 "service": self._names.get(service, ""),
--- a/postvalve/gateway/serving/pace_observer.py
+++ b/postvalve/gateway/serving/pace_observer.py
@@ -1,4 +1,5 @@
-"""What one routed request teaches of its service's pace: first events, queues, slots held."""
+"""Measures one routed request for the latency estimates of its service: first event, queue delay,
+slot time."""
 
 from __future__ import annotations
 
@@ -13,8 +14,8 @@
 from postvalve.gateway.metrics import GatewayMetrics
 
 CANDIDATES_TOLD = 6
-"""Engines of which a line tells: the one that was chosen, and those that were expected to be first.
-"""
+"""Number of engines that a log event about a late request lists: the chosen one, and those expected
+to be first."""
 
 
 def _rounded(value: float | None) -> float | None:
@@ -27,11 +28,11 @@
 
     tries: int = 0
     refused_rounds: int = 0
-    """Times that every engine has refused the request."""
+    """Number of rounds in which every engine refused the request."""
 
 
 class PaceObserver:
-    """Watches one request."""
+    """Measures the attempts of one request."""
 
     def __init__(
         self,
@@ -44,12 +45,12 @@
         arrived_at: float,
         target_latency: float,
     ) -> None:
-        """Watch a request.
+        """Begin measuring a request.
 
         Args:
-            service: Who serves it.
+            service: The service that it is sent to.
             arrived_at: Monotonic seconds.
-            target_latency: Seconds after which its first event is late.
+            target_latency: Seconds after which its first event counts as late.
         """
         self._fleet = fleet
         self._clock = clock
@@ -61,25 +62,26 @@
         self._target_latency = target_latency
         self._placed_at = 0.0
         self._first_at = 0.0
-        """When the first event came; 0 before."""
+        """When the first event arrived; 0 before that."""
         self._times = AttemptTimes(0.0)
-        """Of the attempt under way."""
+        """Event times of the current attempt."""
 
     def note_placed(self, now: float) -> None:
-        """An attempt begins."""
+        """Record that an attempt begins."""
         self._placed_at = now
         self._times = AttemptTimes(now)
 
     def note_asked(self) -> None:
-        """The next event is asked for: its reader is not behind."""
+        """Record that the next event is about to be read, so that its arrival is not delayed by the
+        reader."""
         self._times.asked_at = self._clock.monotonic()
 
     def note_event(self) -> None:
-        """An event was read."""
+        """Record that an event was read."""
         self._times.note_event(self._clock.monotonic())
 
     def note_first_event(self, placement: Placement | None, attempts: Attempts) -> None:
-        """The request's first event came."""
+        """Record the first event of the request, and log it if it was late."""
         waited = self._clock.monotonic() - self._arrived_at
         self._metrics.first_event.observe(waited)
         if placement is None:
@@ -106,7 +108,7 @@
             self._tell_considered(placement)
 
     def _tell_considered(self, placement: Placement) -> None:
-        """Tell of the engines that a late request might have been sent to, the best ones."""
+        """Log the engines that a late request could have been sent to, the best ones."""
         pace = self._fleet.pace(self._service)
         tokens = placement.to_read - placement.unread_seen
         expected = [(expected_first(one.room, tokens, pace), one) for one in placement.considered]
@@ -152,7 +154,7 @@
             pace.observe_queue(queued, slots, seconds - pace.first_event(placement.to_read))
 
     def note_end(self, placement: Placement | None) -> None:
-        """A stream ended whole: learn how long it held its slot."""
+        """Learn from a stream that ended normally how long it held its slot."""
         if placement is None or not self._first_at:
             return
         pace = self._fleet.pace(self._service)
--- a/postvalve/gateway/serving/peer_places.py
+++ b/postvalve/gateway/serving/peer_places.py
@@ -1,4 +1,4 @@
-"""Who waits first at other nodes, as their reports and other zones' digests tell."""
+"""The first request queued at each peer, from load reports and the digests of other zones."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from postvalve.core.scheduling.waiting_order import ShareNews, service_hash
 
 NEWS_AGE = 0.5
-"""Seconds after which what a peer told of those that wait there says nothing any more: a node that
-hears of nobody must not be held up by who waited at one that is gone."""
+"""Seconds after which a peer's queue heads are ignored: requests here must not wait for one that
+was queued at a node that has gone."""
 
 
 class PeerPlaces:
-    """By peer: its newest news."""
+    """The latest queue heads of each peer node or zone."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._news: dict[str, tuple[float, ShareNews]] = {}
 
     def hear(self, peer: str, news: ShareNews) -> None:
-        """Take in what a node, or a zone, tells."""
+        """Update the queue heads of a node or zone."""
         if news.first:
             self._news[peer] = (self._clock.monotonic(), news)
         else:
@@ -34,7 +34,7 @@
         return [news for _, news in self._news.values()]
 
     def firsts(self, service: str) -> list[tuple[tuple[int, int], float]]:
-        """Rank and tag of the first that waits at each peer, in order."""
+        """Return rank and tag of the first request queued at each peer for a service, in order."""
         if not self._news:
             return []
         key = service_hash(service)
@@ -42,6 +42,6 @@
         return sorted((one.rank, one.tag) for one in places if one is not None)
 
     def first_tag(self) -> float:
-        """The least tag that waits at any peer; infinite where nobody does."""
+        """Return the least tag queued at any peer; infinite if none is queued."""
         tags = (one.tag for news in self._fresh() for one in news.first.values())
         return min(tags, default=math.inf)
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -1,7 +1,7 @@
-"""Answers to slow clients: read on ahead of them, so that they keep no engine waiting.
+"""Buffers responses to slow clients, so that they do not hold up engines.
 
-A client that keeps up gets each event straight from its engine. From the first write that its
-connection doesn't take at once, a greenlet reads the rest of the answer into a store.
+A client that keeps up gets each event directly from its engine. From the first write that its
+socket does not accept at once, a greenlet reads the rest of the response into a buffer.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from postvalve.gateway.serving.lag import await_lag
 
 CLOSE_AT_ONCE = struct.pack("ii", 1, 0)
-"""Linger option of a connection that keeps nothing for its client when it is closed."""
+"""SO_LINGER value that discards unsent data when a connection is closed."""
 
 
 class ReaderCutError(PostvalveError):
-    """The client was too slow for what could be held for it."""
+    """The client read too slowly for the memory that its response may take."""
 
     code = "reader_too_slow"
     http_status = 408
@@ -38,18 +38,18 @@
 
 @dataclass(slots=True)
 class _Slow:
-    """One client for which something is held, or was."""
+    """A client for which data is or was held."""
 
     holding: Holding
     request_id: str
     since: float
-    """Monotonic seconds."""
+    """Monotonic seconds at which the client began to lag."""
     on_cut: Callable[[], None]
 
 
 @dataclass(slots=True)
 class SlowClients:
-    """Those for whom this node holds something; their budget."""
+    """The clients for which this node holds data, and the memory budget that they share."""
 
     budget: MemoryBudget
     clock: Clock
@@ -58,22 +58,24 @@
     _slow: dict[Holding, _Slow] = field(default_factory=dict)
 
     def enter(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> Holding:
-        """Begin to hold something for a client; `on_cut` is called if it is given up."""
+        """Register a client for which data will be held; `on_cut` is called if the budget gives it
+        up."""
         holding, now = Holding(tenant), self.clock.monotonic()
         self._slow[holding] = _Slow(holding, request_id, now, on_cut)
         return holding
 
     def leave(self, holding: Holding) -> None:
-        """Hold nothing for it any more."""
+        """Release the memory held for a client."""
         self.budget.release(holding)
         self._slow.pop(holding, None)
 
     def take(self, holding: Holding, size: int) -> None:
-        """Hold `size` bytes more, whoever must be given up for it."""
+        """Hold `size` more bytes for a client; clients over the budget are disconnected, this one
+        or others."""
         self.give_up(self.budget.take(holding, size, self.clock.monotonic()))
 
     def give_up(self, holdings: list[Holding]) -> None:
-        """End the connections of clients that the budget has given up."""
+        """Disconnect the clients that the budget has given up."""
         for holding in holdings:
             one = self._slow.pop(holding, None)
             if one is None or holding.cause is None:
@@ -91,7 +93,7 @@
             one.on_cut()
 
     def rows(self) -> list[dict[str, Any]]:
-        """Whom something is held for, most bytes first."""
+        """Return the clients for which data is held, most bytes first, for the status document."""
         now = self.clock.monotonic()
         slow = sorted(self._slow.values(), key=lambda one: -one.holding.size)
         return [
@@ -109,7 +111,7 @@
 
 
 class ReadAhead:
-    """One answer on its way to one client."""
+    """One response on its way to one client."""
 
     def __init__(
         self,
@@ -119,7 +121,7 @@
         request_id: str,
         connection: Any,
     ) -> None:
-        """Nothing is read yet; `source` gives the answer's events."""
+        """Begin without reading anything; `source` yields the events of the response."""
         self._slow = slow
         self._clock = slow.clock
         self._source = source
@@ -132,15 +134,15 @@
         self._holding: Holding | None = None
         self._store: EventStore | None = None
         self._came = GeventEvent()
-        """Set when an event or the end was stored."""
+        """Set when an event, or the end of the response, was stored."""
         self._room = GeventEvent()
-        """Set when the client took an event."""
+        """Set when the client has taken an event."""
 
     def events(self) -> Iterator[bytes]:
-        """Yield the events in order, whoever reads them from the engine.
+        """Yield the events in order, from the engine or from the buffer.
 
         Raises:
-            PostvalveError: as the answer's own; or the client was given up.
+            PostvalveError: the response failed, or the client was given up.
         """
         for event in self._source:
             yield event
@@ -149,12 +151,13 @@
                 return
 
     def body(self, body: bytes) -> bytes:
-        """An answer that is no stream, and is here whole."""
+        """Pass on a complete response body that is not a stream."""
         self._whole = body
         return body
 
     def client_lags(self) -> None:
-        """A write waits for the client. Called while it waits, between two events."""
+        """Begin to buffer, since a write waits for the client. Called during that write, between
+        two events."""
         if self._holding is not None or getgeneratorstate(self._source) == GEN_CLOSED:
             return
         slow = self._slow
@@ -174,12 +177,12 @@
         self._reader = gevent.spawn(self._read_on, self._store)
 
     def _count_when_late(self, holding: Holding, size: int) -> None:
-        """Hold a whole answer for a client that doesn't take it as it goes out."""
+        """Count a complete body as held memory once the client has lagged for `LAG` seconds."""
         await_lag(self._connection, select.POLLOUT)
         self._slow.take(holding, size)
 
     def _read_on(self, store: EventStore) -> None:
-        # Unless it comes to its end, it must look cut.
+        # Unless the source is read to its end, the client must see the response as truncated.
         error: PostvalveError | None = ReaderCutError("the answer was not read to its end")
         try:
             for event in self._source:
@@ -192,13 +195,13 @@
         except PostvalveError as exc:
             error = exc
         finally:
-            # Where it ends midway, the attempt under way ends with it.
+            # If reading stopped early, closing the source ends the current attempt.
             self._source.close()
             store.end(error)
             self._came.set()
 
     def _await_room(self, store: EventStore, size: int) -> None:
-        """Let the engine wait while the store is full, which it may be for a short time only."""
+        """Wait while the buffer is full; the engine may be held up for a short time only."""
         while (patience := store.patience(size, self._clock.monotonic())) > 0:
             self._room.clear()
             self._room.wait(patience)
@@ -212,7 +215,7 @@
             event = store.first()
             if event:
                 yield event
-                # Until now the connection had not taken it.
+                # Until now the socket had not accepted the event.
                 store.drop_first(self._clock.monotonic())
                 self._room.set()
             elif store.ended:
@@ -224,19 +227,20 @@
                 self._came.wait()
 
     def _cut(self) -> None:
-        """End the connection, and the attempt under way with it. Called by whoever needs room."""
+        """Close the connection and end the current attempt. Called by whichever client needs the
+        memory."""
         if self._reader is not None and self._reader is not gevent.getcurrent():
             self._reader.kill(block=False)
         self._came.set()
         drop_connection(self._connection)
 
     def client_gone(self) -> None:
-        """The client left: nothing is kept for it any more."""
+        """Drop what is held for a client that has disconnected."""
         if self._holding is not None:
             drop_connection(self._connection)
 
     def close(self) -> None:
-        """Nothing more goes to the client; an attempt under way ends."""
+        """Stop reading and sending; the current attempt ends."""
         for greenlet in (self._reader, self._counter):
             if greenlet is not None:
                 greenlet.kill()
@@ -246,9 +250,9 @@
 
 
 def drop_connection(connection: Any) -> None:
-    """End a connection, and let go of what its socket still keeps; who waits for it goes on."""
+    """Reset a connection and discard its unsent data; a write that waits for it returns."""
     try:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, CLOSE_AT_ONCE)
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        return  # it has ended already
+        return  # already closed
--- a/postvalve/gateway/serving/request_body.py
+++ b/postvalve/gateway/serving/request_body.py
@@ -1,4 +1,4 @@
-"""Reads a request's body: what is there at once, the rest within a stated pace."""
+"""Reads request bodies: what has arrived at once, the rest at a minimum rate."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 from postvalve.gateway.serving.read_ahead import SlowClients
 
 MIN_BODY_RATE = 4 * 1024
-"""Bytes a second that a body must come at: a third of what the slowest mobile links carry."""
+"""Minimum rate of a body in bytes per second: a third of the rate of the slowest mobile links."""
 READ_BLOCK = MIN_BODY_RATE
-"""Bytes read at once of a body that comes slowly: a second of the slowest pace."""
+"""Bytes per read of a body that arrives slowly: one second at the minimum rate."""
 
 Receive = Callable[[], bytes]
-"""Gives the next bytes of a body; nothing at its end."""
+"""Returns the next bytes of a body; empty at its end."""
 
 
 class SlowBodyError(RefusedError):
-    """The body came too slowly, or there was no room for what had come of it; nothing ran."""
+    """The body arrived below the minimum rate, or there was no memory for the part received; the
+    request did not run."""
 
     code = "body_too_slow"
     error_type = "timeout_error"
@@ -42,19 +43,19 @@
 
     environ: dict[str, Any]
     largest: int | None
-    """Bytes; None where no limit is known yet."""
+    """Maximum size of the body in bytes; None while no configuration sets one."""
     patience: float
-    """Seconds that it may fall behind the slowest pace."""
+    """Seconds that the body may fall behind the minimum rate."""
     slow: SlowClients
     request_id: Callable[[], str]
 
     def read(self) -> bytes:
-        """The whole body.
+        """Read the whole body.
 
         Raises:
-            RequestTooLargeError: as soon as that is known.
-            SlowBodyError: it won't be read any further; its connection can't go on.
-            InvalidRequestError: it was cut.
+            RequestTooLargeError: as soon as the size is known to exceed the limit.
+            SlowBodyError: the rest will not be read, so the connection can't be reused.
+            InvalidRequestError: the connection ended before the body did.
         """
         source = self.environ["wsgi.input"]
         try:
@@ -74,7 +75,8 @@
             raise RequestTooLargeError(f"body over {self.largest} bytes")
 
     def _ready_parts(self, source: Any, length: int) -> Iterator[bytes]:
-        """What has come already, mostly all; the reader's own buffer is empty after less."""
+        """Yield what has already arrived, mostly the whole body; the reader's own buffer is empty
+        after a short read."""
         connection = self.environ[CONNECTION_KEY]
         usual = connection.gettimeout()
         connection.settimeout(0.0)
@@ -89,18 +91,19 @@
             connection.settimeout(usual)
 
     def _receive(self, source: Any, length: int) -> bytes:
-        """What comes next on the connection itself; nothing after the body's end."""
+        """Read the next part from the socket itself; empty after the end of the body."""
         if source.position >= length:
             return b""
         wanted = min(READ_BLOCK, length - source.position)
         part: bytes = self.environ[CONNECTION_KEY].recv(wanted)
         if not part:
-            raise OSError("the connection ended")
+            raise OSError("connection closed before the end of the body")
         source.position += len(part)
         return part
 
     def _read_rest(self, source: Any, parts: list[bytes], receive: Receive) -> bytes:
-        """Read on within the pace; from when it lags, what has come counts as held for it."""
+        """Read the rest at the minimum rate; once the client lags, the part received counts as held
+        memory."""
         clock = self.slow.clock
         pace = TransferPace(MIN_BODY_RATE, self.patience, clock.monotonic())
         body = _LateBody(parts, self.slow, self.request_id, self.environ[CONNECTION_KEY])
@@ -115,7 +118,7 @@
                 self._check(body.size)
                 pace.went(len(part), clock.monotonic())
         except OSError:
-            # Reading ends like this, too, where others needed the room.
+            # Reading also ends with an error where the client was given up for others.
             if not body.given_up:
                 raise
         finally:
@@ -123,14 +126,14 @@
         raise self._given_up(source, body.size, "no room for it")
 
     def _next(self, receive: Receive, pace: TransferPace) -> bytes | None:
-        """What comes within the pace."""
+        """Return the next part; None if it does not arrive at the minimum rate."""
         left = max(0.0, pace.left(self.slow.clock.monotonic()))
         with gevent.Timeout(left, exception=False):
             return receive()
         return None
 
     def _given_up(self, source: Any, size: int, cause: str) -> SlowBodyError:
-        # The rest isn't waited for.
+        # Keeps the server from waiting for the rest of the body.
         source.content_length = source.position
         source.chunked_input = False
         self.slow.metrics.slow_clients.labels("body").inc()
@@ -141,7 +144,7 @@
 
 
 class _LateBody:
-    """What has come of a body; held for a slow client from when it lags."""
+    """The part of a body received so far; it counts as held memory once the client lags."""
 
     def __init__(
         self,
@@ -152,29 +155,29 @@
     ) -> None:
         self.parts = parts
         self.size = sum(map(len, parts))
-        """Bytes."""
+        """Bytes received."""
         self._slow = slow
         self._request_id = request_id
         self._connection = connection
         self._holding: Holding | None = None
-        # Counts also a body of which nothing more comes.
+        # Runs in a greenlet, so that a body of which nothing more arrives is counted too.
         self._counter = gevent.spawn(self._count_when_late)
 
     @property
     def given_up(self) -> bool:
-        """Whether others needed the room."""
+        """Whether the client was given up because others needed the memory."""
         return self._holding is not None and self._holding.cause is not None
 
     def add(self, part: bytes) -> None:
-        """Keep what came."""
+        """Append a part."""
         self.parts.append(part)
         self.size += len(part)
         if self._holding is not None:
             self._slow.take(self._holding, len(part))
 
     def close(self) -> None:
-        """It is here, or won't be read any further."""
-        # Waited for: it must not begin to count after this.
+        """Release the memory: the body is complete, or will not be read any further."""
+        # Blocks until the greenlet has ended, since it must not count the body after this.
         self._counter.kill()
         if self._holding is not None:
             self._slow.leave(self._holding)
--- a/postvalve/gateway/serving/routed_run.py
+++ b/postvalve/gateway/serving/routed_run.py
@@ -1,4 +1,4 @@
-"""One routed request: its attempts, one after the other, and its answer."""
+"""One routed request: its attempts at engines, one after the other, and its response."""
 
 from __future__ import annotations
 
@@ -37,27 +37,27 @@
 from postvalve.settings.routes import RepeatPolicy, RouteSpec
 
 HEAD_SILENCE = 2.0
-"""Seconds without a byte before the first event until an engine counts as failed."""
+"""Seconds without a byte before the first event after which an engine counts as failed."""
 EVENT_SILENCE = 1.0
-"""Seconds without a byte between events until an engine counts as failed."""
+"""Seconds without a byte between events after which an engine counts as failed."""
 MAX_TRIES = 4
-"""Engines that one request may be sent to, those that refused it not counted."""
+"""Engines that one request may be sent to; those that refused it are not counted."""
 HURRIED_TRIES = 2
-"""Engines of these whose connection is given up early where it does not come up. The others get all
-their time: where none comes up, it is rather this node that is slow."""
+"""Number of attempts, the first ones, in which connecting is given up early. The later ones get all
+their time: if no connection comes up, it is rather this node that is slow."""
 REFUSED_PAUSE = 0.04
-"""Seconds until an engine is asked again when all have refused, doubled for each round."""
+"""Seconds before the engines are asked again after all have refused, doubled for each round."""
 MAX_REFUSED_PAUSE = 0.32
 WAIT_SHARE = 0.5
-"""Share of its time in which a request waits for an engine to be listed, or is offered again after
-refusals; with the rest its client can be served elsewhere."""
+"""Fraction of a request's time that it may wait for an engine to be listed, or be offered again
+after refusals; the rest is left for the client to be served by another node."""
 OVERLOAD_RETRY_AFTER = 0.5
-"""Seconds told to a client when no engine takes its request."""
+"""Retry-After in seconds when no engine takes a request."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request as a client sent it."""
+    """A client's request with what was decided about it: route, service, caller and deadline."""
 
     terms: RequestTerms
     route: RouteSpec
@@ -68,20 +68,20 @@
     body: bytes
     caller: Caller
     address: str
-    """That it came from."""
+    """IP address that the request came from."""
     host: str
     arrived_at: float
     deadline: float
-    """Monotonic seconds; the client's or the route's, whichever comes first."""
+    """Monotonic seconds; the client's deadline or the route's, whichever is earlier."""
     account: RequestAccount
 
 
 @dataclass(slots=True)
 class _Progress(Attempts):
     runs: int = 0
-    """Engines that may have run the request."""
+    """Number of engines that may have run the request."""
     unanswered: bool = False
-    """Whether an attempt failed without an answer to it."""
+    """Whether an attempt broke off, so that the next ones open new connections."""
     tried: set[EngineLife] = field(default_factory=set)
     last_event_id: int | None = None
     events: int = 0
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunServices:
-    """What a run uses of its node."""
+    """The parts of the node that a run uses."""
 
     clock: Clock
     events: EventLog
@@ -126,7 +126,7 @@
             ),
         )
         self._share: RequestShare | None = None
-        """What it costs its tenant, where tenants have shares."""
+        """What the request costs its tenant; None where tenants have no shares."""
         self._placement: Placement | None = None
         self._answer: EngineAnswer | None = None
         self._client_gone = False
@@ -142,11 +142,11 @@
             request.route.target_latency,
         )
         self._judged = False
-        """Whether the attempt under way has a head, and was counted as a run."""
+        """Whether the current attempt has response headers, and was counted as a run."""
         self._failed = False
-        """Whether that head tells of the engine's failure."""
+        """Whether those headers report a failure of the engine."""
         self._resumes = False
-        """Whether the client has a head, that of a former attempt."""
+        """Whether the client already has response headers, from an earlier attempt."""
 
     @property
     def may_have_run(self) -> bool:
@@ -154,10 +154,10 @@
         return self._progress.runs > 0
 
     def start(self) -> EngineAnswer:
-        """Make attempts until an engine answers; returns that answer's head.
+        """Make attempts until an engine responds; returns the response with its headers read.
 
         Raises:
-            PostvalveError: with the verdict; nothing is held after it.
+            PostvalveError: with the verdict; all resources are released before.
         """
         request = self._request
         try:
@@ -180,7 +180,8 @@
             raise
 
     def _enter_shares(self) -> float | None:
-        """Check the tenant's limit; returns the start tag where tenants have shares."""
+        """Check the tenant's rate limit; returns the start tag, or None where tenants have no
+        shares."""
         limits, caller = self._services.limits, self._request.caller
         cost = self._fleet.pace(self._request.service).held
         work = limits.shares.work(caller.name, cost)
@@ -207,7 +208,7 @@
                     self._wait_for_room()
 
     def _wait_for_room(self) -> None:
-        """Wait a moment when every engine has refused: slots come free all the time."""
+        """Back off for a moment if every engine has refused: slots come free all the time."""
         progress = self._progress
         if self._others_left():
             return
@@ -235,7 +236,7 @@
     def _attempt(self) -> EngineAnswer:
         request = self._request
         self._await_engines()
-        # Nothing waits from here on: what others learn meanwhile must hold it back.
+        # The waiting ends here. If the request was quarantined meanwhile, it must not be sent.
         self._guard.check()
         placement = self._place()
         self._placement = placement
@@ -279,7 +280,7 @@
         else:
             placement = place(request.service, request.terms, self._progress.tried, left)
         if placement is None and self._progress.tried:
-            # Better an engine that failed before than none.
+            # An engine that failed before is better than none.
             placement = place(request.service, request.terms, (), left)
         if placement is None:
             if self.may_have_run:
@@ -288,7 +289,8 @@
         return placement
 
     def _place_alone(self) -> Placement | None:
-        """The engine at which all nodes try a doubtful request."""
+        """Return the engine that all nodes use for a request that is suspected of crashing
+        engines."""
         request, quarantine = self._request, self._services.quarantine
         return self._fleet.place_at(
             request.service,
@@ -298,7 +300,7 @@
         )
 
     def _await_engines(self) -> None:
-        """Wait where no engine is listed for the moment, and there is time for it."""
+        """Wait if no engine is listed at the moment and there is time for it."""
         request = self._request
         latest = request.arrived_at + (request.deadline - request.arrived_at) * WAIT_SHARE
         if self._fleet.engines(request.service):
@@ -343,10 +345,11 @@
             read_load(dialect, self._clock, paces, placement, judgement, answer.headers)
 
     def _passes_on(self, judgement: Judgement) -> bool:
-        """Whether the client gets an engine's failure: the last one, while it has no head.
+        """Whether the client gets this failure: only the last one, while it has no response
+        headers.
 
-        Read as the end of a stream that it has begun to get, a failure made a short answer look
-        whole: one or two a day where half of the engines failed many requests.
+        Sent as the end of a stream that the client has begun to receive, a failure made a truncated
+        response look complete: once or twice a day where half of the engines failed many requests.
         """
         if self._resumes:
             return False
@@ -401,16 +404,16 @@
     def _may_wait(self) -> bool:
         """Whether there is time to offer the request again after a refusal.
 
-        What is left must be enough for the client to come back and be served elsewhere.
+        Enough time must be left for the client to retry and be served by another node.
         """
         request = self._request
         allowed = (request.deadline - request.arrived_at) * WAIT_SHARE
         return self._clock.monotonic() - request.arrived_at < allowed
 
     def _patience(self, silence: float) -> float:
-        """Seconds without a byte after which an engine is given up.
+        """Return the seconds without a byte after which an engine is given up.
 
-        A request that no other engine may take waits for as long as its client does.
+        A request that no other engine may run waits for as long as its client does.
         """
         route, progress = self._request.route, self._progress
         runs_after_this = progress.runs + (0 if self._judged else 1)
@@ -431,10 +434,10 @@
         return RefusedError(error.message, retry_after=OVERLOAD_RETRY_AFTER)
 
     def events(self) -> Generator[bytes]:
-        """Yield whole events; a cut stream goes on elsewhere where that is allowed.
+        """Yield complete events; a truncated stream is resumed at another engine where allowed.
 
         Raises:
-            PostvalveError: the stream can't be ended as it should; it must look cut.
+            PostvalveError: the stream failed, and the client must see it as truncated.
         """
         outcome = "abandoned"
         try:
@@ -498,7 +501,7 @@
             progress.last_event_id = number
 
     def _resume(self, error: AttemptError) -> None:
-        self._progress.runs -= 1  # counted when its head came
+        self._progress.runs -= 1  # counted when its response headers arrived
         self._fail_attempt(error)
         if not self._may_go_on(error.verdict):
             raise self._final_error(error)
@@ -513,7 +516,7 @@
         )
 
     def body(self) -> bytes:
-        """The whole body of an answer that is no stream.
+        """Return the complete body of a response that is not a stream.
 
         Raises:
             PostvalveError: with the verdict.
@@ -532,7 +535,8 @@
         return body
 
     def client_gone(self) -> None:
-        """The client left: end the attempt under way. Called from another greenlet."""
+        """Abort the current attempt, since the client has disconnected. Called from another
+        greenlet."""
         self._client_gone = True
         if self._answer is not None:
             self._answer.abort()
@@ -549,7 +553,7 @@
             self._share.leave(self._clock.monotonic())
 
     def finish(self, outcome: str) -> None:
-        """Give everything back; only the first call counts."""
+        """Release everything and count the outcome; only the first call has an effect."""
         if self._finished:
             return
         self._finished = True
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -1,4 +1,5 @@
-"""Asks the node that keeps a tenant's count before a request of it is let in, and is asked."""
+"""Rate limits of tenants over all nodes: asks the node that owns a tenant's token bucket, and
+answers such calls."""
 
 from __future__ import annotations
 
@@ -29,46 +30,48 @@
 from postvalve.settings.routes import RoutedTenant
 
 FIRST_PATIENCE = 0.08
-"""Seconds after which the second choice is asked beside the first one, some twenty times what an
-ask takes between zones."""
+"""Seconds after which the secondary lender is asked in addition to the primary one; some twenty
+times what a call between zones takes."""
 ASK_PATIENCE = 0.4
-"""Seconds that an ask may take: a busy machine stands still for some tenths of a second, and who is
-refused by the second choice waits longer than that."""
+"""Seconds that a call to a lender may take: a busy machine may be suspended for some tenths of a
+second, and a client that the secondary lender refuses waits longer than that."""
 SHORT_WAIT = 0.05
-"""Seconds in all for which an ask is kept until there is credit: a bucket that was taken over is
-empty for a moment, and who asks would be refused below its limit. Less than `FIRST_PATIENCE`, after
-which the second choice is asked."""
+"""Seconds in total for which a call is held until there is credit: a bucket is empty for a moment
+after another node has taken it over, and a request would be refused below its tenant's limit. Less
+than `FIRST_PATIENCE`, after which the secondary lender is asked."""
 SHORT_PAUSE = 0.005
-"""Seconds between two looks for credit meanwhile, at the least."""
+"""Least seconds between two checks for credit while a call is held."""
 SILENT_TIME = 0.5
 """Seconds for which a node that did not answer is not asked again: all requests of its tenants
 would wait for it."""
 LENDER_SILENT_AFTER = 2.5
-"""Seconds without a word of a node after which others lend in its place. Other zones are taken for
-gone later, but a zone that is cut off would have no lenders until then. It is longer than it takes
-until another node tells of a zone whose reporter is lost."""
+"""Seconds without a report after which other nodes lend in a node's place. Other zones are declared
+dead later than this, but a zone that is cut off would have no lenders until then. It is longer than
+another node needs to take over the digests of a zone whose reporter is lost."""
 DOUBTED_AFTER = LENDER_SILENT_AFTER - MAX_DIGEST_INTERVAL
-"""Seconds without a word of a node after which this one lends nothing for its part: those that it
-does not hear may have heard it last a report earlier, and lend for themselves so much sooner."""
+"""Seconds without a report of a node after which it no longer counts in the share of the fleet by
+which this node lends. A node that this one does not hear may have received the last report one
+report earlier, and begins to lend itself that much sooner."""
 LOOK_TIME = 0.5
-"""Seconds between two looks at who is alive, about."""
+"""Approximate seconds between two updates of the live nodes."""
 UNKNOWN_RETRY_AFTER = 0.1
-"""Seconds told to a caller whose tenant's count nobody told where other nodes can tell."""
+"""Retry-After in seconds when no lender answered and other nodes can reach one."""
 START_PAUSE = 0.1
-"""Seconds after which a node that starts asks again who told nothing."""
+"""Seconds after which a starting node asks again if no lender answered."""
 START_SHARE = 0.3
-"""Of a client's time, that it waits there each time at the most."""
+"""Fraction of a client's time left that each such wait may take."""
 RETURN_SHARE = 0.7
-"""Of a client's time, after which it is not told to come back: it must be served in the rest."""
+"""Fraction of a client's time left that Retry-After may take: the request must be served in the
+rest."""
 RETURN_SPREAD = 1.0
-"""Seconds over which those come back that are told when other nodes will lend: these begin with
-nothing."""
+"""Seconds over which retries are spread when clients wait for other nodes to lend, since these
+begin with empty buckets."""
 
 _LENDINGS = frozenset(one.value for one in Lending)
 
 
 class TenantCredit:
-    """This node's asks and answers."""
+    """Acquires and lends credit of tenants' token buckets at this node."""
 
     def __init__(
         self,
@@ -77,7 +80,8 @@
         bounds: LimitBounds,
         shares: FairShares,
     ) -> None:
-        """Count nothing yet; `revision` gives that of the configuration in force."""
+        """Begin with empty buckets; `revision` returns the revision of the configuration in
+        force."""
         self.shares = shares
         self._services = services
         self._clock = services.clock
@@ -87,15 +91,15 @@
         self._revision = revision
         self._silent_until: dict[str, float] = {}
         self.first_patience = FIRST_PATIENCE
-        """Seconds; see there."""
+        """Seconds, see `FIRST_PATIENCE`."""
         self.patience = ASK_PATIENCE
-        """Seconds; see there."""
+        """Seconds, see `ASK_PATIENCE`."""
         self.leaving = False
-        """Whether this node is about to end, and lends nothing any more."""
+        """Whether this node is draining, and lends no more."""
         self.limits = FleetLimits(self._node_id, services.clock.monotonic(), bounds)
 
     def look(self) -> None:
-        """Take in who is alive."""
+        """Update the set of live nodes that may lend."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         heard = [
             one
@@ -113,14 +117,20 @@
     def admit(
         self, caller: Caller, request_id: str, work: Work, deadline: float = math.inf
     ) -> float:
-        """Return when a request is within its tenant's limit; its time ends at `deadline`.
+        """Return once a request is within its tenant's rate limit.
+
+        Args:
+            caller: The authenticated caller.
+            request_id: Id of the request, for the log.
+            work: Cost and correction for the tenant's fair share.
+            deadline: Monotonic seconds at which the request's time ends.
 
         Returns:
-            Its start tag; 0 where nobody told one.
+            The start tag of the request; 0 if no lender assigned one.
 
         Raises:
-            RateLimitedError: it is over.
-            LimitUnknownError: nobody could tell.
+            RateLimitedError: the tenant is over its limit.
+            LimitUnknownError: no lender answered.
         """
         tenant = caller.tenant
         if tenant is None or not tenant.rate:
@@ -146,10 +156,11 @@
     def _borrow_patiently(
         self, tenant: RoutedTenant, work: Work, deadline: float
     ) -> tuple[list[str], str, Loan]:
-        """Whom it asked, whose answer counts, and that: a node that starts asks again.
+        """Return the lenders asked, the one whose answer counts, and its answer; retries at
+        start-up.
 
-        When all nodes start together their buckets begin empty, and what was under way before comes
-        back at once, its client's last try mostly.
+        When all nodes start together their buckets are empty, and the requests that were under way
+        before are retried at once, mostly as their client's last try.
         """
         while True:
             asked = self.limits.choices(tenant.name)
@@ -163,10 +174,10 @@
             gevent.sleep(wait)
 
     def _known_in(self, asked: list[str], deadline: float) -> float:
-        """Seconds until somebody can tell a tenant's count, where the client has them.
+        """Return the seconds until another lender takes over, if the client has that much time.
 
-        Nodes that this one hears don't reach a silent lender either, and take another one for it
-        at the same time as this one.
+        The nodes that this one hears can't reach a silent lender either, and replace it at the same
+        time as this one.
         """
         first = self._peers.get(asked[0]) if asked else None
         now = self._clock.monotonic()
@@ -181,10 +192,11 @@
         return min(most, left + self._services.generator.uniform(0.0, RETURN_SPREAD))
 
     def _borrow(self, choices: list[str], tenant: RoutedTenant, work: Work) -> tuple[str, Loan]:
-        """The answer that counts, and whose it is.
+        """Return the answer that counts, and the node that gave it.
 
-        The second choice is asked while the first one is late, or lends for a part of the fleet. It
-        lends little, which being used up says nothing of the tenant's limit.
+        The secondary lender is asked if the primary one is late, or has credit for a part of the
+        fleet only. It has little credit, and running out of it does not mean that the tenant is
+        over its limit.
         """
         if not choices or choices[0] == self._node_id:
             first, patience = self._node_id, None
@@ -202,14 +214,14 @@
         return first, asked.get()
 
     def _was_silent(self, node_id: str, now: float) -> bool:
-        """Whether a node did not answer, and the second choice has been asked since at the most.
+        """Whether a node did not answer, and only the secondary lender was asked since.
 
-        One that answered and lends nothing knows of another lender, and this node will in a moment.
+        A node that answers but does not lend knows of another lender, and this node soon will too.
         """
         return self._silent_until.get(node_id, 0.0) > now - self.patience
 
     def _hears_neighbours(self) -> bool:
-        """Whether this node is not alone cut off, as far as it knows."""
+        """Whether this node hears peers of its zone, and so is not the one that is cut off."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(now - one.heard_at <= HEARD_WITHIN for one in self._peers.neighbours(zone))
 
@@ -227,7 +239,7 @@
         )
 
     def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> Loan:
-        """Ask one node; one that does not answer lends nothing."""
+        """Ask one node for credit; a node that does not answer lends none."""
         terms = LimitTerms(tenant.rate, tenant.burst, max(0, self._revision()))
         now = self._clock.monotonic()
         if node_id == self._node_id:
@@ -252,9 +264,9 @@
         return Loan(Lending(reply.lending), reply.wait, reply.share, reply.tag)
 
     def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> Loan:
-        """Lend this node's credit, with the place of the request among all tenants' ones.
+        """Take credit from this node's bucket, and assign the request's start tag.
 
-        Credit that comes in a moment is waited for.
+        Credit that will be there in a moment is waited for.
         """
         asked_at = self._clock.monotonic()
         loan = self.limits.lend(tenant, terms, asked_at)
@@ -270,7 +282,7 @@
 
     def _call(self, node_id: str, address: str, ask: gateway.CreditAsk) -> object:
         reply, error = None, "no answer in time"
-        # To open a connection may take longer than the caller has.
+        # Opening a connection may take longer than the caller has.
         with gevent.Timeout(self.patience, exception=False):
             try:
                 transport = self._services.transport
@@ -282,17 +294,18 @@
         return reply
 
     def fields(self) -> dict[str, Any]:
-        """What it lends by, for operators."""
+        """Return what this node's lending is based on, for the status document."""
         limits = self.limits
         return {"heard": limits.heard, "known": limits.known, "share": round(limits.share, 3)}
 
     def reply(self, ask: gateway.CreditAsk) -> gateway.CreditReply:
-        """What a peer that asks gets."""
+        """Answer a peer's request for credit."""
         terms = LimitTerms(ask.rate, ask.burst, ask.revision)
         self.shares.clock.merge(ask.clock)
         loan = self._lend(ask.tenant, terms, Work(ask.cost, ask.correction))
         if loan.lending is Lending.OVER and self.limits.choices(ask.tenant)[0] != self._node_id:
-            # Its part being used up says nothing of the limit, for which some builds take it.
+            # A secondary lender's empty bucket does not mean that the limit is reached, but some
+            # builds take it for that.
             loan = Loan(Lending.NOT_MINE)
         return gateway.CreditReply(
             lending=loan.lending.value, wait=loan.wait, share=loan.share, tag=loan.tag
--- a/postvalve/gateway/serving/waiting_room.py
+++ b/postvalve/gateway/serving/waiting_room.py
@@ -1,4 +1,4 @@
-"""Online requests that wait at this node until an engine has room for them."""
+"""The queue of online requests at this node, which wait until an engine has capacity."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
 from postvalve.settings.routes import RouteSpec
 
 LOOK_INTERVAL = 0.015
-"""Seconds between looks at those that wait."""
+"""Seconds between two evaluations of the queue."""
 _Firsts = Sequence[tuple[tuple[int, int], float]]
-"""Rank and tag of the first that waits at each peer, in order."""
+"""Rank and tag of the first request queued at each peer, in order."""
 LEAST_RETURN_TIME = 1.0
-"""Seconds that a client must have left to come back after a refusal."""
+"""Seconds that a client must have left to retry after a refusal."""
 MOST_ROWS = 50
-"""Requests that wait which are told to operators, the first in order."""
+"""Queued requests that the status document lists, the first in order."""
 MOST_AHEAD = 3
-"""Requests in front of one that its lines in the log name, the nearest ones."""
+"""Requests ahead that a request's log events name, the nearest ones."""
 
 
 @dataclass(slots=True, eq=False)
@@ -59,15 +59,15 @@
     request_id: str
     service: str
     place: Place
-    """Where tenants have no shares, the time of its arrival stands for the tag."""
+    """Where tenants have no shares, its tag is the time of arrival."""
     shared: bool
-    """Whether they have."""
+    """Whether tenants have shares."""
     number: int
-    """By which nodes name it to each other."""
+    """Number by which nodes refer to the request in messages."""
     held: HeldRequest
     gone: Callable[[], bool]
     tenant: str = ""
-    """Who sends it; empty for nobody in particular."""
+    """The tenant that sent it; empty for anonymous requests."""
     decided: AsyncResult = field(default_factory=AsyncResult)
 
 
@@ -76,21 +76,21 @@
 
 @dataclass(slots=True)
 class _Queue:
-    """Those that wait for one service, at one look."""
+    """The requests queued for one service, during one evaluation."""
 
     rooms: list[EngineRoom]
     firsts: _Firsts
     held: int = 0
-    """Of this node, that go before the next one."""
+    """Requests of this node that go before the next one."""
 
 
 def _before(firsts: _Firsts, place: Place) -> int:
-    """Peers where somebody waits that goes before a place."""
+    """Return the number of peers with a queued request that goes before a place."""
     return bisect.bisect_left(firsts, (place.rank, place.tag))
 
 
 class WaitingRoom:
-    """Holds, releases and refuses; see `core/admission/holding` for the rules."""
+    """Queues, starts and refuses online requests; see `core/admission/holding` for the rules."""
 
     def __init__(
         self,
@@ -109,15 +109,17 @@
         self._numbers = itertools.count(1)
         self._episodes: dict[str, OverloadEpisodes] = {}
         self._longest: dict[str, float] = {}
-        """The longest time that clients of a route gave, in seconds."""
+        """The longest time that clients of a route have allowed, in seconds."""
         self._looker: gevent.Greenlet | None = None
         self.nodes: Callable[[], int] = lambda: 1
-        """Number of nodes that share the engines."""
+        """Returns the number of nodes that share the engines."""
         self.holders: Callable[[], dict[str, int]] = dict
-        """Tenants with the most online requests of this node at engines, and how many."""
+        """Returns the tenants with the most online requests of this node at engines, with their
+        numbers."""
         self.line: Line = NoLine()
         self.on_served: Callable[[float, float | None], None] = lambda tag, first: None
-        """Takes the tag of a request that starts, and the first one that waits behind it."""
+        """Called with the tag of a request that starts, and the least tag that still waits, if
+        any."""
         self.peer_places = PeerPlaces(clock)
 
     def admit(
@@ -132,21 +134,21 @@
         tenant: str = "",
         tag: float | None = None,
     ) -> None:
-        """Return when an engine should get the request, or when its client has gone.
+        """Return when the request should be sent to an engine, or when its client has disconnected.
 
         Args:
-            route: Its route.
-            service: The service that serves it.
-            terms: What its headers say.
-            rank: Its urgency, see `Caller.rank`.
+            route: The route of the request.
+            service: The service that it is sent to.
+            terms: Deadline, tokens and other terms from its headers.
+            rank: Its priority, see `Caller.rank`.
             arrived_at: Monotonic seconds.
-            deadline: Likewise.
-            gone: Tells whether the client has left.
-            tenant: Who sends it; empty for nobody in particular.
+            deadline: Monotonic seconds.
+            gone: Tells whether the client has disconnected.
+            tenant: The tenant that sent it; empty for anonymous requests.
             tag: Its start tag; None where tenants have no shares.
 
         Raises:
-            RefusedError: there is no room in time, and the client can come back.
+            RefusedError: no engine has capacity in time, and the client can retry.
         """
         held = HeldRequest(
             arrived_at,
@@ -174,7 +176,7 @@
         self._start(place, service, entry.shared)
 
     def _first_ruling(self, entry: _Waiting) -> tuple[Ruling, list[EngineRoom]]:
-        """About a request that has just come."""
+        """Decide about a request that has just arrived."""
         rooms = self._fleet.rooms(entry.service)
         if not entry.shared:
             return self._rule(entry, rooms), rooms
@@ -184,14 +186,14 @@
         return ruling, rooms
 
     def _is_first(self, service: str, place: Place) -> bool:
-        """Whether nobody who waits, here or elsewhere as far as is known, goes before it."""
+        """Whether no request known to be queued, here or at a peer, goes before a place."""
         if self.line.stands(service):
             return False
         own = self.first_waiting().get(service_hash(service), place)
         return place <= own and not _before(self.peer_places.firsts(service), place)
 
     def _start(self, place: Place, service: str, shared: bool) -> None:
-        """A request with this place goes on."""
+        """Report the tag of a request that starts."""
         if not shared:
             return
         tags = (one.place.tag for one in self._open() if one.shared)
@@ -199,11 +201,11 @@
         self.on_served(place.tag, None if first == math.inf else first)
 
     def _open(self) -> Iterator[_Waiting]:
-        """Those that nothing was decided about."""
+        """Yield the queued requests that are not decided yet."""
         return (one for one in self._waiting if not one.decided.ready())
 
     def first_waiting(self) -> dict[int, Place]:
-        """The first that waits here, by the hash of its service."""
+        """Return the first request queued here for each service, by the hash of the service."""
         first: dict[int, Place] = {}
         for entry in self._open():
             if entry.shared:
@@ -212,20 +214,23 @@
         return first
 
     def _ahead(self, entry: _Waiting) -> int:
-        """Requests of all nodes that go before one, as far as is known here."""
+        """Return how many requests of all nodes go before one, as far as this node knows."""
         own = sum(one.service == entry.service and one.place < entry.place for one in self._open())
         return self._ahead_of(entry, own, self.peer_places.firsts(entry.service))
 
     def _ahead_of(self, entry: _Waiting, own: int, firsts: _Firsts) -> int:
-        """The same, where `own` of this node do, and `firsts` wait first at the others."""
+        """Return the same number, given those of this node (`own`) and the peers' queue heads
+        (`firsts`)."""
         told = self.line.ahead(entry.service, entry.number)
         if told is not None:
             return told
-        # Where somebody goes before it there are about as many who do as here.
+        # A peer whose first request goes before this one has about as many such requests as this
+        # node.
         return own + _before(firsts, entry.place) * max(1, own)
 
     def _may_return(self, route: RouteSpec, terms: RequestTerms, left: float) -> bool:
-        """Whether a refused client would come back: it has, as far as its time tells, not yet."""
+        """Whether a refused client would retry: judging by the time it has left, this is its first
+        try."""
         if terms.allowed is None or terms.last_event_id is not None:
             return False
         longest = max(terms.allowed, self._longest.get(route.name, 0.0))
@@ -264,17 +269,18 @@
         while self._waiting:
             gevent.sleep(LOOK_INTERVAL)
             self._look()
-        # Telling may wait for the socket: one that comes meanwhile needs a looker of its own.
+        # Reporting may wait for the socket, and a request that arrives meanwhile needs a greenlet
+        # of its own.
         self._looker = None
         self.line.show({})
 
     def look(self) -> None:
-        """Something has changed for those that wait."""
+        """Evaluate the queue again, since engines or grants have changed."""
         if self._waiting:
             self._look()
 
     def _look(self) -> None:
-        """Decide about all that wait, in their order."""
+        """Decide about all queued requests, in their order."""
         queues: dict[str, _Queue] = {}
         waiting = sorted(self._waiting, key=_place_of)
         self._show(waiting)
@@ -289,12 +295,13 @@
             if ruling is not Ruling.HOLD:
                 entry.decided.set(ruling)
             if ruling is Ruling.START and queue.rooms:
-                # It will be counted when its attempt starts; the next ones must know now.
+                # The engine's count changes when the attempt starts; the next requests must see it
+                # now.
                 least_full(queue.rooms, self._fleet.pace(entry.service)).online += 1
             queue.held += ruling is Ruling.HOLD
 
     def _show(self, waiting: list[_Waiting]) -> None:
-        """Tell the line who waits here."""
+        """Report the queued requests to the zone's shared queue."""
         of: dict[str, list[tuple[int, Place]]] = {}
         for entry in waiting:
             if entry.shared and not entry.decided.ready():
@@ -302,14 +309,14 @@
         self.line.show(of)
 
     def _draw(self, entry: _Waiting, rooms: list[EngineRoom]) -> Ruling:
-        """Decide where tenants have no shares."""
+        """Decide about a request where tenants have no shares."""
         ruling = Ruling.START if entry.gone() else self._rule(entry, rooms)
         if ruling is Ruling.START and not self._is_turn(entry, rooms):
             return Ruling.HOLD
         return ruling
 
     def _decide(self, entry: _Waiting, queue: _Queue) -> Ruling:
-        """Decide where they have some."""
+        """Decide about a request where tenants have shares."""
         if entry.gone() or self.line.granted(entry.service, entry.number):
             return Ruling.START
         ahead = self._ahead_of(entry, queue.held, queue.firsts)
@@ -321,9 +328,10 @@
         return ruling if self._is_turn(entry, queue.rooms) else Ruling.HOLD
 
     def _is_turn(self, entry: _Waiting, rooms: list[EngineRoom]) -> bool:
-        """Whether this node takes a free slot: all nodes see the same ones.
+        """Whether this node may take a free slot; all nodes see the same free slots.
 
-        Each takes one with the chance that gives all of them together as many as there are.
+        Each node takes one at random, with the probability at which all nodes together take as many
+        as are free.
         """
         pace = self._fleet.pace(entry.service)
         free = sum(max(0, room.places(pace) - room.online) for room in rooms)
@@ -371,7 +379,8 @@
         )
 
     def _place_of(self, entry: _Waiting) -> dict[str, Any]:
-        """Whose a request is, behind whom it waits and who runs, where callers have names."""
+        """Return log fields about a request's tenant, the requests ahead of it and those running;
+        empty for anonymous requests."""
         if not entry.tenant:
             return {}
         same_engines = (one for one in self._waiting if one.service == entry.service)
@@ -385,11 +394,12 @@
         }
 
     def rows(self) -> list[dict[str, Any]]:
-        """Who waits here now, and behind whom, in the order in which they go."""
+        """Return the queued requests in order, each with the one ahead of it, for the status
+        document."""
         now = self._clock.monotonic()
         rows: list[dict[str, Any]] = []
         last: dict[str, str] = {}
-        """The request that came last in order, by service."""
+        """Id of the last request listed, by service."""
         for entry in nsmallest(MOST_ROWS, self._waiting, key=_place_of):
             rows.append(
                 {
--- a/postvalve/gateway/status.py
+++ b/postvalve/gateway/status.py
@@ -1,4 +1,5 @@
-"""What a node believes of the fleet, for operators: `GET /status` at its metrics address."""
+"""Rows of the status document, `GET /status` on the metrics server: what a node knows of the
+fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 
 def peer_rows(peers: PeerView, now: float) -> list[dict[str, Any]]:
-    """The other nodes, by id; `age` is the seconds since each was heard."""
+    """Return the other nodes by id; `age` is the seconds since the last report of each."""
     return [
         {
             "node_id": peer.node_id,
@@ -27,7 +28,8 @@
 
 
 def _pace_fields(fleet: EngineFleet, entry: EngineEntry, now: float) -> dict[str, Any]:
-    """How many times as long as usual for its service an engine takes: learnt, and told by it."""
+    """Return an engine's latencies relative to its service's mean: those measured, and its own
+    report."""
     facts = fleet.paces.facts(entry.service, entry.life, now)
     return {
         "pace_first": round(facts.learnt.first, 2),
@@ -46,7 +48,7 @@
 
 
 def engine_rows(fleet: EngineFleet, now: float) -> list[dict[str, Any]]:
-    """The engines of the directory with the requests of all nodes, as this node counts them."""
+    """Return the listed engines, with the requests of all nodes as this node counts them."""
     rows = []
     for entry in sorted(fleet.listed_engines(), key=lambda one: one.engine_id):
         count = fleet.use.total(entry.life)
@@ -69,7 +71,7 @@
 
 
 def job_rows(board: JobBoard) -> list[dict[str, Any]]:
-    """Jobs that have items to run, and who works on each."""
+    """Return the jobs that have unfinished items, with the node that works on each."""
     return [
         {
             "job_id": job.job_id,
@@ -84,7 +86,7 @@
 
 
 def quarantine_rows(quarantine: Quarantine, now: float) -> list[dict[str, Any]]:
-    """Requests under which engines ended."""
+    """Return the requests under which engines failed."""
     return [
         {"digest": digest.hex(), **quarantine.summary(digest, now).fields()}
         for digest in quarantine.digests()
