--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -1,4 +1,4 @@
-"""What callers of a node got, as its operators read it: accounts, metrics, log, who waits."""
+"""Counts of requests by tenant, as operators read them: accounts, metrics, log events, status."""
 
 import contextlib
 import io
@@ -166,7 +166,7 @@
         self.callers = CallerAccounts(self.clock, self.log)
 
     def tell(self, now):
-        """The lines that a look at some time writes."""
+        """Return the events logged when `tell` is called at a given time."""
         self.log.written.clear()
         self.clock.monotonic.return_value = now
         self.callers.tell()
@@ -294,7 +294,7 @@
             self.send(tenant)
         wait_until(lambda: sum(row["asked"] for row in self.rows().values()) == 4)
         rows = self.rows()
-        # On a busy machine the first one may be late as well.
+        # On a busy machine the first request may be late as well.
         self.assertEqual(rows["ann"]["in_time"] + rows["ann"]["late"], 2)
         self.assertGreaterEqual(rows["ann"]["late"], 1)
         self.assertGreater(rows["ann"]["online_seconds"], 1.0)
@@ -373,13 +373,13 @@
 
 
 class CommandTest(unittest.TestCase):
-    """`postvalve status` over several nodes."""
+    """The command `postvalve status` with several nodes."""
 
     def setUp(self):
         self.nodes = []
 
     def node(self, number, refused, waiting=()):
-        """Start a node that tells what one tenant got; returns its URL."""
+        """Start a node with the counts of two tenants; returns its URL."""
         accounts = CallerAccounts(SystemClock(), QuietLog())
         now = SystemClock().monotonic()
         accounts.accounts.note_request("ann", End.IN_TIME, now, engine_seconds=1.0, sent=True)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -1,4 +1,4 @@
-"""What operators allow clients to send: bytes of a body, and of a head."""
+"""Operators' limits on the size of bodies and of headers."""
 
 import unittest
 
@@ -35,7 +35,7 @@
 
 class HeaderBytesTest(unittest.TestCase):
     def test_never_more_than_came_however_lines_are_written(self):
-        """Blanks may be left out and lines end with a newline only."""
+        """Whitespace around values may be absent, and lines may end with a newline only."""
         headers = [("Host", "h"), ("X-One", ""), ("X-Two", "\xe9")]
         call = HttpCall("GET", "/" + "x" * 500, "h", headers, b"")
         self.assertEqual(call.header_bytes, len("Host:h\nX-One:\nX-Two:\xe9\n".encode("latin-1")))
--- a/tests/test_gateway_online.py
+++ b/tests/test_gateway_online.py
@@ -1,4 +1,4 @@
-"""Routed online requests: whole answers, attempts, refusals and clients that leave."""
+"""Routed online requests: complete responses, attempts, refusals and disconnecting clients."""
 
 import json
 import time
@@ -33,7 +33,7 @@
         self.first = self.fleet.engines[0]
 
     def plan(self, *behaviours):
-        """Whichever engine is asked first gets the first behaviour, and so on."""
+        """Set the behaviours of the next attempts, whichever engines get them."""
         plan = list(behaviours)
         for engine in self.fleet.engines:
             engine.plan = plan
@@ -186,7 +186,7 @@
         self.assertEqual(len(self.runs()), 1)
 
     def test_a_late_first_event_is_told_with_what_the_node_believed(self):
-        # Longer than a busy machine makes a process stand still, which makes any request late.
+        # Longer than a process on a busy machine is suspended, which would make any request late.
         self.fleet.configure(targetLatencyMs=600)
         holder = self.fleet.nodes["n0"].configuration
         wait_until(lambda: holder.table.route_named("stream").target_latency == 0.6)
@@ -218,7 +218,7 @@
     def test_client_that_leaves_a_thinking_engine_ends_its_attempt(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(silent=True)
-        # Neither the engine's silence nor the route's time (5 s) ends the attempt before.
+        # Neither the engine's time-out nor the route's (5 s) ends the attempt earlier.
         with mock.patch.object(routed_run, "HEAD_SILENCE", 60.0):
             connection = self.fleet.open("n0", STREAM_PATH)
             wait_until(lambda: sum(len(one.heads) for one in self.fleet.engines) == 1)
@@ -271,7 +271,7 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    """Engines that live, and are not listed at the moment."""
+    """Engines that are running but not listed in the directory at the moment."""
 
     def setUp(self):
         self.fleet = GatewayFleet(nodes=0, engines=1)
@@ -286,7 +286,8 @@
         return [fields["topic"] for fields in self.fleet.events("n0", Event.STORE_LOST)]
 
     def take_store_away(self, node):
-        """For so long that the store counts as away, since one lost read does not tell it."""
+        """Make the store unavailable until the node treats it as such; one failed read is not
+        enough."""
         self.fleet.topics.down = True
         wait_until(lambda: DIRECTORY_TOPIC in self.lost_topics())
         wait_until(lambda: node._directory.store_away)
@@ -324,7 +325,8 @@
         self.fleet.list_engine(self.engine)
         node = self.fleet.start_node("n0")
         wait_until(lambda: node.ready)
-        # The engine's entry lapses while the store is away, and is kept in vain at first.
+        # The engine's entry expires while the store is unavailable. It is kept for a while, and
+        # then dropped since the engine does not register again.
         self.take_store_away(node)
         self.unlist()
         wait_until(lambda: self.fleet.events("n0", Event.ENGINES_LAPSED))
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The node's HTTP server at the level of sockets."""
+"""The HTTP request handler at the level of sockets."""
 
 import socket
 import unittest
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -1,4 +1,4 @@
-"""One line for a zone: its messages, what a keeper grants, and what befalls keepers and nodes."""
+"""The queue that a zone shares: messages, grants, and failures of coordinators and nodes."""
 
 import contextlib
 import random
@@ -133,7 +133,8 @@
         self.assertTrue(self.keeper.hear(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
 
     def test_numbers_of_another_keeper_stand_for_no_grants_of_this_one(self):
-        """That one, or this one's former life, numbered higher; its answer came last."""
+        """Another coordinator, or this one before a restart, used higher numbers and answered
+        last."""
         self.keeper.hear(state("a", [(1, 5.0)], 1, taken=5000), 0.0)
         self.keeper.hear(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
@@ -205,7 +206,7 @@
 
 
 class Node:
-    """The line of one node, with engines and peers that the test sets."""
+    """The zone queue of one node, with engines and peers set by the test."""
 
     def __init__(self, network, name):
         self.network, self.name = network, name
@@ -243,7 +244,7 @@
         )  # fmt: skip
 
     def hear(self, report):
-        """As the gateway does."""
+        """Process a load report as the gateway does."""
         if self.peers.observe(report, self.network.now):
             self.line.hear_report(report)
 
@@ -251,7 +252,7 @@
         self.waiting[number] = Place((0, 0), tag)
 
     def take(self):
-        """As the waiting room does: what is granted starts."""
+        """Start the granted requests as the admission queue does."""
         for number in [one for one in self.waiting if self.line.granted("s", one)]:
             del self.waiting[number]
             self.started.append(number)
@@ -266,7 +267,7 @@
 
 
 class Network:
-    """Nodes of one zone under virtual time; datagrams come at the next step, or never."""
+    """Nodes of one zone under virtual time; datagrams arrive at the next step, or are lost."""
 
     def __init__(self, count=4, slots=4):
         self.now, self.slots, self.online = 100.0, slots, slots + QUEUED_PLACES
@@ -279,7 +280,7 @@
         self.settle()
 
     def settle(self):
-        """What all that are heard can do goes on."""
+        """Let the features that all live nodes support become active."""
         for seconds in (0.0, SETTLE_TIME):
             self.now += seconds
             for one in self.nodes.values():
@@ -352,7 +353,7 @@
         self.assertEqual(self.second.line.ahead("s", 1), 0)
 
     def test_without_a_keeper_that_answers_nodes_go_by_their_own_order(self):
-        """It died: nobody has noticed yet."""
+        """The coordinator has died, and no node has noticed yet."""
         dead = self.network.keeper
         self.network.frozen.add(dead)
         self.first.ask(1, 1.0)
@@ -362,7 +363,7 @@
         self.assertEqual(self.stand(self.first), [False])
         self.assertEqual(len(self.first.log.written), 1)
         self.assertIs(self.first.log.written[0][0], Event.LINE_SILENT)
-        # Its report stays away: another one keeps the line.
+        # Its reports stop: another node becomes coordinator.
         for one in self.network.others():
             one.peers.drop(dead)
         del self.network.nodes[dead]
@@ -385,7 +386,7 @@
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
     def test_two_keepers_grant_each_request_once(self):
-        """The third node doesn't hear the keeper, and takes itself or another for it."""
+        """The third node does not hear the coordinator, and takes itself or another node for it."""
         self.third.peers.drop(self.network.keeper)
         for number, one in enumerate((self.first, self.second, self.third)):
             one.ask(1, float(number))
@@ -418,7 +419,7 @@
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
     def test_a_new_keeper_that_numbers_its_grants_lower_counts_them(self):
-        """What a node took in of a former keeper must not stand for the new one's grants."""
+        """Grants received from a previous coordinator must not acknowledge those of the new one."""
         former = self.network.keeper
         self.first.ask(1, 1.0)
         self.network.play(0.1)
@@ -457,7 +458,7 @@
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
         self.network.play(0.1)
-        self.first.waiting.clear()  # its client left
+        self.first.waiting.clear()  # the client disconnected
         self.network.online -= 1
         self.network.play(0.1)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
@@ -491,7 +492,8 @@
         self.assertEqual(self.stand(self.first), [True])
 
     def test_a_keeper_that_starts_anew_leaves_no_zone_without_a_line(self):
-        """What all can do goes on there when it has settled; till then another one keeps it."""
+        """It becomes coordinator again once the shared queue is active there; until then another
+        node is."""
         network, keeper = self.network, self.network.keeper
         network.nodes[keeper] = Node(network, keeper)
         network.nodes[keeper].incarnation = 2
@@ -522,7 +524,7 @@
         self.assertEqual(self.stand(self.first), [True])
 
     def test_nothing_is_sent_from_the_moment_on_that_one_is_heard_that_cannot(self):
-        """An older build doesn't know these messages, and may have taken a member's place."""
+        """An older build does not know these messages, and may have replaced a node of the zone."""
         self.first.ask(1, 1.0)
         self.network.play(0.2)
         self.third.can = Feature.NONE
@@ -534,7 +536,7 @@
         self.assertEqual((self.stand(self.first), self.network.sent), ([False], 0))
 
     def test_a_keeper_that_leaves_grants_nothing_to_those_that_it_knows(self):
-        """Others keep the line from its last report on, and grant the same slots."""
+        """From its last report on, other nodes coordinate the queue and grant the same slots."""
         keeper = self.network.keeper
         self.first.ask(1, 1.0)
         self.network.play(0.2)
@@ -568,7 +570,7 @@
 class LoadTest(unittest.TestCase):
     CORE_SHARE = 0.03
     MESSAGE_TIME = 75e-6
-    """Seconds of a core for a state that is read and answered, or less."""
+    """Upper bound of the seconds of a core for reading and answering one report."""
 
     def test_a_keeper_reads_no_more_than_its_part_of_a_core_allows(self):
         for nodes in (5, 22, 65, 127):
@@ -586,7 +588,7 @@
         network.sent = 0
         network.play(3.0)
         planned = 3.0 * 7 / state_interval(8)
-        # A state and its answer each.
+        # Each report and its answer.
         self.assertLessEqual(network.sent, 2 * planned * 1.1)
 
 
--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -1,4 +1,4 @@
-"""What is held for slow clients: each byte once and in order, within the budget, fairly."""
+"""Buffers of slow clients: every byte once and in order, within the budget, fairly shared."""
 
 import tracemalloc
 import unittest
@@ -21,11 +21,11 @@
 LIMIT = 400
 STREAMS = 4
 ROOM = LIMIT + 4 * STREAMS * EVENT_OVERHEAD
-"""Budget of some events of each stream."""
+"""A budget for several events of each stream."""
 
 
 def counted(event):
-    """Bytes that an event counts."""
+    """Bytes that an event counts in the budget."""
     return len(event) + EVENT_OVERHEAD
 
 
@@ -41,7 +41,7 @@
 
 
 class Stream:
-    """One stream, and what should come of it."""
+    """One stream, with the events that should come out of it."""
 
     def __init__(self, budget, number):
         self.holding = Holding(f"t{number % 2}")
@@ -50,7 +50,7 @@
         self.taken = []
 
     def come(self, size, now):
-        """An event comes from the engine, as the shell takes it; returns who was given up."""
+        """Buffer an event as the gateway does; returns the clients that were given up."""
         event = bytes([len(self.given) % 251]) * size
         if self.store.ended or self.store.patience(size, now) > 0:
             return []
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -1,4 +1,4 @@
-"""Requests that come slowly: told so in time, run nowhere, and held within the budget."""
+"""Requests that arrive slowly: answered in time, run by no engine, and held within the budget."""
 
 import contextlib
 import json
@@ -14,7 +14,7 @@
 from tests.waiting import wait_until
 
 PATIENCE_MS = 400
-"""Milliseconds that a head may take, and that a body may fall behind."""
+"""Milliseconds that headers may take, and that a body may fall behind the minimum rate."""
 LARGEST = 1_000_000
 
 
@@ -29,7 +29,7 @@
         self.engine = self.fleet.engines[0]
 
     def begin(self, *headers, path=ONCE_PATH, keep=False):
-        """Send a request's head; returns the connection."""
+        """Send the headers of a request; returns the connection."""
         connection = self.fleet.connect("n0")
         self.addCleanup(connection.close)
         lines = [f"POST {path} HTTP/1.1", f"Host: {HOST}", "Request-Id: r1", *headers]
@@ -143,10 +143,10 @@
 
 
 class BodyBudgetTest(BodyCase):
-    """Of bodies that come together, those that keep up are never given up for others."""
+    """Of several bodies that arrive at once, those that keep up are never given up for others."""
 
     patience_ms = 3_000
-    """Longer than a body may lag before it counts."""
+    """Longer than a body may lag before it counts as held memory."""
 
     def test_bodies_that_keep_up_are_read_whatever_they_hold(self):
         budget = self.node.slow_clients.budget
@@ -190,7 +190,7 @@
         for _ in range(15):
             for connection in connections:
                 connection.sendall(b"x" * 400)
-            # Nothing else is done meanwhile, as by other requests that take the node's time.
+            # The process does nothing else meanwhile, as if other requests took all its time.
             time.sleep(0.06)
             gevent.sleep(0.001)
         self.assertEqual([read_answer(connection).status for connection in connections], [200] * 3)
@@ -244,7 +244,7 @@
         for begin in range(0, len(head), 40):
             connection.sendall(head[begin : begin + 40].encode())
             gevent.sleep(0.02)
-        # It is served for longer than its head may take.
+        # Serving takes longer than headers may take.
         self.engine.usual = Behaviour(pause=PATIENCE_MS / 2000, events=4)
         answer = read_answer(connection)
         self.assertEqual((answer.status, answer.whole), (200, True))
@@ -264,7 +264,7 @@
 
 
 class StandstillTest(BodyCase):
-    """A node that stands still for longer than a client may lag tells no client so for that."""
+    """A node that was suspended for longer than a client may lag must not blame its clients."""
 
     REST = {
         "Content-Length: 8": (b"some", b"body"),
@@ -272,7 +272,7 @@
     }
 
     def stand_still_before_the_rest(self, connection, rest):
-        """The rest comes while the node stands still."""
+        """Send the rest while the node is suspended."""
         gevent.sleep(0.05)
         connection.sendall(rest)
         time.sleep(2 * PATIENCE_MS / 1000)
@@ -296,7 +296,7 @@
 
 
 def read_answer_head(connection):
-    """What comes until the connection ends, or breaks off."""
+    """Read until the connection ends or fails."""
     connection.settimeout(3.0)
     data = b""
     try:
@@ -308,10 +308,10 @@
 
 
 class SlowEngineTest(unittest.TestCase):
-    """Engines that don't read what they are sent."""
+    """Engines that do not read what they are sent."""
 
     BODY = b"x" * 16_000_000
-    """More than the sockets to an engine hold."""
+    """More than the socket buffers to an engine hold."""
 
     def setUp(self):
         limits = {"maxBodyBytes": len(self.BODY)}
--- a/tests/test_requests_that_end_engines.py
+++ b/tests/test_requests_that_end_engines.py
@@ -1,10 +1,10 @@
-"""Requests under which engines end.
+"""Requests that crash the engines running them.
 
-One request ended each engine that began to run it, and came again under another id, at any node.
-What a node knew of it ended with the attempt of one client, so that each time it took two more
-engines: 27 ended in twelve seconds of one day, and requests of everybody were refused meanwhile.
-The logs of that day show 119 attempts that failed without an answer under 18 engines, and no id
-among them under which more than two engines ended.
+Guards against one request that crashes each engine that begins to run it, and is sent again under
+another id to any node. When a node forgot about it with the end of each attempt, every retry took
+two more engines: 27 within twelve seconds of one day, while the requests of all other clients were
+refused. The logs of that day show 119 attempts without a response at 18 engines, and no id under
+which more than two engines crashed.
 """
 
 import base64
@@ -34,7 +34,7 @@
 
 FATAL = b"the body under which engines end"
 ENOUGH_ENDS = 3
-"""Engines that may end until a request is known for what it does."""
+"""Engines that may crash before a request is quarantined."""
 
 
 class FatalRequestCase(unittest.TestCase):
@@ -56,12 +56,12 @@
         return [engine.engine_id for engine in self.fleet.engines if engine.ended]
 
     def known_at(self, node):
-        """Engines that ended under each request, as far as a node knows."""
+        """Return the engines that crashed under each request, as far as a node knows."""
         known = self.fleet.nodes[node].status_document()["quarantine"]
         return {one["digest"]: one["ends"] for one in known if one["ends"]}
 
     def wait_for_news(self):
-        """Until all nodes know the same; how soon they do is shown under virtual time."""
+        """Wait until all nodes know the same; how soon they do is tested under virtual time."""
 
         def alike():
             first, *others = map(self.known_at, self.fleet.nodes)
@@ -97,10 +97,10 @@
 
 
 class FailureTest(FatalRequestCase):
-    """An engine that answers such a request with a failure, as some do with many requests.
+    """Engines that answer such a request with a failure, as some do with many requests.
 
-    It lives, which was taken for an answer that speaks for the request for 30 s: whatever ended
-    under it meanwhile did not count.
+    Guards against taking a failure for a good response: it cleared the request for 30 s, and
+    engines that crashed under it meanwhile were not counted.
     """
 
     engines = 7
@@ -119,14 +119,15 @@
         self.assertLessEqual(len(self.ended()), ENOUGH_ENDS)
 
     def fail_it(self, fails):
-        """Let engines answer with a failure, or end under the request again."""
+        """Make engines answer with a failure, or crash under the request again."""
         for engine in self.fleet.engines:
             engine.usual = Behaviour(status=500 if fails else 200)
             engine.fatal_bodies = set() if fails else {FATAL}
 
 
 class WaitingTest(unittest.TestCase):
-    """A request that waits for an engine to be listed, while others learn what it does."""
+    """A request that waits for an engine to be listed, while other nodes learn that it crashes
+    engines."""
 
     def test_it_is_looked_at_again_before_it_is_sent(self):
         identity, quarantine = RequestIdentity(b"0123456789abcdef", 1), Quarantine("n0")
@@ -178,7 +179,7 @@
 
 class KnowledgeTest(FatalRequestCase):
     def hold_back(self):
-        """Let the request end as many engines as it takes; returns the number of its next id."""
+        """Send the request until it is quarantined; returns the number of its next id."""
         for number in range(12):
             answer = self.send_fatal(f"n{number % self.nodes}", number)
             self.wait_for_news()
@@ -190,7 +191,7 @@
         return self.fleet.request(node, STREAM_PATH + "x", **changes)
 
     def spare_engines(self):
-        """Let no engine end any more."""
+        """Make no engine crash any more."""
         for engine in self.fleet.engines:
             engine.fatal_bodies.clear()
 
@@ -300,7 +301,8 @@
             self.assertEqual(node.status_document()["quarantine"], [])
 
     def test_engines_whose_connections_are_cut_and_that_live_hold_nobody_back(self):
-        """Each of them answers others as soon as the node uses it again, a second later."""
+        """Each engine answers other requests as soon as the node uses it again, one second
+        later."""
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=-1)]
         self.fleet.request("n0", STREAM_PATH + "x", body=b"cut")
@@ -317,10 +319,10 @@
 
 
 class FailingItemTest(unittest.TestCase):
-    """An item that an engine answers with a failure at each run.
+    """A batch item that engines answer with a failure at each run.
 
-    Its runs were counted by the node that worked on its job, so a node that took the job over began
-    at zero: with three runs allowed, two nodes gave it five.
+    Guards against a count of runs that starts at zero when another node takes the job over: with
+    three runs allowed, two nodes ran the item five times.
     """
 
     def test_its_runs_count_over_the_nodes_that_work_on_its_job(self):
@@ -345,7 +347,7 @@
 
     @staticmethod
     def saved_failures(fleet):
-        """Failed runs that whoever takes the job over finds."""
+        """Return the number of failed runs that a node taking over the job finds."""
         segments = [
             gateway.ItemProgress().parse(record.value)
             for part in range(2)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -1,4 +1,5 @@
-"""Clients that read slowly: engines, other clients and the node's memory are safe from them."""
+"""Clients that read slowly must not hold up engines, harm other clients or use up the node's
+memory."""
 
 import socket as sockets
 import time
@@ -15,12 +16,12 @@
 from tests.waiting import wait_until
 
 SMALL_BUFFER = 4_096
-"""Bytes that the sockets between a node and a slow client are set to hold; the system doubles it
-and more."""
+"""Size set for the socket buffers between a node and a slow client; the system more than doubles
+it."""
 EVENTS = 200
 PADDING = 1_000
 SIZE = EVENTS * PADDING
-"""Bytes of an answer at least; far more than the sockets of a slow client hold."""
+"""Least size of a response in bytes; far more than the socket buffers of a slow client hold."""
 
 
 def whole_stream(request_id, events=EVENTS, padding=PADDING):
@@ -44,7 +45,7 @@
             engine.usual = Behaviour(**behaviour)
 
     def send(self, request_id, path=STREAM_PATH):
-        """Send a request whose answer isn't read yet; returns the connection."""
+        """Send a request and do not read its response yet; returns the connection."""
         host, port = self.fleet.settings["n0"].listen.split(":")
         connection = socket.socket()
         connection.setsockopt(sockets.SOL_SOCKET, sockets.SO_RCVBUF, SMALL_BUFFER)
@@ -55,7 +56,7 @@
         return connection
 
     def placed(self):
-        """Requests that hold a place at an engine, as the node counts them."""
+        """Return the number of requests at engines, as the node counts them."""
         return sum(row["online"] for row in self.node.status_document()["engines"])
 
     def held(self):
@@ -112,7 +113,8 @@
         wait_until(lambda: self.held() == 0)
 
     def test_an_answer_that_is_taken_as_it_comes_counts_for_nothing(self):
-        """It is larger than what sockets hold, so that a write must wait for any client."""
+        """The response is larger than the socket buffers, so that a write has to wait for any
+        client."""
         self.node.slow_clients.budget.limit = SIZE // 2
         self.answer_with(events=EVENTS, padding=PADDING, content_type="text/plain")
         for number in range(3):
@@ -203,7 +205,7 @@
         self.budget = self.node.slow_clients.budget
 
     def watch_budget(self):
-        """Returns the most that was held, told by the list's last entry."""
+        """Return a list whose last entry is the most that was held so far."""
         most = [0]
 
         def look():
@@ -217,7 +219,7 @@
 
     def test_who_holds_most_for_longest_is_cut(self):
         self.budget.limit = 3 * (SIZE + EVENTS * EVENT_OVERHEAD)
-        # One store alone may hold an answer here.
+        # Lets one buffer hold a complete response here.
         self.budget.stream_share = 1.0
         most = self.watch_budget()
         connections = {}
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -1,4 +1,4 @@
-"""Limits of tenants at nodes that run: who asks whom, and what callers are told."""
+"""Rate limits of tenants at running nodes: which lender is asked, and what clients are told."""
 
 import itertools
 import unittest
@@ -27,9 +27,10 @@
     {"name": "dan", "apiKeys": ["dan-key"], "ratePerS": 40.0, "burst": 40.0},
 ]
 FILLED_AFTER = 4.0
-"""Seconds after which the second choice has something to lend, too."""
+"""Seconds after which the secondary lender has credit as well."""
 LATE = 0.15
-"""Seconds until a lender answers: longer than the second choice is left out, and in time."""
+"""Seconds until a lender answers: later than the secondary lender is asked, but within the
+time-out."""
 WINDOW = 5.0
 ALLOWED = (RATE * WINDOW + BURST) * 1.1 + 20
 
@@ -43,7 +44,7 @@
         nodes = self.fleet.nodes.values()
         wait_until(lambda: all(len(one.peers.all()) == self.nodes - 1 for one in nodes))
         self.sent = 0
-        # Buckets begin empty: nobody knows what was lent before.
+        # Buckets are empty at first, since no node knows what was lent before.
         gevent.sleep(FILLED_AFTER)
 
     def send(self, node, tenant="ann"):
@@ -95,12 +96,12 @@
 
 
 class LateLenderTest(CreditCase):
-    """A node that lends and answers late, as one on a busy machine does.
+    """A lender that answers late, as a node on a busy machine does.
 
-    An ask was given up after 0.08 s and its node not asked again for 0.5 s; the second choice lends
-    a twelfth of the rate. On a machine with 48 busy processes beside it 23 of 90 requests were told
-    that their tenant's count is unknown (227), all after `no reply in 0.1 s` (228) from nodes that
-    were alive.
+    Guards against 503 for tenants within their limit. A call was given up after 0.08 s and its node
+    not asked again for 0.5 s, and the secondary lender has a twelfth of the rate. Beside 48 busy
+    processes 23 of 90 requests were told that their tenant's count is unknown (event 227), all
+    after `no reply in 0.1 s` (event 228) from nodes that were alive.
     """
 
     def test_what_it_lends_late_is_taken(self):
@@ -114,10 +115,10 @@
             return lend(*arguments)
 
         limits.lend = lend_late
-        # A busy machine makes any answer of this one process late.
+        # A busy machine makes any answer of this single process late.
         self.assertGreater(ASK_PATIENCE, 2 * LATE)
         self.fleet.nodes[other]._limits.patience = PATIENCE
-        # The bucket holds more than these, the second choice's part of it does not.
+        # The bucket holds enough credit for all of these, that of the secondary lender does not.
         self.assertEqual({one.status for one in self.flood([other], 10)}, {200})
         self.assertEqual(self.fleet.events(other, Event.LIMIT_UNKNOWN), [])
 
@@ -133,7 +134,7 @@
         self.assertEqual({self.send(other).status for _ in range(3)}, {200})
 
     def test_a_second_choice_without_credit_tells_no_limit(self):
-        """Nodes of some builds refuse with 429 by its word, also far below the limit."""
+        """Nodes of some builds refuse with 429 if it says so, even far below the limit."""
         credit = self.fleet.nodes[self.choices()[1]]._limits
         ask = gateway.CreditAsk(tenant="ann", rate=RATE, burst=BURST, revision=1)
         told = {credit.reply(ask).lending for _ in range(20)}
@@ -157,10 +158,11 @@
 
 
 class SilentLenderTest(CreditCase):
-    """A lender is silent and not yet taken for gone; clients of its tenants have one more try."""
+    """A lender is silent but not yet declared dead; its tenants' clients have time for one
+    retry."""
 
     def refuse(self):
-        """What a node tells that hears its peers, none of which answers it."""
+        """Send to a node that hears its peers but gets no answer from any of them."""
         self.node = next(name for name in self.fleet.nodes if name not in self.choices())
         self.credit = self.fleet.nodes[self.node]._limits
         self.credit._call = lambda node_id, address, ask: None
@@ -169,7 +171,7 @@
     def test_a_client_comes_back_when_another_lends(self):
         answer = self.refuse()
         self.assertEqual(answer.status, 503)
-        # No other node can tell before: a client that comes back at once is refused once more.
+        # No other node can lend earlier: a client that retries at once would be refused again.
         self.assertGreater(float(answer.headers["retry-after"]), 1.0)
         told = self.fleet.events(self.node, Event.LIMIT_UNKNOWN)[-1]
         self.assertEqual(told["known_in"], float(answer.headers["retry-after"]))
@@ -186,7 +188,8 @@
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_one_whose_lender_is_not_silent_but_sends_elsewhere_comes_back_at_once(self):
-        """A node that others heard before this one lends now: this one will hear it in a moment."""
+        """Another node lends, since others heard its report first; this node will hear it in a
+        moment."""
         self.refuse()
         self.credit._silent_until.clear()
         elsewhere = gateway.CreditReply(lending=Lending.NOT_MINE.value)
@@ -203,7 +206,7 @@
 
 
 class StartTest(CreditCase):
-    """All nodes have just started: what was under way before comes back at once."""
+    """All nodes have just started, and requests that were under way before are retried at once."""
 
     def start_anew(self):
         for name, node in self.fleet.nodes.items():
@@ -224,13 +227,13 @@
 
 
 class TakeoverTest(CreditCase):
-    """A node takes a tenant over, with an empty bucket: its first requests are below the limit.
+    """A node takes over a tenant with an empty bucket, and the first requests are below the limit.
 
-    Guards against 429 for a tenant far below its limit while a node is replaced, or stood still.
+    Guards against 429 for a tenant far below its limit while a node is replaced or was suspended.
     """
 
     def take_over(self, tenant):
-        """Let the lender have a tenant since this moment; returns it."""
+        """Make the lender take over a tenant at this moment; returns it."""
         lender = self.fleet.nodes[self.choices(tenant)[0]]
         lender._limits.limits._forget(lender._clock.monotonic())
         return lender._limits
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,8 +1,8 @@
-"""Who asks: tenants and their keys at nodes that route requests.
+"""Authentication of tenants by API key at nodes that route requests.
 
-A node passed on whatever a client claimed to be. Engines ran requests for the tenant that the
-client named in a header of its own, with its API key among the headers, and requests with a key
-that nobody holds ran like all others: 7,063 of them on a day without any trouble.
+Guards against nodes that forward what a client claims to be. Engines ran requests for the tenant
+named in the client's own header, got its API key among the headers, and ran requests with unknown
+keys as well: 7,063 of them on a day without any fault.
 """
 
 import json
@@ -40,7 +40,7 @@
         return self.fleet.request(node, path, headers=headers, body=b"b", **changes)
 
     def heads(self):
-        """Headers of all that reached an engine, by the names in lower case."""
+        """Return the headers of all requests that reached an engine, names in lower case."""
         return [headers for engine in self.fleet.engines for _, headers in engine.heads]
 
     def in_force(self, revision):
@@ -133,7 +133,7 @@
         self.assertEqual(self.heads()[0]["tenant"], "bob")
 
     def test_a_stream_under_way_goes_on_when_its_key_goes(self):
-        """It was allowed when it was sent; only later requests are bound by the change."""
+        """The request was allowed when it was sent; a change applies to later requests only."""
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(pause=0.3, cut_after=2)]
             engine.usual = Behaviour(pause=0.05)
@@ -162,7 +162,8 @@
 
 class CutOffTest(TenantCase):
     def test_a_node_that_may_have_missed_a_key_does_not_call_it_unknown(self):
-        """The client of a new key was told 401 for good by a node that was cut off."""
+        """Guards against 401, which is final, from a node that is cut off and has not seen a new
+        key yet."""
         self.fleet.own_topics["n0"].silent = self.fleet.own_topics["n1"].silent = True
         wait_until(
             lambda: (
