--- a/postvalve/core/admission/callers.py
+++ b/postvalve/core/admission/callers.py
@@ -8,7 +8,7 @@
 from postvalve.exceptions import AuthenticationError, KeyUnknownError
 from postvalve.settings.routes import RoutedTenant, RouteSpec
 
-KEY_DOUBT_AGE = 2.0
+UNKNOWN_KEY_MAX_AGE = 2.0
 """Seconds of configuration that a node may have missed up to which a key that it does not know
 belongs to nobody. Beyond, its owner may hold it by a newer one: a 401 would be taken as final."""
 KEY_RETRY_AFTER = 0.3
@@ -61,7 +61,7 @@
         AuthenticationError: there is no key, or nobody holds it.
         KeyUnknownError: this node can't tell.
     """
-    if not table.names_callers:
+    if not table.requires_api_key:
         return Caller()
     if key is None and not needs_key:
         return Caller(named=True)
@@ -74,6 +74,6 @@
     tenant = table.tenant_of(key)
     if tenant is not None:
         return Caller(tenant, named=True)
-    if age > KEY_DOUBT_AGE:
+    if age > UNKNOWN_KEY_MAX_AGE:
         raise KeyUnknownError("this node may not know the API key yet", retry_after=KEY_RETRY_AFTER)
     raise AuthenticationError("the API key is not valid")
--- a/postvalve/core/admission/connection_share.py
+++ b/postvalve/core/admission/connection_share.py
@@ -9,13 +9,13 @@
 
 from collections.abc import Iterable
 
-MAX_RESTING = 24
+MAX_IDLE_CONNECTIONS = 24
 """Connections to one engine that a node keeps at the most, whatever the bound."""
-RESTING_SHARE = 0.5
+IDLE_SHARE = 0.5
 """Share of an engine's connections that may rest at all nodes together."""
 
 
-def resting_limit(max_connections: Iterable[int], nodes: int) -> int:
+def idle_connection_limit(max_connections: Iterable[int], nodes: int) -> int:
     """Connections to one engine that may rest at one node.
 
     Args:
@@ -24,5 +24,5 @@
     """
     bound = min((one for one in max_connections if one > 0), default=0)
     if not bound:
-        return MAX_RESTING
-    return max(1, min(MAX_RESTING, int(bound * RESTING_SHARE) // max(1, nodes)))
+        return MAX_IDLE_CONNECTIONS
+    return max(1, min(MAX_IDLE_CONNECTIONS, int(bound * IDLE_SHARE) // max(1, nodes)))
--- a/postvalve/core/admission/engine_use.py
+++ b/postvalve/core/admission/engine_use.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from postvalve.core.admission.online_means import OnlineMeans
+from postvalve.core.admission.online_averages import OnlineAverages
 from postvalve.core.membership.engine_life import EngineLife
 
 _ENTRY = struct.Struct("!IHHHH")
@@ -73,7 +73,7 @@
         self._reports: dict[str, bytes] = {}
         """What each peer told last."""
         self._totals: dict[int, UseCount] = {}
-        self.means = OnlineMeans()
+        self.online_averages = OnlineAverages()
 
     def enter(self, life: EngineLife, *, batch: bool, unread: int = 0, memory: int = 0) -> None:
         """Count one request in.
@@ -90,7 +90,7 @@
         """Count one request out, with the prompt tokens that were not read."""
         self._change(life, -1, batch, -unread, -memory)
 
-    def note_read(self, life: EngineLife, tokens: int) -> None:
+    def record_prompt_read(self, life: EngineLife, tokens: int) -> None:
         """A request's prompt was read: its first token came."""
         key = engine_hash(life)
         for count in (self._own.setdefault(key, UseCount()), self._total(key)):
@@ -108,7 +108,7 @@
             else:
                 count.online += difference
         if not batch:
-            self.means.note(key, self._total(key).online)
+            self.online_averages.note(key, self._total(key).online)
 
     def _total(self, key: int) -> UseCount:
         total = self._totals.get(key)
@@ -161,7 +161,7 @@
 
     def _note_online(self, keys: Iterable[int]) -> None:
         for key in keys:
-            self.means.note(key, self._total(key).online)
+            self.online_averages.note(key, self._total(key).online)
 
     def _subtract(self, counts: dict[int, UseCount]) -> None:
         for key, count in counts.items():
@@ -188,7 +188,7 @@
         """
         fraction = RESERVED_FRACTION if pressing else RELAXED_FRACTION
         total = self.total(life)
-        mean = math.ceil(self.means.at(engine_hash(life)))
+        mean = math.ceil(self.online_averages.average(engine_hash(life)))
         beside_heap = slots - math.ceil(slots * RESERVED_FRACTION) - mean - total.batch
         return min(slots - math.ceil(slots * fraction) - total.total, beside_heap)
 
--- a/postvalve/core/admission/fleet_limits.py
+++ b/postvalve/core/admission/fleet_limits.py
@@ -28,26 +28,26 @@
 from postvalve.core.admission.token_bucket import TokenBucket
 from postvalve.core.membership.ownership import rank_owners
 
-OWN_PART = 0.5
+PRIMARY_EXCESS_SHARE = 0.5
 """Of what the rate may be exceeded by, for the first choice; the rest is for the second one."""
-SLACK_PART = 0.6
+PRIMARY_SLACK_SHARE = 0.6
 """Of the requests by which any limit may be exceeded, for the first choice: with 20 of them a
 tenant of one request a second sends a dozen at once now and then."""
-DEPUTY_SLACK_PART = 0.4
+SECONDARY_SLACK_SHARE = 0.4
 """The same for all second choices together, in any window."""
-FILLED_PART = 0.75
+SECONDARY_BURST_SHARE = 0.75
 """Of what second choices may lend in a window, that their full buckets hold; the rest is what comes
 in while the window lasts. They are asked seldom, and then by many at once."""
-VIEW_TIME = 10.0
+VIEW_RETENTION = 10.0
 """Seconds of views that are remembered, to tell since when a tenant's bucket is this node's."""
-KNOWN_TIME = 30.0
+FLEET_SIZE_RETENTION = 30.0
 """Seconds for which a node that is not heard any more counts as part of the fleet: longer than a
 cut lasts, and two sides would each take the other for gone after it."""
-STALL = 1.5
+STALL_THRESHOLD = 1.5
 """Seconds between two looks after which this node may have stood still for so long that others lend
 in its place: they take it for gone 2 s after its last report, which may be half a second old. Looks
 are half a second to a second apart."""
-MAX_RETURN = 5.0
+MAX_RETRY_AFTER = 5.0
 """Seconds at the most that a refused caller is told to stay away."""
 SETTLE_TIME = 1.5
 """Seconds after its start until a node hears all others: those of other zones are told of a second
@@ -78,31 +78,31 @@
 
     def capacity(self, terms: LimitTerms) -> float:
         """Requests that a full bucket of a tenant holds."""
-        spare = terms.rate * self.window * self.over * OWN_PART
-        return terms.burst * (1 + self.over) + spare + self.slack * SLACK_PART
+        spare = terms.rate * self.window * self.over * PRIMARY_EXCESS_SHARE
+        return terms.burst * (1 + self.over) + spare + self.slack * PRIMARY_SLACK_SHARE
 
-    def deputies_credit(self, terms: LimitTerms) -> float:
+    def secondary_credit(self, terms: LimitTerms) -> float:
         """Requests that all second choices of a tenant may lend in any window, together."""
-        over = terms.rate * self.window * self.over * (1 - OWN_PART)
-        return over + self.slack * DEPUTY_SLACK_PART
+        over = terms.rate * self.window * self.over * (1 - PRIMARY_EXCESS_SHARE)
+        return over + self.slack * SECONDARY_SLACK_SHARE
 
 
-class Lending(enum.Enum):
+class CreditOutcome(enum.Enum):
     """What a node says that was asked for credit."""
 
-    LENT = "lent"
+    GRANTED = "lent"
     """The request is within the limit, and was counted."""
-    OVER = "over"
+    OVER_LIMIT = "over"
     """The tenant is over its limit."""
-    NOT_MINE = "not_mine"
+    NOT_OWNER = "not_mine"
     """Other nodes lend to this tenant."""
 
 
 @dataclass(frozen=True, slots=True)
-class Loan:
+class CreditDecision:
     """The answer to one ask, and what it was made of."""
 
-    lending: Lending
+    outcome: CreditOutcome
     wait: float = 0.0
     """Seconds after which a refused caller finds credit, spread over those that were refused."""
     share: float = 1.0
@@ -164,30 +164,30 @@
         """When the fleet was seen to have so many nodes, the largest first."""
         self._own: dict[str, _Account] = {}
         self._deputy: dict[str, _Account] = {}
-        self.known = 1
+        self.fleet_size = 1
         """Nodes of the fleet, as far as this one knows."""
 
     @property
-    def heard(self) -> int:
+    def live_nodes(self) -> int:
         """Nodes that are alive, this one among them, as far as it knows."""
         return len(self._views[-1].live)
 
-    def starts(self, now: float) -> bool:
+    def is_starting(self, now: float) -> bool:
         """Whether this node has just started, and may not hear all others yet."""
         return now < self._started_at + SETTLE_TIME
 
     @property
     def share(self) -> float:
         """Of the fleet, that this node has heard a moment ago."""
-        return min(1.0, len(self._certain) / max(1, self.known))
+        return min(1.0, len(self._certain) / max(1, self.fleet_size))
 
     @property
     def zone_share(self) -> float:
         """Of the fleet, that this node has heard a moment ago in its own zone."""
         near = self._views[-1].near & self._certain
-        return min(1.0, len(near) / max(1, self.known))
+        return min(1.0, len(near) / max(1, self.fleet_size))
 
-    def look(
+    def update_view(
         self,
         live: Iterable[str],
         announced: int,
@@ -210,7 +210,7 @@
                 where all were. Of two sides of a cut, one finds it out by a report's interval
                 before the other: its lender begins when the other one's part has ended.
         """
-        stalled = now - self._looked_at > STALL
+        stalled = now - self._looked_at > STALL_THRESHOLD
         if stalled:
             self._forget(now)
         self._looked_at = now
@@ -219,7 +219,7 @@
         if nodes != view.live or near != view.near:
             self._views.append(_View(now, nodes, near))
             self._drop_foreign()
-        while len(self._views) > 1 and self._views[1].since < now - VIEW_TIME:
+        while len(self._views) > 1 and self._views[1].since < now - VIEW_RETENTION:
             self._views.popleft()
         self._certain = nodes if certain is None else nodes.intersection(certain)
         self._note_size(len(nodes), announced, now)
@@ -230,17 +230,17 @@
         parts, share, zone_share = self._parts, self.share, self.zone_share
         if (share, zone_share) != (parts[-1].share, parts[-1].zone_share):
             parts.append(_Part(now, share, zone_share))
-        while len(parts) > 1 and parts[1].since < now - VIEW_TIME:
+        while len(parts) > 1 and parts[1].since < now - VIEW_RETENTION:
             parts.popleft()
 
     def _note_size(self, heard: int, announced: int, now: float) -> None:
-        while self._sizes and self._sizes[0][0] < now - KNOWN_TIME:
+        while self._sizes and self._sizes[0][0] < now - FLEET_SIZE_RETENTION:
             self._sizes.popleft()
         while self._sizes and self._sizes[-1][1] <= heard:
             self._sizes.pop()
         self._sizes.append((now, heard))
-        young = now - self._started_at < KNOWN_TIME
-        self.known = max(self._sizes[0][1], announced if young else 0)
+        young = now - self._started_at < FLEET_SIZE_RETENTION
+        self.fleet_size = max(self._sizes[0][1], announced if young else 0)
 
     def _forget(self, now: float) -> None:
         """This node stood still: others have lent meanwhile."""
@@ -260,11 +260,11 @@
         """Whom to ask, the first one first; two at the most."""
         return self._views[-1].choices_of(tenant)
 
-    def lend(self, tenant: str, terms: LimitTerms, now: float) -> Loan:
+    def try_acquire(self, tenant: str, terms: LimitTerms, now: float) -> CreditDecision:
         """Decide on one request of a tenant."""
         choices = self.choices(tenant)
         if self._node_id not in choices:
-            return Loan(Lending.NOT_MINE)
+            return CreditDecision(CreditOutcome.NOT_OWNER)
         deputy = choices[0] != self._node_id
         accounts = self._deputy if deputy else self._own
         account = accounts.get(tenant)
@@ -277,8 +277,10 @@
         share = part.zone_share if deputy else part.share
         wait = account.bucket.take(now)
         if not wait:
-            return Loan(Lending.LENT, share=share)
-        return Loan(Lending.OVER, self._return_time(account, now, wait), share)
+            return CreditDecision(CreditOutcome.GRANTED, share=share)
+        return CreditDecision(
+            CreditOutcome.OVER_LIMIT, self._return_time(account, now, wait), share
+        )
 
     def _fill(self, account: _Account, deputy: bool) -> _Part:
         """Fill a bucket by each part since it was asked for; returns the one that is in force.
@@ -302,20 +304,20 @@
     def _set_zone_part(self, account: _Account, part: _Part) -> None:
         """Set what a second choice lends by."""
         share, bucket = part.zone_share, account.bucket
-        credit = self._bounds.deputies_credit(account.terms) * share
-        bucket.rate = max(credit * (1 - FILLED_PART) / self._bounds.window, 1e-6)
+        credit = self._bounds.secondary_credit(account.terms) * share
+        bucket.rate = max(credit * (1 - SECONDARY_BURST_SHARE) / self._bounds.window, 1e-6)
         # Only one zone can hold most of the fleet, and lend one request of a smaller share.
         least = 1.0 if share > 0.5 else 0.0
-        bucket.burst = max(least, credit * FILLED_PART)
+        bucket.burst = max(least, credit * SECONDARY_BURST_SHARE)
 
     def _return_time(self, account: _Account, now: float, wait: float) -> float:
         """Seconds until a refused caller may come back, one behind the other."""
         gap, earliest = 1.0 / account.bucket.rate, now + wait
         settled_at = self._started_at + SETTLE_TIME
-        if self.starts(now):
+        if self.is_starting(now):
             gap = 1.0 / max(account.terms.rate, 1e-6)
             earliest = min(earliest, settled_at + gap)
-        account.next_return = min(max(account.next_return + gap, earliest), now + MAX_RETURN)
+        account.next_return = min(max(account.next_return + gap, earliest), now + MAX_RETRY_AFTER)
         return account.next_return - now
 
     def _mine_since(self, tenant: str, deputy: bool) -> float:
--- a/postvalve/core/admission/holding.py
+++ b/postvalve/core/admission/online_admission.py
@@ -13,24 +13,28 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from postvalve.core.admission.service_pace import ServicePace
-from postvalve.core.routing.expectation import EngineRoom, any_place, timely
+from postvalve.core.admission.service_latency import ServiceLatency
+from postvalve.core.routing.latency_estimate import (
+    EngineOccupancy,
+    any_has_capacity,
+    expected_in_time,
+)
 
 REFUSE_SHARE = 0.12
 """Share of its target latency within which a request is refused, if at all."""
 HOLD_SHARE = 0.8
 """Share of its target latency that a request is held at the most before an engine gets it: one
 that has come back must reach an engine while its client still waits."""
-FRESH_SHARE = 0.97
+FIRST_TRY_SHARE = 0.97
 """Share of the longest time that clients give from which a request counts as a first try; less
-than a client has left that came back after `LEAST_RETURN`, for any time up to 10 s."""
-LEAST_RETURN = 0.3
+than a client has left that came back after `MIN_RETRY_AFTER`, for any time up to 10 s."""
+MIN_RETRY_AFTER = 0.3
 """Seconds after which a refused client may come back at the earliest."""
-RETURN_SHARE = 0.3
+RETRY_AFTER_SHARE = 0.3
 """Share of the time left after which a refused client comes back at the latest."""
-RETURN_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Seconds over which clients that were refused together come back."""
-UNKNOWN_QUEUE = 1
+UNKNOWN_LATENCY_QUEUE = 1
 """Online requests that may wait at an engine before its pace is known."""
 PERSISTENT_AFTER = 2.5
 """Seconds after which an overload is none that clients can wait out: by then those that were told
@@ -39,11 +43,11 @@
 """Weight of a new overload in the expected length of the next one."""
 EPISODE_GAP = 0.5
 """Seconds in which every request finds room, after which an overload is over."""
-FIRST_EPISODE = 1.0
+INITIAL_EPISODE_LENGTH = 1.0
 """Seconds that the first overload is expected to last."""
 
 
-class Ruling(enum.Enum):
+class AdmissionAction(enum.Enum):
     """What becomes of a request now."""
 
     START = "start"
@@ -52,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldRequest:
+class PendingRequest:
     """What decides about a request; times in monotonic seconds."""
 
     arrived_at: float
@@ -60,32 +64,32 @@
     deadline: float
     tokens: int
     """Prompt tokens that an engine may have to read for it."""
-    may_return: bool
+    may_retry: bool
     """Whether its client can come back in time if it is refused."""
 
 
 def finds_room(
-    req: HeldRequest, rooms: Sequence[EngineRoom], pace: ServicePace, now: float
+    req: PendingRequest, rooms: Sequence[EngineOccupancy], pace: ServiceLatency, now: float
 ) -> bool:
     """Whether an engine should get a request now, for its own sake."""
-    if not rooms or any_place(rooms, pace):
+    if not rooms or any_has_capacity(rooms, pace):
         # A slot that no online work needs: late or not, nothing better can be had.
         return True
     if not pace.known:
         # Nobody can say what a queue costs yet: one place in it is risked.
-        return min(room.online - room.places(pace) for room in rooms) < UNKNOWN_QUEUE
+        return min(room.online - room.capacity(pace) for room in rooms) < UNKNOWN_LATENCY_QUEUE
     left = req.arrived_at + req.target_latency - now
-    return any(timely(rooms, req.tokens, pace, left))
+    return any(expected_in_time(rooms, req.tokens, pace, left))
 
 
-def rule(
-    req: HeldRequest,
-    rooms: Sequence[EngineRoom],
-    pace: ServicePace,
+def decide(
+    req: PendingRequest,
+    rooms: Sequence[EngineOccupancy],
+    pace: ServiceLatency,
     now: float,
     *,
     persistent: bool = False,
-) -> Ruling:
+) -> AdmissionAction:
     """Decide about a request at `now`; alike for all that wait.
 
     Args:
@@ -96,13 +100,17 @@
         persistent: Whether the slots ran out long ago: then engines serve first come, first served.
     """
     if persistent or finds_room(req, rooms, pace, now):
-        return Ruling.START
+        return AdmissionAction.START
     waited = now - req.arrived_at
-    if pace.known and req.may_return and waited <= req.target_latency * REFUSE_SHARE * 2:
-        return Ruling.REFUSE if waited >= req.target_latency * REFUSE_SHARE else Ruling.HOLD
+    if pace.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
+        return (
+            AdmissionAction.REFUSE
+            if waited >= req.target_latency * REFUSE_SHARE
+            else AdmissionAction.HOLD
+        )
     if waited >= req.target_latency * HOLD_SHARE:
-        return Ruling.START
-    return Ruling.HOLD
+        return AdmissionAction.START
+    return AdmissionAction.HOLD
 
 
 class OverloadEpisodes:
@@ -111,9 +119,9 @@
     def __init__(self) -> None:
         self._since: float | None = None
         self._last = 0.0
-        self._length = FIRST_EPISODE
+        self._length = INITIAL_EPISODE_LENGTH
 
-    def note_full(self, now: float) -> None:
+    def record_full(self, now: float) -> None:
         """A request found no room in time at `now`.
 
         Slots come free all through an overload; it is over when nobody was short of one for a
@@ -142,5 +150,5 @@
 
     def retry_after(self, now: float, time_left: float, drawn: float) -> float:
         """Seconds told to a refused client; `drawn` is from 0 to 1."""
-        latest = time_left * RETURN_SHARE
-        return min(latest, max(LEAST_RETURN, self.seconds_left(now)) + RETURN_SPREAD * drawn)
+        latest = time_left * RETRY_AFTER_SHARE
+        return min(latest, max(MIN_RETRY_AFTER, self.seconds_left(now)) + RETRY_JITTER * drawn)
--- a/postvalve/core/admission/online_means.py
+++ b/postvalve/core/admission/online_averages.py
@@ -37,7 +37,7 @@
         self.count = self.total = 0
 
 
-class OnlineMeans:
+class OnlineAverages:
     """Means of online requests by engine, over the last window that is over."""
 
     def __init__(self) -> None:
@@ -55,14 +55,14 @@
         known.total += online
         known.last = online
 
-    def roll(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """It is `now`, in monotonic seconds; told at each look for room."""
         self._window = int(now / WINDOW)
         if self._window - self._cleaned >= KEPT_WINDOWS:
             self._cleaned = self._window
             self._forget_idle()
 
-    def at(self, engine: int) -> float:
+    def average(self, engine: int) -> float:
         """The mean of an engine; 0 where nothing is known of it."""
         known = self._engines.get(engine)
         if known is None:
--- a/postvalve/core/admission/quarantine.py
+++ b/postvalve/core/admission/quarantine.py
@@ -28,38 +28,38 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.ownership import preferred_owner
 
-DOUBTFUL_ENDS = 2
+SUSPECT_AFTER = 2
 """Engines that ended under a request from which on it runs alone: it was cut twice in a row."""
-HELD_ENDS = 3
+HOLD_AFTER = 3
 """Engines from which on it is held back. An innocent one has been where three engines ended, the
 third of which ran no other doubtful one that is known."""
 HOLD_TIME = 60.0
 """Seconds for which it is held back after the third end, doubled for each one that follows: one
 engine in the first minute, one in the next two, and so on."""
 MAX_HOLD_TIME = 3600.0
-DOUBT_TIME = 30.0
+SUSPICION_TIME = 30.0
 """Seconds after its last end from which a request that is not held back is like any other. Engines
 that end for causes of their own rarely meet the same request twice in so short a time."""
-BEGIN_TIME = 1.0
+FATAL_START_TIME = 1.0
 """Seconds after a run's first event from which it is not what ended its engine: one that makes
 engines end does so as it begins to run, after 50 to 140 ms where it was seen."""
-ANSWER_TIME = 30.0
+ANSWER_RETENTION = 30.0
 """Seconds for which an answer speaks for a request that comes again. One that many send runs at all
 engines at all times, so it is there whenever one ends: beside a request that ended all engines of a
 run, three, 84 in 100 of those that were all alike got a 502 without this, and 23 with it."""
-LISTED_TIME = 1.0
+LISTING_DELAY = 1.0
 """Seconds after its first answer in which an engine that started again may not be listed yet."""
 MAX_ANSWERS = 4_096
 """Answers that are remembered: 136 a second, twice a node's share of the planned load."""
-MAX_CASES = 512
+MAX_ENTRIES = 512
 """Requests that are known at once. One engine that ends brings as many as it has slots, 8 to 20."""
-ENOUGH_VARIANTS = 3
+HOLD_ALL_VARIANTS_AFTER = 3
 """Variants under which engines ended from which on all others are held back too."""
-MAX_FACTS = 12
+MAX_FAILURES = 12
 """Facts that are kept of each."""
 
 
-class Ruling(enum.Enum):
+class RunPermission(enum.Enum):
     """Whether a request may run."""
 
     FREE = "free"
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FactId:
+class FailureId:
     """One fact: a life of an engine, and a number that no other fact of that life has."""
 
     engine: EngineLife
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True)
-class Fact:
+class EngineFailure:
     """That an engine ended under a request, or is about to be tried."""
 
     ended_at: float
@@ -93,82 +93,88 @@
 
 
 @dataclass(slots=True)
-class Case:
+class QuarantineEntry:
     """What is known of one request."""
 
-    facts: dict[FactId, Fact] = field(default_factory=dict)
+    failures: dict[FailureId, EngineFailure] = field(default_factory=dict)
 
     def engines(self) -> dict[EngineLife, float]:
         """Lives of engines that ended, and when."""
         found: dict[EngineLife, float] = {}
-        for name, fact in self.facts.items():
-            if not fact.excused:
-                found[name.engine] = min(found.get(name.engine, fact.ended_at), fact.ended_at)
+        for name, failure in self.failures.items():
+            if not failure.excused:
+                found[name.engine] = min(found.get(name.engine, failure.ended_at), failure.ended_at)
         return found
 
     def variants(self) -> set[int]:
         """Variants under which engines ended."""
-        return {fact.variant for fact in self.facts.values() if not fact.excused}
+        return {failure.variant for failure in self.failures.values() if not failure.excused}
 
-    def of(self, variant: int) -> list[Fact]:
+    def of(self, variant: int) -> list[EngineFailure]:
         """Facts of one variant."""
-        return [fact for fact in self.facts.values() if fact.variant == variant]
+        return [failure for failure in self.failures.values() if failure.variant == variant]
 
     @property
     def on_trial(self) -> bool:
         """Whether a run of it is under way, as far as is known."""
-        return any(fact.trial and not fact.excused for fact in self.facts.values())
+        return any(failure.trial and not failure.excused for failure in self.failures.values())
 
-    def concerns(self, variant: int) -> bool:
+    def applies_to(self, variant: int) -> bool:
         """Whether what is known holds a variant back, that of a run under way among others."""
         known = self.variants()
-        return self.on_trial or variant in known or len(known) >= ENOUGH_VARIANTS
+        return self.on_trial or variant in known or len(known) >= HOLD_ALL_VARIANTS_AFTER
 
     def held_until(self) -> float:
         """Monotonic seconds until which it is held back; in the past where it is not."""
         ends = self.engines()
-        if len(ends) < HELD_ENDS:
+        if len(ends) < HOLD_AFTER:
             return float("-inf")
         return max(ends.values()) + hold_time(len(ends))
 
-    def forgotten_at(self) -> float:
+    def expires_at(self) -> float:
         """Monotonic seconds from which nothing of it is needed any more.
 
         One that was held back is remembered as long again: the next end must count as one more.
         """
         ends = self.engines()
-        latest = max((fact.ended_at for fact in self.facts.values()), default=float("-inf"))
-        if len(ends) < HELD_ENDS:
-            return latest + DOUBT_TIME
+        latest = max(
+            (failure.ended_at for failure in self.failures.values()), default=float("-inf")
+        )
+        if len(ends) < HOLD_AFTER:
+            return latest + SUSPICION_TIME
         return self.held_until() + hold_time(len(ends))
 
-    def merge(self, told: Case) -> bool:
+    def merge(self, told: QuarantineEntry) -> bool:
         """Take in what another one knows of the same request; tells whether any of it is news."""
-        before = {name: fact.excused for name, fact in self.facts.items()}
-        for name, fact in told.facts.items():
-            known = self.facts.setdefault(name, Fact(fact.ended_at, fact.variant, fact.trial))
-            known.ended_at = min(known.ended_at, fact.ended_at)
-            known.excused |= fact.excused
+        before = {name: failure.excused for name, failure in self.failures.items()}
+        for name, failure in told.failures.items():
+            known = self.failures.setdefault(
+                name, EngineFailure(failure.ended_at, failure.variant, failure.trial)
+            )
+            known.ended_at = min(known.ended_at, failure.ended_at)
+            known.excused |= failure.excused
         self._prune()
-        return any(before.get(name) != fact.excused for name, fact in self.facts.items())
+        return any(before.get(name) != failure.excused for name, failure in self.failures.items())
 
     def _prune(self) -> None:
         """Drop the facts of least weight; those that come again are dropped again."""
-        while len(self.facts) > MAX_FACTS:
-            facts = self.facts
-            del facts[min(facts, key=lambda one: (not facts[one].excused, facts[one].ended_at))]
+        while len(self.failures) > MAX_FAILURES:
+            failures = self.failures
+            del failures[
+                min(failures, key=lambda one: (not failures[one].excused, failures[one].ended_at))
+            ]
 
 
 def hold_time(ends: int) -> float:
     """Seconds for which a request is held back after so many engines ended under it."""
-    return min(MAX_HOLD_TIME, HOLD_TIME * 2.0 ** min(16, ends - HELD_ENDS))
+    return min(MAX_HOLD_TIME, HOLD_TIME * 2.0 ** min(16, ends - HOLD_AFTER))
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
+class QuarantineDecision:
     """A ruling, and what it was made of."""
 
-    ruling: Ruling
+    permission: RunPermission
     ends: int = 0
     """Engines that ended under the request."""
     age: float = 0.0
@@ -177,7 +183,7 @@
     """For which it is held back from now on."""
 
 
-_FREE = Decision(Ruling.FREE)
+_FREE = QuarantineDecision(RunPermission.FREE)
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,7 +216,7 @@
     """A run of a doubtful request, told before it began."""
 
     digest: bytes
-    fact: FactId
+    failure: FailureId
 
 
 class Quarantine:
@@ -218,7 +224,7 @@
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
-        self._cases: dict[bytes, Case] = {}
+        self._entries: dict[bytes, QuarantineEntry] = {}
         self._stamps = 0
         self._answered: dict[RequestIdentity, float] = {}
         """When a request was answered last, the latest one last."""
@@ -230,42 +236,42 @@
         """Called with a digest of which something new is known."""
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._entries)
 
     def digests(self) -> list[bytes]:
         """Of all requests that something is known of."""
-        return list(self._cases)
+        return list(self._entries)
 
-    def case(self, digest: bytes) -> Case | None:
+    def entry(self, digest: bytes) -> QuarantineEntry | None:
         """What is known of a request."""
-        return self._cases.get(digest)
+        return self._entries.get(digest)
 
-    def rule(self, identity: RequestIdentity, now: float) -> Decision:
+    def check_request(self, identity: RequestIdentity, now: float) -> QuarantineDecision:
         """Decide whether a request may run."""
-        case = self._cases.get(identity.digest)
-        if case is None:
+        entry = self._entries.get(identity.digest)
+        if entry is None:
             return _FREE
-        ends = case.engines()
-        if len(ends) < DOUBTFUL_ENDS:
+        ends = entry.engines()
+        if len(ends) < SUSPECT_AFTER:
             return _FREE
         age = now - max(ends.values())
-        if len(ends) < HELD_ENDS:
-            ruling = Ruling.FREE if age >= DOUBT_TIME else Ruling.ALONE
-            return Decision(ruling, len(ends), age)
-        seconds = case.held_until() - now
-        if seconds <= 0 or not case.concerns(identity.variant):
-            return Decision(Ruling.ALONE, len(ends), age)
-        return Decision(Ruling.HELD, len(ends), age, seconds)
+        if len(ends) < HOLD_AFTER:
+            ruling = RunPermission.FREE if age >= SUSPICION_TIME else RunPermission.ALONE
+            return QuarantineDecision(ruling, len(ends), age)
+        seconds = entry.held_until() - now
+        if seconds <= 0 or not entry.applies_to(identity.variant):
+            return QuarantineDecision(RunPermission.ALONE, len(ends), age)
+        return QuarantineDecision(RunPermission.HELD, len(ends), age, seconds)
 
     def summary(self, digest: bytes, now: float) -> Summary:
         """What is known of a request."""
-        case = self._cases.get(digest, Case())
-        ends = case.engines()
+        entry = self._entries.get(digest, QuarantineEntry())
+        ends = entry.engines()
         age = now - max(ends.values(), default=now)
-        seconds = max(0.0, case.held_until() - now)
-        return Summary(len(ends), len(case.variants()), age, seconds, case.on_trial)
+        seconds = max(0.0, entry.held_until() - now)
+        return Summary(len(ends), len(entry.variants()), age, seconds, entry.on_trial)
 
-    def note_end(
+    def record_end(
         self, identity: RequestIdentity, engine: EngineLife, sent_at: float, now: float
     ) -> bool:
         """An engine's connection ended under a request, before its answer was whole.
@@ -274,7 +280,7 @@
             Whether that counts: a request that was answered lately, or was sent there after the
             engine had ended for somebody else, did not end it.
         """
-        if any(fact.ended_at < sent_at for _, _, fact in self._ends_of(engine)):
+        if any(failure.ended_at < sent_at for _, _, failure in self._ends_of(engine)):
             return False
         if self._was_answered(identity, now):
             return False
@@ -290,11 +296,11 @@
 
     def end_trial(self, trial: Trial) -> None:
         """The run has an outcome, and whatever it says of the engine was noted."""
-        case = self._cases.get(trial.digest)
-        if case is not None and trial.fact in case.facts:
-            self._excuse(trial.digest, case, [case.facts[trial.fact]])
+        entry = self._entries.get(trial.digest)
+        if entry is not None and trial.failure in entry.failures:
+            self._excuse(trial.digest, entry, [entry.failures[trial.failure]])
 
-    def note_answered(self, identity: RequestIdentity, now: float) -> bool:
+    def record_answer(self, identity: RequestIdentity, now: float) -> bool:
         """An engine ran the request, to its end or for long: none ended because of it.
 
         Returns:
@@ -304,13 +310,15 @@
         self._answered[identity] = now
         if len(self._answered) > MAX_ANSWERS:
             del self._answered[next(iter(self._answered))]
-        case = self._cases.get(identity.digest)
-        return case is not None and self._excuse(identity.digest, case, case.of(identity.variant))
+        entry = self._entries.get(identity.digest)
+        return entry is not None and self._excuse(
+            identity.digest, entry, entry.of(identity.variant)
+        )
 
     def _was_answered(self, identity: RequestIdentity, at: float) -> bool:
-        return at - self._answered.get(identity, float("-inf")) < ANSWER_TIME
+        return at - self._answered.get(identity, float("-inf")) < ANSWER_RETENTION
 
-    def note_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
+    def record_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
         """An engine answered a request that was sent to it at `sent_at`: it had not ended.
 
         Where engines come back under their ids it may have been the next life that answered. So
@@ -321,7 +329,7 @@
         elif engine in self._blamed:
             self._answering[engine] = (sent_at, now)
 
-    def confirm(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
+    def confirm_alive(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
         """See which lives that answered are still the ones that the directory lists.
 
         Args:
@@ -331,27 +339,27 @@
         for engine, (sent_at, answered_at) in list(self._answering.items()):
             if not listed(engine):
                 del self._answering[engine]
-            elif known_at >= answered_at + LISTED_TIME:
+            elif known_at >= answered_at + LISTING_DELAY:
                 del self._answering[engine]
                 self._excuse_ends(engine, sent_at)
 
     def _excuse_ends(self, engine: EngineLife, sent_at: float) -> None:
         ends = self._ends_of(engine)
-        for digest, case, fact in ends:
-            if fact.ended_at < sent_at:
-                self._excuse(digest, case, [fact])
-        if all(fact.ended_at < sent_at for _, _, fact in ends):
+        for digest, entry, failure in ends:
+            if failure.ended_at < sent_at:
+                self._excuse(digest, entry, [failure])
+        if all(failure.ended_at < sent_at for _, _, failure in ends):
             self._blamed.discard(engine)
 
-    def _ends_of(self, engine: EngineLife) -> list[tuple[bytes, Case, Fact]]:
+    def _ends_of(self, engine: EngineLife) -> list[tuple[bytes, QuarantineEntry, EngineFailure]]:
         """Facts that stand and name an engine."""
         if engine not in self._blamed:
             return []
         return [
-            (digest, case, fact)
-            for digest, case in self._cases.items()
-            for name, fact in case.facts.items()
-            if name.engine == engine and not fact.trial and not fact.excused
+            (digest, entry, failure)
+            for digest, entry in self._entries.items()
+            for name, failure in entry.failures.items()
+            if name.engine == engine and not failure.trial and not failure.excused
         ]
 
     def preferred_engine(
@@ -360,62 +368,64 @@
         """Where a doubtful request runs; alike at all nodes with the same engines."""
         return preferred_owner(identity.digest.hex(), list(engines))
 
-    def merge(self, digest: bytes, told: Case, now: float) -> bool:
+    def merge(self, digest: bytes, told: QuarantineEntry, now: float) -> bool:
         """Take in what another node, or the store, knows of a request; tells if that is news."""
-        if told.forgotten_at() <= now:
+        if told.expires_at() <= now:
             return False
-        case = self._cases.get(digest) or Case()
-        if not case.merge(told):
+        entry = self._entries.get(digest) or QuarantineEntry()
+        if not entry.merge(told):
             return False
-        self._blamed.update(name.engine for name in told.facts)
-        self._keep(digest, case)
+        self._blamed.update(name.engine for name in told.failures)
+        self._keep(digest, entry)
         self.on_change(digest)
-        self._speak_for(digest, case)
+        self._speak_for(digest, entry)
         return True
 
-    def _speak_for(self, digest: bytes, case: Case) -> None:
+    def _speak_for(self, digest: bytes, entry: QuarantineEntry) -> None:
         """Excuse what others tell of a request that this node saw answered lately."""
-        for variant in case.variants():
-            facts = case.of(variant)
-            first = min(fact.ended_at for fact in facts if not fact.excused)
+        for variant in entry.variants():
+            failures = entry.of(variant)
+            first = min(failure.ended_at for failure in failures if not failure.excused)
             if self._was_answered(RequestIdentity(digest, variant), first):
-                self._excuse(digest, case, facts)
+                self._excuse(digest, entry, failures)
 
-    def expire(self, now: float) -> list[tuple[bytes, Case]]:
+    def expire(self, now: float) -> list[tuple[bytes, QuarantineEntry]]:
         """Drop what is not needed any more; returns it. Called about each second."""
-        cases = self._cases.items()
-        old = [(digest, case) for digest, case in cases if case.forgotten_at() <= now]
+        cases = self._entries.items()
+        old = [(digest, entry) for digest, entry in cases if entry.expires_at() <= now]
         for digest, _ in old:
-            del self._cases[digest]
-        self._blamed = {name.engine for case in self._cases.values() for name in case.facts}
+            del self._entries[digest]
+        self._blamed = {name.engine for entry in self._entries.values() for name in entry.failures}
         return old
 
     def _add(
         self, identity: RequestIdentity, engine: EngineLife, now: float, *, trial: bool
-    ) -> FactId:
+    ) -> FailureId:
         digest = identity.digest
         self._stamps += 1
         stamp = xxhash.xxh32_intdigest(f"{self._node_id} {now} {self._stamps}".encode())
-        name = FactId(engine, stamp)
-        case = self._cases.get(digest) or Case()
-        case.merge(Case({name: Fact(now, identity.variant, trial)}))
+        name = FailureId(engine, stamp)
+        entry = self._entries.get(digest) or QuarantineEntry()
+        entry.merge(QuarantineEntry({name: EngineFailure(now, identity.variant, trial)}))
         self._blamed.add(engine)
-        self._keep(digest, case)
+        self._keep(digest, entry)
         self.on_change(digest)
         return name
 
-    def _excuse(self, digest: bytes, case: Case, facts: Iterable[Fact]) -> bool:
-        fresh = [fact for fact in facts if not fact.excused]
-        for fact in fresh:
-            fact.excused = True
+    def _excuse(
+        self, digest: bytes, entry: QuarantineEntry, failures: Iterable[EngineFailure]
+    ) -> bool:
+        fresh = [failure for failure in failures if not failure.excused]
+        for failure in fresh:
+            failure.excused = True
         if fresh:
             self.on_change(digest)
         return bool(fresh)
 
-    def _keep(self, digest: bytes, case: Case) -> None:
+    def _keep(self, digest: bytes, entry: QuarantineEntry) -> None:
         """Keep a case; where there are too many an old one of little weight goes."""
-        self._cases[digest] = case
-        if len(self._cases) <= MAX_CASES:
+        self._entries[digest] = entry
+        if len(self._entries) <= MAX_ENTRIES:
             return
-        light = (one for one, kept in self._cases.items() if len(kept.engines()) < DOUBTFUL_ENDS)
-        del self._cases[next(light, next(iter(self._cases)))]
+        light = (one for one, kept in self._entries.items() if len(kept.engines()) < SUSPECT_AFTER)
+        del self._entries[next(light, next(iter(self._entries)))]
--- a/postvalve/core/admission/service_pace.py
+++ b/postvalve/core/admission/service_latency.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class ServicePace:
+class ServiceLatency:
     """Estimates for one service; times in seconds."""
 
     _first: _DecayedLine = field(default_factory=_DecayedLine)
@@ -70,7 +70,7 @@
         """Whether there are enough samples to decide by."""
         return min(self._first.weight, self._held.weight) >= LEAST_SAMPLES
 
-    def observe_first(self, tokens: int, seconds: float) -> None:
+    def observe_first_event(self, tokens: int, seconds: float) -> None:
         """Note the first event of an attempt that found a free slot.
 
         Args:
@@ -82,7 +82,7 @@
             seconds = min(seconds, mean * LONGEST_FACTOR)
         self._first.add(tokens / 1000, seconds)
 
-    def observe_held(self, seconds: float) -> None:
+    def observe_slot_time(self, seconds: float) -> None:
         """Note how long a request held its slot."""
         self._held.add(0.0, seconds)
 
@@ -105,15 +105,15 @@
             slots: Of the engine.
             seconds: From its sending to the first event, without what that takes anyhow.
         """
-        usual = places * self.held / max(1, slots)
+        usual = places * self.slot_time / max(1, slots)
         if usual <= 0:
             return
         factor = min(LONGEST_QUEUE_FACTOR, max(0.0, seconds) / usual)
         self._queue_factor += QUEUE_WEIGHT * (factor - self._queue_factor)
 
-    def queue_step(self, slots: int) -> float:
+    def queue_delay_per_place(self, slots: int) -> float:
         """Seconds for each place in the queue of an engine with so many slots."""
-        return self.held / max(1, slots) * max(1.0, self._queue_factor)
+        return self.slot_time / max(1, slots) * max(1.0, self._queue_factor)
 
     def observe_error(self, expected: float, seconds: float) -> None:
         """Note what a first event took that was expected to take `expected`."""
@@ -135,7 +135,7 @@
         return self._longest_pause.at(running) if known else 0.0
 
     @property
-    def held(self) -> float:
+    def slot_time(self) -> float:
         """Seconds that a request holds its slot."""
         return self._held.mean
 
--- a/postvalve/core/membership/engine_directory.py
+++ b/postvalve/core/membership/engine_directory.py
@@ -14,10 +14,10 @@
 
 from postvalve.core.membership.shared_freshness import SharedFreshness
 
-RETURN_TIME = 2.0
+REREGISTRATION_TIME = 2.0
 """Seconds after the store's return within which entries that lapsed come back, as the platform's
 pages say."""
-KEEP_TIME = 1.8
+LAPSED_ENTRY_RETENTION = 1.8
 """Seconds from the store's return for which an entry that lapsed is kept: an engine that has left
 takes no request for longer than the shortest time that a deployment gives (2 s), with a margin for
 a request on its way."""
@@ -58,7 +58,7 @@
         A node that has just read the directory for the first time can't know what lapsed before.
         """
         back_at = max(self._back_at, self._shared.returned_at)
-        return not self._read or self._store_lost or now - back_at < RETURN_TIME
+        return not self._read or self._store_lost or now - back_at < REREGISTRATION_TIME
 
     def observe(
         self, changes: Iterable[tuple[str, Entry | None]], whole: bool, now: float
@@ -73,7 +73,7 @@
         Returns:
             Ids of the engines that are missing from now on, but kept for a while.
         """
-        keep_until = self._shared.returned_at + KEEP_TIME
+        keep_until = self._shared.returned_at + LAPSED_ENTRY_RETENTION
         keeps = self._read and now < keep_until
         if not self._read:
             self._read = True
@@ -96,7 +96,7 @@
         """The entry of an engine, if it is listed."""
         return self._listed.get(engine_id)
 
-    def seconds_kept(self, now: float) -> float | None:
+    def seconds_to_expiry(self, now: float) -> float | None:
         """Seconds until the first entry that is only kept must go; None when none is kept."""
         untils = [one.until for one in self._lapsed.values()]
         return max(0.0, min(untils) - now) if untils else None
--- a/postvalve/core/membership/feature_gate.py
+++ b/postvalve/core/membership/feature_gate.py
@@ -21,21 +21,21 @@
 
     def __init__(self, own: Feature = OWN_FEATURES) -> None:
         self.own = own
-        self.on = Feature.NONE
+        self.enabled = Feature.NONE
         """What is in use."""
         self._able_since: dict[Feature, float] = {}
         """Since when nobody was heard that can't do it; nothing where somebody is."""
         self._looked_at: float | None = None
 
-    def lower(self, features: Feature) -> None:
+    def restrict(self, features: Feature) -> None:
         """Somebody was heard who can do just this: the rest goes off at once."""
         if self.own & ~features:
-            self.on &= features
+            self.enabled &= features
             for one in list(self._able_since):
                 if one not in features:
                     del self._able_since[one]
 
-    def look(self, common: Feature, now: float) -> None:
+    def update(self, common: Feature, now: float) -> None:
         """See what may go on; called a few times a second.
 
         Args:
@@ -44,14 +44,14 @@
                 others than one that starts, and begins like that.
         """
         if self._looked_at is not None and now - self._looked_at > SETTLE_TIME:
-            self.on, self._able_since = Feature.NONE, {}
+            self.enabled, self._able_since = Feature.NONE, {}
         self._looked_at = now
-        self.lower(common)
+        self.restrict(common)
         for one in common & self.own:
             if now - self._able_since.setdefault(one, now) >= SETTLE_TIME:
-                self.on |= one
+                self.enabled |= one
 
-    def waiting(self, feature: Feature, now: float) -> float:
+    def seconds_to_enable(self, feature: Feature, now: float) -> float:
         """Seconds until a feature that all can do goes on, if nobody else is heard."""
         since = self._able_since.get(feature)
         return 0.0 if since is None else max(0.0, since + SETTLE_TIME - now)
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -19,7 +19,7 @@
 lost, another one must first find that out, after `SILENT_AFTER`."""
 REPORTER_SILENT_AFTER = 1.2
 """Seconds without a digest after which another reporter of that zone counts whatever it knows."""
-STALL = 1.0
+STALL_THRESHOLD = 1.0
 """Seconds between two looks after which this node itself must have stood still."""
 STORE_SILENT_AFTER = 4.0
 """Seconds without the store after which a node's jobs are better worked on elsewhere."""
@@ -40,14 +40,14 @@
         return self.report.node_id
 
     @property
-    def works(self) -> bool:
+    def can_run_jobs(self) -> bool:
         """Whether it can work on jobs."""
         report = self.report
         return not report.leaving and report.log_silence_ms < STORE_SILENT_AFTER * 1000
 
 
 @dataclass(slots=True)
-class FarZone:
+class RemoteZone:
     """Another zone, by its last digest."""
 
     digest: ZoneDigest
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
+class SilentPeers:
     """Who was not heard for too long."""
 
     nodes: list[str] = field(default_factory=list)
@@ -86,7 +86,7 @@
         self.node_id = node_id
         """This node's own id."""
         self._peers: dict[str, Peer] = {}
-        self._zones: dict[str, FarZone] = {}
+        self._zones: dict[str, RemoteZone] = {}
         self._leaving: set[str] = set()
         """Peers that reported themselves as leaving."""
         self._looked_at: float | None = None
@@ -103,7 +103,7 @@
         waiting = decode_groups(report.items_waiting)
         self._peers[report.node_id] = Peer(report, now, waiting)
         (self._leaving.add if report.leaving else self._leaving.discard)(report.node_id)
-        self.gate.lower(features_of(report.extensions))
+        self.gate.restrict(features_of(report.extensions))
         return True
 
     def observe_zone(self, digest: ZoneDigest, now: float) -> bool:
@@ -112,7 +112,7 @@
         if zone is not None and not _supersedes(digest, zone, now):
             return False
         if zone is None:
-            zone = self._zones[digest.zone] = FarZone(digest, now)
+            zone = self._zones[digest.zone] = RemoteZone(digest, now)
         zone.digest, zone.heard_at = digest, now
         zone.waiting = decode_groups(digest.items_waiting)
         if digest.members is not None and digest.members_version != zone.members_version:
@@ -125,7 +125,7 @@
             }
         for peer in zone.members.values():
             peer.heard_at = now
-        self.gate.lower(features_of(digest.extensions))
+        self.gate.restrict(features_of(digest.extensions))
         return True
 
     def drop(self, node_id: str) -> None:
@@ -133,13 +133,13 @@
         self._peers.pop(node_id, None)
         self._leaving.discard(node_id)
 
-    def expire(self, now: float) -> Silence:
+    def expire(self, now: float) -> SilentPeers:
         """Drop silent peers and zones; returns them. Called a few times a second.
 
         A node that stood still has heard nobody, which says nothing of the others: they get
         their time anew.
         """
-        if self._looked_at is not None and now - self._looked_at > STALL:
+        if self._looked_at is not None and now - self._looked_at > STALL_THRESHOLD:
             for peer in self._peers.values():
                 peer.heard_at = now
             for zone in self._zones.values():
@@ -155,8 +155,8 @@
         ]
         for name in zones:
             del self._zones[name]
-        self.gate.look(self.common_features(), now)
-        return Silence(nodes, zones)
+        self.gate.update(self.common_features(), now)
+        return SilentPeers(nodes, zones)
 
     def all(self) -> list[Peer]:
         """Peers that were heard, or told of, a moment ago."""
@@ -171,7 +171,7 @@
 
     def features(self) -> Feature:
         """What takes all nodes and is in use: see `core/membership/feature_gate`."""
-        return self.gate.on
+        return self.gate.enabled
 
     def common_features(self) -> Feature:
         """What all that are heard can do: a zone's digest tells what all its nodes can.
@@ -180,11 +180,11 @@
         an earlier one listed: an older build may have taken a machine's place.
         """
         common = self.gate.own
-        for _, features in self.features_heard():
+        for _, features in self.peer_features():
             common &= features
         return common
 
-    def features_heard(self) -> Iterator[tuple[str, Feature]]:
+    def peer_features(self) -> Iterator[tuple[str, Feature]]:
         """What each node that reports itself, and each zone that is known by digests, can do."""
         for peer in self._peers.values():
             yield peer.node_id, features_of(peer.report.extensions)
@@ -201,7 +201,7 @@
         """Peers of a zone that report themselves."""
         return [one for one in self._peers.values() if one.report.zone == zone]
 
-    def zones(self) -> dict[str, FarZone]:
+    def zones(self) -> dict[str, RemoteZone]:
         """Zones that are known by digests, by name."""
         return self._zones
 
@@ -213,23 +213,23 @@
                 found = found or zone.members.get(node_id)
         return found
 
-    def reports(self, node_id: str) -> bool:
+    def reports_directly(self, node_id: str) -> bool:
         """Whether a node is known by its own reports, and so this one by its own there."""
         return node_id in self._peers
 
-    def works(self, node_id: str, incarnation: int) -> bool:
+    def can_run_jobs(self, node_id: str, incarnation: int) -> bool:
         """Whether that life of a node can work on its jobs."""
         peer = self.get(node_id)
-        return peer is not None and peer.report.incarnation == incarnation and peer.works
+        return peer is not None and peer.report.incarnation == incarnation and peer.can_run_jobs
 
     def successor(self, job_id: str, *, self_works: bool) -> str | None:
         """The node that takes a job over; alike at all nodes with the same view."""
-        candidates = [peer.node_id for peer in self.all() if peer.works]
+        candidates = [peer.node_id for peer in self.all() if peer.can_run_jobs]
         if self_works:
             candidates.append(self.node_id)
         return preferred_owner(job_id, candidates)
 
-    def running_at_leaving(self) -> set[tuple[str, int]]:
+    def running_on_leaving_peers(self) -> set[tuple[str, int]]:
         """Job and index of the items that leaving peers still run."""
         running: list[RunningItem] = []
         for node_id in self._leaving:
@@ -260,7 +260,7 @@
     return report.sequence > known.sequence
 
 
-def _supersedes(digest: ZoneDigest, zone: FarZone, now: float) -> bool:
+def _supersedes(digest: ZoneDigest, zone: RemoteZone, now: float) -> bool:
     known = zone.digest
     if (digest.reporter, digest.incarnation) == (known.reporter, known.incarnation):
         return digest.sequence > known.sequence
--- a/postvalve/core/membership/report_pace.py
+++ b/postvalve/core/membership/report_schedule.py
@@ -9,24 +9,24 @@
 
 from dataclasses import dataclass
 
-LEAST_INTERVAL = 0.08
+MIN_INTERVAL = 0.08
 """Seconds between two reports to one peer at the least, in which changes gather."""
 IDLE_INTERVAL = 0.5
 """Seconds between reports to one peer when nothing changes."""
-NEAR_RATE = 120.0
+ZONE_REPORT_RATE = 120.0
 """Reports a second that a node hears from its own zone at the most."""
-FAR_RATE = 120.0
+REMOTE_REPORT_RATE = 120.0
 """The same from all other zones."""
 GATHER_SHARE = 1 / 6
 """Share of the time between two reports of a peer in which reports gather at their reader: what is
 known of a peer gets older by a twelfth of that in the mean, and 38 peers wake a node up 19 times a
 second, not 48."""
-LEAST_GATHER_TIME = 0.02
+MIN_GATHER_TIME = 0.02
 """Seconds of it at the least."""
 
 
 @dataclass(slots=True)
-class ReportPace:
+class ReportSchedule:
     """The reports to one group of peers."""
 
     rate: float
@@ -34,7 +34,7 @@
     _sent_at: float = float("-inf")
     _changed: bool = True
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """There is something to tell."""
         self._changed = True
 
@@ -53,7 +53,7 @@
 
     def interval(self, peers: int) -> float:
         """Seconds between two reports to a group of so many peers while there is news."""
-        return min(IDLE_INTERVAL, max(LEAST_INTERVAL, peers / self.rate))
+        return min(IDLE_INTERVAL, max(MIN_INTERVAL, peers / self.rate))
 
     def seconds_left(self, peers: int, now: float) -> float:
         """Seconds from `now` until a report goes out to a group of so many peers."""
--- a/postvalve/core/membership/shared_freshness.py
+++ b/postvalve/core/membership/shared_freshness.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-AWAY_AFTER = 2.0
+UNAVAILABLE_AFTER = 2.0
 """Seconds of which no node knows anything, after which the store counts as away: longer than one
 follower is blind when the way of its read is lost."""
-STALL = 1.5
+STALL_THRESHOLD = 1.5
 """Seconds between two looks after which this node itself must have stood still."""
 
 
@@ -25,27 +25,27 @@
         """Monotonic seconds at which the store had surely returned, after it was away for all."""
 
     @property
-    def away(self) -> bool:
+    def unavailable(self) -> bool:
         """Whether the store is away for all nodes that are heard."""
         return self._away
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """See what time it is; called a few times a second.
 
         A node that stood still has heard nobody, which says nothing of the others.
         """
-        if now - self._looked_at > STALL:
+        if now - self._looked_at > STALL_THRESHOLD:
             self._fresh_at = max(self._fresh_at, now)
         self._looked_at = now
-        if now - self._fresh_at >= AWAY_AFTER:
+        if now - self._fresh_at >= UNAVAILABLE_AFTER:
             self._away = True
 
     def note(self, fresh_at: float, now: float) -> None:
         """A node knows all that was acknowledged until monotonic time `fresh_at`."""
-        self.look(now)
+        self.update(now)
         if fresh_at <= self._fresh_at:
             return
         self._fresh_at = fresh_at
-        if self._away and now - fresh_at < AWAY_AFTER:
+        if self._away and now - fresh_at < UNAVAILABLE_AFTER:
             self._away = False
             self.returned_at = fresh_at
--- a/postvalve/core/membership/store_path.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -21,15 +21,15 @@
 least, and one of them may be lost. One that stands still is asked no longer than that."""
 AVOID_TIME = 2.0
 """Seconds for which a peer that did not answer is passed over."""
-PROMPT_ANSWER = 0.5
+MIN_RELAY_TIMEOUT = 0.5
 """Seconds to a peer's answer, beyond what it may wait, while a slow store was not met."""
-SLOW_ANSWER = 2.0
+MAX_RELAY_TIMEOUT = 2.0
 """The same at the most, and for all calls but waiting reads."""
-PROMPT_TRIES = 2
+DOUBLE_TIMEOUT_AFTER = 2
 """Unanswered reads in a row after which a slow store is likelier than a lost peer."""
 
 
-class StorePath:
+class StoreReachability:
     """The state of this node's own way to the store."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self._failures = 0 if answered else self._failures + 1
         return self.failing is not before
 
-    def try_own(self, now: float) -> bool:
+    def use_direct(self, now: float) -> bool:
         """Whether the next call is made by this node itself, at monotonic time `now`."""
         if not self.failing:
             return True
@@ -57,7 +57,7 @@
         return True
 
 
-class RelayPatience:
+class RelayTimeout:
     """How long a peer's answer to a read is waited for.
 
     A follower knows nothing new while it waits for a peer that stands still, so the first ones are
@@ -70,8 +70,8 @@
     @property
     def seconds(self) -> float:
         """Beyond the time that the read may wait."""
-        doubled = max(0, self._unanswered - PROMPT_TRIES + 1)
-        return min(SLOW_ANSWER, PROMPT_ANSWER * 2**doubled)
+        doubled = max(0, self._unanswered - DOUBLE_TIMEOUT_AFTER + 1)
+        return min(MAX_RELAY_TIMEOUT, MIN_RELAY_TIMEOUT * 2**doubled)
 
     def note(self, answered: bool) -> None:
         """Note whether the last one was answered."""
--- a/postvalve/core/membership/zone_reporting.py
+++ b/postvalve/core/membership/zone_reporting.py
@@ -1,7 +1,7 @@
 """Which node of a zone tells the others of it, when, and what.
 
 Nodes of other zones are told of singly while they are few: then their own reports are as cheap,
-and fresher. Beyond `DIRECT_PEERS` a node's own reports to all of them would come less often than
+and fresher. Beyond `MAX_DIRECT_PEERS` a node's own reports to all of them would come less often than
 digests do, so there is no step in what others know of it.
 """
 
@@ -10,8 +10,13 @@
 from collections.abc import Iterable, Sequence
 from types import MappingProxyType
 
-from postvalve.core.batch.giving_way import encode_zone_running
-from postvalve.core.batch.item_order import decode_groups, encode_groups, merge_groups, merge_paces
+from postvalve.core.batch.item_order import (
+    decode_groups,
+    encode_groups,
+    merge_groups,
+    merge_token_times,
+)
+from postvalve.core.batch.preemption import encode_zone_running
 from postvalve.core.membership.extensions import (
     OWN_FEATURES,
     Extension,
@@ -22,22 +27,22 @@
 from postvalve.core.membership.load_report import LoadReport
 from postvalve.core.membership.ownership import preferred_owner
 from postvalve.core.membership.peers import STORE_SILENT_AFTER, Peer
-from postvalve.core.membership.report_pace import FAR_RATE
+from postvalve.core.membership.report_schedule import REMOTE_REPORT_RATE
 from postvalve.core.membership.zone_digest import ZoneDigest, ZoneMember, members_version
-from postvalve.core.scheduling.waiting_order import merge_news
+from postvalve.core.scheduling.queue_order import merge_share_updates
 
 DIGEST_INTERVAL = 0.25
 """Seconds between two digests of a zone at the least."""
 MAX_DIGEST_INTERVAL = 1.0
 """Seconds between them at the most; four in a row must be lost before a zone counts as silent."""
-FAR_BYTES = 5_000.0
+REMOTE_DIGEST_RATE = 5_000.0
 """Bytes a second of other zones' digests that a node hears, about: the planned size leaves 7 KB/s
 for all control of a node, and its own zone's reports take the rest."""
-DIRECT_PEERS = int(FAR_RATE * DIGEST_INTERVAL)
+MAX_DIRECT_PEERS = int(REMOTE_REPORT_RATE * DIGEST_INTERVAL)
 """Nodes of other zones up to which each node reports to them itself."""
-LOOK_INTERVAL = 0.08
+CHECK_INTERVAL = 0.08
 """Seconds between looks of the reporter whether a digest is due."""
-IDLE_LOOK_INTERVAL = 0.5
+IDLE_CHECK_INTERVAL = 0.5
 """Seconds between looks of all others whether they have become the reporter."""
 MEMBERS_INTERVAL = 2.0
 """Seconds after which the list of members is told again though it is the same."""
@@ -45,16 +50,16 @@
 """Seconds after its start in which a node tells nothing of its zone: it must hear of it first."""
 HEARD_WITHIN = 1.2
 """Seconds without a report after which a neighbour is not taken for the reporter."""
-ZONE_GROUPS = 48
+MAX_DUE_GROUPS = 48
 """Due times of waiting items that a digest tells."""
 
 
-EMPTY: Extensions = MappingProxyType({})
+NO_EXTENSIONS: Extensions = MappingProxyType({})
 
 
-def tells_by_digest(far_peers: int) -> bool:
+def uses_digests(far_peers: int) -> bool:
     """Whether so many nodes of other zones are told of a zone by its digest."""
-    return far_peers > DIRECT_PEERS
+    return far_peers > MAX_DIRECT_PEERS
 
 
 def reporter_of(zone: str, node_ids: Iterable[str]) -> str | None:
@@ -90,17 +95,17 @@
 
     def is_due(self, zones: int, now: float) -> bool:
         """Whether it is time for the next digest, where nodes hear those of so many zones."""
-        interval = zones * self._size / FAR_BYTES
+        interval = zones * self._size / REMOTE_DIGEST_RATE
         interval = min(MAX_DIGEST_INTERVAL, max(DIGEST_INTERVAL, interval))
         return now - self._sent_at >= interval
 
-    def make(
+    def build_digest(
         self,
         own: LoadReport,
         neighbours: Sequence[Peer],
         engine_use: bytes,
         now: float,
-        told: Extensions = EMPTY,
+        told: Extensions = NO_EXTENSIONS,
     ) -> bytes:
         """The next digest, packed.
 
@@ -147,9 +152,9 @@
         features &= features_of(report.extensions)
     parts: dict[int, bytes] = {Extension.FEATURES: pack_features(features)}
     told = [one.extensions.get(Extension.ITEM_PACE, b"") for one in reports]
-    if pace := merge_paces(told):
+    if pace := merge_token_times(told):
         parts[Extension.ITEM_PACE] = pace
-    shares = merge_news(one.extensions.get(Extension.SHARE_CLOCK, b"") for one in reports)
+    shares = merge_share_updates(one.extensions.get(Extension.SHARE_CLOCK, b"") for one in reports)
     if shares:
         parts[Extension.SHARE_CLOCK] = shares
     return parts
@@ -157,7 +162,7 @@
 
 def _waiting(own: LoadReport, neighbours: Sequence[Peer]) -> list[tuple[int, int]]:
     groups = [one for peer in neighbours for one in peer.waiting]
-    return merge_groups([*decode_groups(own.items_waiting), *groups])[:ZONE_GROUPS]
+    return merge_groups([*decode_groups(own.items_waiting), *groups])[:MAX_DUE_GROUPS]
 
 
 def _member(report: LoadReport) -> ZoneMember:
--- a/postvalve/gateway/metrics.py
+++ b/postvalve/gateway/metrics.py
@@ -79,7 +79,7 @@
             "postvalve_log_lines_dropped", "Since the start", registry=self.registry
         )
 
-    def tell_tenants(self, rows: Callable[[], list[Row]]) -> None:
+    def register_tenants(self, rows: Callable[[], list[Row]]) -> None:
         """Export the counts of tenants as well; `rows` returns the current ones."""
         self.registry.register(_TenantCollector(rows))
 
--- a/postvalve/gateway/serving/client_watch.py
+++ b/postvalve/gateway/serving/disconnect_watcher.py
@@ -12,7 +12,7 @@
 """libev's READ flag: the socket is readable."""
 
 
-class ClientWatch:
+class DisconnectWatcher:
     """Watches one connection through the event loop, without a greenlet of its own."""
 
     def __init__(self, connection: Any, on_gone: Callable[[], None]) -> None:
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -20,7 +20,7 @@
 CONNECTION_KEY = "postvalve.connection"
 TARGET_KEY = "postvalve.target"
 HEADERS_KEY = "postvalve.headers"
-LAG_KEY = "postvalve.lag"
+ON_LAG_KEY = "postvalve.lag"
 """Key of a callback in the WSGI environ, called when a write has to wait for the client for the
 first time."""
 HEAD_END = b"\r\n\r\n"
@@ -33,7 +33,7 @@
 Application = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
-class CutAnswer(GreenletExit):
+class TruncatedAnswer(GreenletExit):
     """Raised by an application to end a response so that the client sees it as truncated."""
 
 
@@ -81,7 +81,7 @@
 
     def _send_rest(self, rest: memoryview) -> None:
         """Send what the socket did not accept at once; the first time, call the lag callback."""
-        lags = self.environ and self.environ.pop(LAG_KEY, None)
+        lags = self.environ and self.environ.pop(ON_LAG_KEY, None)
         if lags:
             lags()
         try:
@@ -90,7 +90,7 @@
             # The error is the client's, and no other response can be sent. A non-zero length keeps
             # the server from sending one.
             self.response_length += 1
-            raise CutAnswer(str(error)) from error
+            raise TruncatedAnswer(str(error)) from error
 
     def get_environ(self) -> dict[str, Any]:
         """Return the WSGI environ, with the target and the headers as received."""
@@ -150,7 +150,7 @@
         """Accept no new connections; open ones continue."""
         self._server.close()
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections that have no request under way."""
         for handler in list(self._server.resting):
             handler.socket.close()
--- a/postvalve/gateway/serving/peer_places.py
+++ b/postvalve/gateway/serving/peer_queue_heads.py
@@ -5,43 +5,43 @@
 import math
 
 from postvalve.clock import Clock
-from postvalve.core.scheduling.waiting_order import ShareNews, service_hash
+from postvalve.core.scheduling.queue_order import ShareUpdate, service_hash
 
-NEWS_AGE = 0.5
+MAX_REPORT_AGE = 0.5
 """Seconds after which a peer's queue heads are ignored: requests here must not wait for one that
 was queued at a node that has gone."""
 
 
-class PeerPlaces:
+class PeerQueueHeads:
     """The latest queue heads of each peer node or zone."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._news: dict[str, tuple[float, ShareNews]] = {}
+        self._news: dict[str, tuple[float, ShareUpdate]] = {}
 
-    def hear(self, peer: str, news: ShareNews) -> None:
+    def update(self, peer: str, news: ShareUpdate) -> None:
         """Update the queue heads of a node or zone."""
-        if news.first:
+        if news.queue_heads:
             self._news[peer] = (self._clock.monotonic(), news)
         else:
             self._news.pop(peer, None)
 
-    def _fresh(self) -> list[ShareNews]:
+    def _fresh(self) -> list[ShareUpdate]:
         now = self._clock.monotonic()
-        old = [peer for peer, (at, _) in self._news.items() if now - at > NEWS_AGE]
+        old = [peer for peer, (at, _) in self._news.items() if now - at > MAX_REPORT_AGE]
         for peer in old:
             del self._news[peer]
         return [news for _, news in self._news.values()]
 
-    def firsts(self, service: str) -> list[tuple[tuple[int, int], float]]:
+    def for_service(self, service: str) -> list[tuple[tuple[int, int], float]]:
         """Return rank and tag of the first request queued at each peer for a service, in order."""
         if not self._news:
             return []
         key = service_hash(service)
-        places = (news.first.get(key) for news in self._fresh())
+        places = (news.queue_heads.get(key) for news in self._fresh())
         return sorted((one.rank, one.tag) for one in places if one is not None)
 
-    def first_tag(self) -> float:
+    def min_tag(self) -> float:
         """Return the least tag queued at any peer; infinite if none is queued."""
-        tags = (one.tag for news in self._fresh() for one in news.first.values())
+        tags = (one.tag for news in self._fresh() for one in news.queue_heads.values())
         return min(tags, default=math.inf)
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -18,7 +18,7 @@
 from gevent.event import Event as GeventEvent
 
 from postvalve.clock import Clock
-from postvalve.core.serving.read_ahead import CutCause, EventStore, Holding, MemoryBudget
+from postvalve.core.serving.client_buffer import BufferAccount, CutCause, EventBuffer, MemoryBudget
 from postvalve.events import Event, EventLog
 from postvalve.exceptions import PostvalveError, Verdict
 from postvalve.gateway.metrics import GatewayMetrics
@@ -40,7 +40,7 @@
 class _Slow:
     """A client for which data is or was held."""
 
-    holding: Holding
+    holding: BufferAccount
     request_id: str
     since: float
     """Monotonic seconds at which the client began to lag."""
@@ -55,26 +55,26 @@
     clock: Clock
     events: EventLog
     metrics: GatewayMetrics
-    _slow: dict[Holding, _Slow] = field(default_factory=dict)
+    _slow: dict[BufferAccount, _Slow] = field(default_factory=dict)
 
-    def enter(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> Holding:
+    def register(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> BufferAccount:
         """Register a client for which data will be held; `on_cut` is called if the budget gives it
         up."""
-        holding, now = Holding(tenant), self.clock.monotonic()
+        holding, now = BufferAccount(tenant), self.clock.monotonic()
         self._slow[holding] = _Slow(holding, request_id, now, on_cut)
         return holding
 
-    def leave(self, holding: Holding) -> None:
+    def unregister(self, holding: BufferAccount) -> None:
         """Release the memory held for a client."""
         self.budget.release(holding)
         self._slow.pop(holding, None)
 
-    def take(self, holding: Holding, size: int) -> None:
+    def hold(self, holding: BufferAccount, size: int) -> None:
         """Hold `size` more bytes for a client; clients over the budget are disconnected, this one
         or others."""
-        self.give_up(self.budget.take(holding, size, self.clock.monotonic()))
+        self.disconnect(self.budget.take(holding, size, self.clock.monotonic()))
 
-    def give_up(self, holdings: list[Holding]) -> None:
+    def disconnect(self, holdings: list[BufferAccount]) -> None:
         """Disconnect the clients that the budget has given up."""
         for holding in holdings:
             one = self._slow.pop(holding, None)
@@ -131,8 +131,8 @@
         self._whole: bytes | None = None
         self._reader: gevent.Greenlet | None = None
         self._counter: gevent.Greenlet | None = None
-        self._holding: Holding | None = None
-        self._store: EventStore | None = None
+        self._holding: BufferAccount | None = None
+        self._store: EventBuffer | None = None
         self._came = GeventEvent()
         """Set when an event, or the end of the response, was stored."""
         self._room = GeventEvent()
@@ -155,13 +155,13 @@
         self._whole = body
         return body
 
-    def client_lags(self) -> None:
+    def on_client_lag(self) -> None:
         """Begin to buffer, since a write waits for the client. Called during that write, between
         two events."""
         if self._holding is not None or getgeneratorstate(self._source) == GEN_CLOSED:
             return
         slow = self._slow
-        self._holding = slow.enter(self._tenant, self._request_id, self._cut)
+        self._holding = slow.register(self._tenant, self._request_id, self._cut)
         slow.metrics.slow_clients.labels("lagged").inc()
         slow.events.emit(
             Event.CLIENT_LAGS,
@@ -173,21 +173,21 @@
         if self._whole is not None:
             self._counter = gevent.spawn(self._count_when_late, self._holding, len(self._whole))
             return
-        self._store = EventStore(slow.budget, self._holding)
+        self._store = EventBuffer(slow.budget, self._holding)
         self._reader = gevent.spawn(self._read_on, self._store)
 
-    def _count_when_late(self, holding: Holding, size: int) -> None:
+    def _count_when_late(self, holding: BufferAccount, size: int) -> None:
         """Count a complete body as held memory once the client has lagged for `LAG` seconds."""
         await_lag(self._connection, select.POLLOUT)
-        self._slow.take(holding, size)
+        self._slow.hold(holding, size)
 
-    def _read_on(self, store: EventStore) -> None:
+    def _read_on(self, store: EventBuffer) -> None:
         # Unless the source is read to its end, the client must see the response as truncated.
         error: PostvalveError | None = ReaderCutError("the answer was not read to its end")
         try:
             for event in self._source:
                 self._await_room(store, len(event))
-                self._slow.give_up(store.put(event, self._clock.monotonic()))
+                self._slow.disconnect(store.put(event, self._clock.monotonic()))
                 if store.holding.cause is not None:
                     return
                 self._came.set()
@@ -200,15 +200,15 @@
             store.end(error)
             self._came.set()
 
-    def _await_room(self, store: EventStore, size: int) -> None:
+    def _await_room(self, store: EventBuffer, size: int) -> None:
         """Wait while the buffer is full; the engine may be held up for a short time only."""
-        while (patience := store.patience(size, self._clock.monotonic())) > 0:
+        while (patience := store.max_wait(size, self._clock.monotonic())) > 0:
             self._room.clear()
             self._room.wait(patience)
         if store.holding.cause is CutCause.STORE_FULL:
-            self._slow.give_up([store.holding])
+            self._slow.disconnect([store.holding])
 
-    def _stored_events(self, store: EventStore) -> Iterator[bytes]:
+    def _stored_events(self, store: EventBuffer) -> Iterator[bytes]:
         while True:
             if store.holding.cause is not None:
                 raise ReaderCutError(f"the client is too slow: {store.holding.cause.value}")
@@ -216,7 +216,7 @@
             if event:
                 yield event
                 # Until now the socket had not accepted the event.
-                store.drop_first(self._clock.monotonic())
+                store.pop_first(self._clock.monotonic())
                 self._room.set()
             elif store.ended:
                 if store.error is not None:
@@ -246,7 +246,7 @@
                 greenlet.kill()
         self._source.close()
         if self._holding is not None:
-            self._slow.leave(self._holding)
+            self._slow.unregister(self._holding)
 
 
 def drop_connection(connection: Any) -> None:
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -12,13 +12,13 @@
 
 from postvalve.core.admission.callers import Caller
 from postvalve.core.admission.fleet_limits import (
+    CreditDecision,
+    CreditOutcome,
     FleetLimits,
-    Lending,
     LimitBounds,
     LimitTerms,
-    Loan,
 )
-from postvalve.core.membership.store_path import HEARD_WITHIN
+from postvalve.core.membership.store_reachability import HEARD_WITHIN
 from postvalve.core.membership.zone_reporting import MAX_DIGEST_INTERVAL
 from postvalve.core.scheduling.fair_share import Work
 from postvalve.events import Event
@@ -32,7 +32,7 @@
 FIRST_PATIENCE = 0.08
 """Seconds after which the secondary lender is asked in addition to the primary one; some twenty
 times what a call between zones takes."""
-ASK_PATIENCE = 0.4
+CALL_TIMEOUT = 0.4
 """Seconds that a call to a lender may take: a busy machine may be suspended for some tenths of a
 second, and a client that the secondary lender refuses waits longer than that."""
 SHORT_WAIT = 0.05
@@ -44,11 +44,11 @@
 SILENT_TIME = 0.5
 """Seconds for which a node that did not answer is not asked again: all requests of its tenants
 would wait for it."""
-LENDER_SILENT_AFTER = 2.5
+LENDER_TIMEOUT = 2.5
 """Seconds without a report after which other nodes lend in a node's place. Other zones are declared
 dead later than this, but a zone that is cut off would have no lenders until then. It is longer than
 another node needs to take over the digests of a zone whose reporter is lost."""
-DOUBTED_AFTER = LENDER_SILENT_AFTER - MAX_DIGEST_INTERVAL
+LENDER_SUSPECT_AFTER = LENDER_TIMEOUT - MAX_DIGEST_INTERVAL
 """Seconds without a report of a node after which it no longer counts in the share of the fleet by
 which this node lends. A node that this one does not hear may have received the last report one
 report earlier, and begins to lend itself that much sooner."""
@@ -60,14 +60,14 @@
 """Seconds after which a starting node asks again if no lender answered."""
 START_SHARE = 0.3
 """Fraction of a client's time left that each such wait may take."""
-RETURN_SHARE = 0.7
+RETRY_AFTER_SHARE = 0.7
 """Fraction of a client's time left that Retry-After may take: the request must be served in the
 rest."""
-RETURN_SPREAD = 1.0
+RETRY_JITTER = 1.0
 """Seconds over which retries are spread when clients wait for other nodes to lend, since these
 begin with empty buckets."""
 
-_LENDINGS = frozenset(one.value for one in Lending)
+_LENDINGS = frozenset(one.value for one in CreditOutcome)
 
 
 class TenantCredit:
@@ -90,29 +90,29 @@
         self._node_id = services.identity.node_id
         self._revision = revision
         self._silent_until: dict[str, float] = {}
-        self.first_patience = FIRST_PATIENCE
+        self.primary_timeout = FIRST_PATIENCE
         """Seconds, see `FIRST_PATIENCE`."""
-        self.patience = ASK_PATIENCE
+        self.call_timeout = CALL_TIMEOUT
         """Seconds, see `ASK_PATIENCE`."""
         self.leaving = False
         """Whether this node is draining, and lends no more."""
         self.limits = FleetLimits(self._node_id, services.clock.monotonic(), bounds)
 
-    def look(self) -> None:
+    def update_view(self) -> None:
         """Update the set of live nodes that may lend."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         heard = [
             one
             for one in self._peers.all()
-            if not one.report.leaving and now - one.heard_at <= LENDER_SILENT_AFTER
+            if not one.report.leaving and now - one.heard_at <= LENDER_TIMEOUT
         ]
         own = [] if self.leaving else [self._node_id]
         live = [one.node_id for one in heard] + own
         near = [one.node_id for one in heard if one.report.zone == zone] + own
-        certain = [one.node_id for one in heard if now - one.heard_at <= DOUBTED_AFTER] + own
-        announced = len(self._services.started_nodes())
-        if self.limits.look(live, announced, now, near, certain):
-            self.shares.forget()
+        certain = [one.node_id for one in heard if now - one.heard_at <= LENDER_SUSPECT_AFTER] + own
+        announced = len(self._services.announced_nodes())
+        if self.limits.update_view(live, announced, now, near, certain):
+            self.shares.reset()
 
     def admit(
         self, caller: Caller, request_id: str, work: Work, deadline: float = math.inf
@@ -136,9 +136,9 @@
         if tenant is None or not tenant.rate:
             return 0.0
         asked, node_id, loan = self._borrow_patiently(tenant, work, deadline)
-        if loan.lending is Lending.LENT:
+        if loan.outcome is CreditOutcome.GRANTED:
             return loan.tag
-        if loan.lending is Lending.OVER:
+        if loan.outcome is CreditOutcome.OVER_LIMIT:
             self._note_over(tenant, request_id, node_id, loan)
             raise RateLimitedError("the tenant is over its limit", retry_after=loan.wait)
         known_in = round(self._known_in(asked, deadline), 3)
@@ -147,15 +147,15 @@
             request=request_id,
             tenant=tenant.name,
             asked=asked,
-            heard=self.limits.heard,
-            known=self.limits.known,
+            heard=self.limits.live_nodes,
+            known=self.limits.fleet_size,
             known_in=known_in,
         )
         raise LimitUnknownError("the tenant's count is not known", retry_after=known_in)
 
     def _borrow_patiently(
         self, tenant: RoutedTenant, work: Work, deadline: float
-    ) -> tuple[list[str], str, Loan]:
+    ) -> tuple[list[str], str, CreditDecision]:
         """Return the lenders asked, the one whose answer counts, and its answer; retries at
         start-up.
 
@@ -167,7 +167,7 @@
             node_id, loan = self._borrow(asked, tenant, work)
             now = self._clock.monotonic()
             wait = max(loan.wait, START_PAUSE)
-            if loan.lending is Lending.LENT or not self.limits.starts(now + wait):
+            if loan.outcome is CreditOutcome.GRANTED or not self.limits.is_starting(now + wait):
                 return asked, node_id, loan
             if wait > (deadline - now) * START_SHARE:
                 return asked, node_id, loan
@@ -185,13 +185,15 @@
             return UNKNOWN_RETRY_AFTER
         if not self._hears_neighbours():
             return UNKNOWN_RETRY_AFTER
-        left = first.heard_at + LENDER_SILENT_AFTER + LOOK_TIME - now
-        most = (deadline - now) * RETURN_SHARE
+        left = first.heard_at + LENDER_TIMEOUT + LOOK_TIME - now
+        most = (deadline - now) * RETRY_AFTER_SHARE
         if not 0 < left <= most:
             return UNKNOWN_RETRY_AFTER
-        return min(most, left + self._services.generator.uniform(0.0, RETURN_SPREAD))
+        return min(most, left + self._services.generator.uniform(0.0, RETRY_JITTER))
 
-    def _borrow(self, choices: list[str], tenant: RoutedTenant, work: Work) -> tuple[str, Loan]:
+    def _borrow(
+        self, choices: list[str], tenant: RoutedTenant, work: Work
+    ) -> tuple[str, CreditDecision]:
         """Return the answer that counts, and the node that gave it.
 
         The secondary lender is asked if the primary one is late, or has credit for a part of the
@@ -201,15 +203,17 @@
         if not choices or choices[0] == self._node_id:
             first, patience = self._node_id, None
         else:
-            first, patience = choices[0], self.first_patience
+            first, patience = choices[0], self.primary_timeout
         asked = gevent.spawn(self._ask, first, tenant, work)
         asked.join(patience)
-        loan = asked.value or Loan(Lending.NOT_MINE)
-        if loan.lending is Lending.LENT or (loan.lending is Lending.OVER and loan.share >= 1.0):
+        loan = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
+        if loan.outcome is CreditOutcome.GRANTED or (
+            loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0
+        ):
             return first, loan
         for second in choices[1:]:
             little = self._ask(second, tenant, work)
-            if little.lending is Lending.LENT:
+            if little.outcome is CreditOutcome.GRANTED:
                 return second, little
         return first, asked.get()
 
@@ -218,14 +222,16 @@
 
         A node that answers but does not lend knows of another lender, and this node soon will too.
         """
-        return self._silent_until.get(node_id, 0.0) > now - self.patience
+        return self._silent_until.get(node_id, 0.0) > now - self.call_timeout
 
     def _hears_neighbours(self) -> bool:
         """Whether this node hears peers of its zone, and so is not the one that is cut off."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(now - one.heard_at <= HEARD_WITHIN for one in self._peers.neighbours(zone))
 
-    def _note_over(self, tenant: RoutedTenant, request_id: str, lender: str, loan: Loan) -> None:
+    def _note_over(
+        self, tenant: RoutedTenant, request_id: str, lender: str, loan: CreditDecision
+    ) -> None:
         self._events.emit(
             Event.TENANT_OVER_LIMIT,
             request=request_id,
@@ -238,7 +244,7 @@
             retry_after=round(loan.wait, 3),
         )
 
-    def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> Loan:
+    def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> CreditDecision:
         """Ask one node for credit; a node that does not answer lends none."""
         terms = LimitTerms(tenant.rate, tenant.burst, max(0, self._revision()))
         now = self._clock.monotonic()
@@ -246,7 +252,7 @@
             return self._lend(tenant.name, terms, work)
         peer = self._peers.get(node_id)
         if peer is None or self._silent_until.get(node_id, 0.0) > now:
-            return Loan(Lending.NOT_MINE)
+            return CreditDecision(CreditOutcome.NOT_OWNER)
         ask = gateway.CreditAsk(
             tenant=tenant.name,
             rate=terms.rate,
@@ -260,33 +266,33 @@
         if reply is None:
             self._silent_until[node_id] = self._clock.monotonic() + SILENT_TIME
         if not isinstance(reply, gateway.CreditReply) or reply.lending not in _LENDINGS:
-            return Loan(Lending.NOT_MINE)
-        return Loan(Lending(reply.lending), reply.wait, reply.share, reply.tag)
+            return CreditDecision(CreditOutcome.NOT_OWNER)
+        return CreditDecision(CreditOutcome(reply.lending), reply.wait, reply.share, reply.tag)
 
-    def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> Loan:
+    def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> CreditDecision:
         """Take credit from this node's bucket, and assign the request's start tag.
 
         Credit that will be there in a moment is waited for.
         """
         asked_at = self._clock.monotonic()
-        loan = self.limits.lend(tenant, terms, asked_at)
-        while loan.lending is Lending.OVER:
+        loan = self.limits.try_acquire(tenant, terms, asked_at)
+        while loan.outcome is CreditOutcome.OVER_LIMIT:
             wait = max(loan.wait, SHORT_PAUSE)
             if self._clock.monotonic() + wait > asked_at + SHORT_WAIT:
                 break
             gevent.sleep(wait)
-            loan = self.limits.lend(tenant, terms, self._clock.monotonic())
-        if loan.lending is not Lending.LENT or not self.shares.enabled:
+            loan = self.limits.try_acquire(tenant, terms, self._clock.monotonic())
+        if loan.outcome is not CreditOutcome.GRANTED or not self.shares.enabled:
             return loan
-        return replace(loan, tag=self.shares.stamp(tenant, work))
+        return replace(loan, tag=self.shares.assign_tag(tenant, work))
 
     def _call(self, node_id: str, address: str, ask: gateway.CreditAsk) -> object:
         reply, error = None, "no answer in time"
         # Opening a connection may take longer than the caller has.
-        with gevent.Timeout(self.patience, exception=False):
+        with gevent.Timeout(self.call_timeout, exception=False):
             try:
                 transport = self._services.transport
-                reply = transport.call(address, Channel.ADMISSION, ask, self.patience)
+                reply = transport.call(address, Channel.ADMISSION, ask, self.call_timeout)
             except PeerUnavailableError as exc:
                 error = exc.message
         if reply is None:
@@ -296,17 +302,24 @@
     def fields(self) -> dict[str, Any]:
         """Return what this node's lending is based on, for the status document."""
         limits = self.limits
-        return {"heard": limits.heard, "known": limits.known, "share": round(limits.share, 3)}
+        return {
+            "heard": limits.live_nodes,
+            "known": limits.fleet_size,
+            "share": round(limits.share, 3),
+        }
 
     def reply(self, ask: gateway.CreditAsk) -> gateway.CreditReply:
         """Answer a peer's request for credit."""
         terms = LimitTerms(ask.rate, ask.burst, ask.revision)
         self.shares.clock.merge(ask.clock)
         loan = self._lend(ask.tenant, terms, Work(ask.cost, ask.correction))
-        if loan.lending is Lending.OVER and self.limits.choices(ask.tenant)[0] != self._node_id:
+        if (
+            loan.outcome is CreditOutcome.OVER_LIMIT
+            and self.limits.choices(ask.tenant)[0] != self._node_id
+        ):
             # A secondary lender's empty bucket does not mean that the limit is reached, but some
             # builds take it for that.
-            loan = Loan(Lending.NOT_MINE)
+            loan = CreditDecision(CreditOutcome.NOT_OWNER)
         return gateway.CreditReply(
-            lending=loan.lending.value, wait=loan.wait, share=loan.share, tag=loan.tag
+            lending=loan.outcome.value, wait=loan.wait, share=loan.share, tag=loan.tag
         )
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -4,9 +4,9 @@
 import unittest
 
 from postvalve.core.admission.fleet_limits import (
-    STALL,
+    STALL_THRESHOLD,
+    CreditOutcome,
     FleetLimits,
-    Lending,
     LimitBounds,
     LimitTerms,
 )
@@ -123,14 +123,14 @@
         self.limits = FleetLimits("n0", 0.0)
 
     def look(self, now, live=("n0",), announced=1):
-        self.limits.look(live, announced, now)
+        self.limits.update_view(live, announced, now)
 
     def take(self, now, terms=LARGE, tenant="t"):
-        return self.limits.lend(tenant, terms, now)
+        return self.limits.try_acquire(tenant, terms, now)
 
     def count(self, now, terms=LARGE):
         number = 0
-        while self.take(now, terms).lending is Lending.LENT:
+        while self.take(now, terms).outcome is CreditOutcome.GRANTED:
             number += 1
         return number
 
@@ -138,8 +138,8 @@
         for step in range(40):
             self.look(step * 0.5)
         self.assertGreater(self.count(20.0), 80)
-        self.look(30.0 + STALL)
-        self.assertLessEqual(self.count(30.0 + STALL), 1)
+        self.look(30.0 + STALL_THRESHOLD)
+        self.assertLessEqual(self.count(30.0 + STALL_THRESHOLD), 1)
 
     def test_one_that_has_just_started_lends_by_the_share_that_it_hears(self):
         self.look(0.1, announced=60)
@@ -151,12 +151,12 @@
         live = ["n0", "n1", "n2", "n3"]
         self.look(0.1)
         mine = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
-        self.assertIs(self.take(9.0, tenant=mine).lending, Lending.LENT)
+        self.assertIs(self.take(9.0, tenant=mine).outcome, CreditOutcome.GRANTED)
         for step in range(40):
             self.look(9.0 + step * 0.5, live=live)
         self.look(29.0)
         lent = 0
-        while self.take(29.0, tenant=mine).lending is Lending.LENT:
+        while self.take(29.0, tenant=mine).outcome is CreditOutcome.GRANTED:
             lent += 1
         self.assertLessEqual(lent, 1)
 
@@ -165,8 +165,8 @@
 
     def test_a_tenant_of_other_nodes_gets_nothing_here(self):
         self.look(0.1, live=("n0", "n1", "n2"))
-        told = {self.take(5.0, tenant=f"t{number}").lending for number in range(60)}
-        self.assertIn(Lending.NOT_MINE, told)
+        told = {self.take(5.0, tenant=f"t{number}").outcome for number in range(60)}
+        self.assertIn(CreditOutcome.NOT_OWNER, told)
 
     def test_a_lower_limit_binds_at_once_and_a_late_word_of_the_former_does_not(self):
         for step in range(40):
--- a/tests/test_gateway_online.py
+++ b/tests/test_gateway_online.py
@@ -180,7 +180,7 @@
 
     def test_a_slow_engine_is_waited_for_where_nobody_else_may_run_the_request(self):
         self.plan(Behaviour(thinks=0.6))
-        with mock.patch.object(routed_run, "HEAD_SILENCE", 0.1):
+        with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 0.1):
             answer = self.fleet.request("n0", ONCE_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
         self.assertEqual(len(self.runs()), 1)
@@ -202,7 +202,7 @@
 
     def test_a_silent_engine_is_given_up_where_another_may_go_on(self):
         self.plan(Behaviour(thinks=3.0))
-        with mock.patch.object(routed_run, "HEAD_SILENCE", 0.1):
+        with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 0.1):
             answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
         self.assertEqual(len(self.runs()), 2)
@@ -219,7 +219,7 @@
         for engine in self.fleet.engines:
             engine.usual = Behaviour(silent=True)
         # Neither the engine's time-out nor the route's (5 s) ends the attempt earlier.
-        with mock.patch.object(routed_run, "HEAD_SILENCE", 60.0):
+        with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 60.0):
             connection = self.fleet.open("n0", STREAM_PATH)
             wait_until(lambda: sum(len(one.heads) for one in self.fleet.engines) == 1)
             connection.close()
@@ -290,7 +290,7 @@
         enough."""
         self.fleet.topics.down = True
         wait_until(lambda: DIRECTORY_TOPIC in self.lost_topics())
-        wait_until(lambda: node._directory.store_away)
+        wait_until(lambda: node._directory.store_unreachable)
         self.fleet.topics.down = False
 
     def ask(self, allowed_ms):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -8,19 +8,19 @@
 from hypothesis import strategies as st
 
 from postvalve.core.admission.quarantine import (
-    ANSWER_TIME,
-    DOUBT_TIME,
-    DOUBTFUL_ENDS,
-    ENOUGH_VARIANTS,
-    HELD_ENDS,
+    ANSWER_RETENTION,
+    HOLD_AFTER,
+    HOLD_ALL_VARIANTS_AFTER,
     HOLD_TIME,
     MAX_ANSWERS,
-    MAX_CASES,
-    MAX_FACTS,
-    Case,
-    Fact,
+    MAX_ENTRIES,
+    MAX_FAILURES,
+    SUSPECT_AFTER,
+    SUSPICION_TIME,
+    EngineFailure,
     Quarantine,
-    Ruling,
+    QuarantineEntry,
+    RunPermission,
     hold_time,
 )
 from postvalve.core.admission.request_identity import RequestIdentity
@@ -38,11 +38,11 @@
     return RequestIdentity(number.to_bytes(16, "big"), 1)
 
 
-def copy_of(case):
-    return Case(
+def copy_of(entry):
+    return QuarantineEntry(
         {
-            name: Fact(fact.ended_at, fact.variant, fact.trial, fact.excused)
-            for name, fact in case.facts.items()
+            name: EngineFailure(failure.ended_at, failure.variant, failure.trial, failure.excused)
+            for name, failure in entry.failures.items()
         }
     )
 
@@ -50,9 +50,9 @@
 def tell(source, target, now, delay=0.0):
     """Let one node know everything that another knows, as a message tells it by ages."""
     for digest in source.digests():
-        told = copy_of(source.case(digest))
-        for fact in told.facts.values():
-            fact.ended_at += delay
+        told = copy_of(source.entry(digest))
+        for failure in told.failures.values():
+            failure.ended_at += delay
         target.merge(digest, told, now)
 
 
@@ -62,103 +62,103 @@
 
     def end(self, *engines, now=0.0, request=REQUEST):
         for engine in engines:
-            self.quarantine.note_end(request, engine, now, now)
+            self.quarantine.record_end(request, engine, now, now)
 
     def ruling(self, now=0.0, request=REQUEST):
-        return self.quarantine.rule(request, now).ruling
+        return self.quarantine.check_request(request, now).permission
 
     def test_one_engine_that_ends_holds_nobody_back(self):
         self.end("e1", "e1")
-        self.assertIs(self.ruling(), Ruling.FREE)
+        self.assertIs(self.ruling(), RunPermission.FREE)
 
     def test_a_request_that_was_cut_twice_runs_alone(self):
         self.end("e1", "e2")
-        self.assertIs(self.ruling(), Ruling.ALONE)
-        self.assertIs(self.ruling(now=DOUBT_TIME), Ruling.FREE)
+        self.assertIs(self.ruling(), RunPermission.ALONE)
+        self.assertIs(self.ruling(now=SUSPICION_TIME), RunPermission.FREE)
 
     def test_a_third_end_holds_it_back(self):
         self.end("e1", "e2", "e3")
-        decision = self.quarantine.rule(REQUEST, 10.0)
-        self.assertIs(decision.ruling, Ruling.HELD)
+        decision = self.quarantine.check_request(REQUEST, 10.0)
+        self.assertIs(decision.permission, RunPermission.HELD)
         self.assertEqual(
             (decision.ends, decision.age, decision.seconds), (3, 10.0, HOLD_TIME - 10.0)
         )
 
     def test_other_requests_are_not_touched(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=OTHER), Ruling.FREE)
+        self.assertIs(self.ruling(request=OTHER), RunPermission.FREE)
 
     def test_after_its_time_it_runs_alone_and_one_more_end_doubles_the_time(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(now=HOLD_TIME), Ruling.ALONE)
+        self.assertIs(self.ruling(now=HOLD_TIME), RunPermission.ALONE)
         self.end("e4", now=HOLD_TIME)
-        self.assertEqual(self.quarantine.rule(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
+        self.assertEqual(self.quarantine.check_request(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
 
     def test_a_variant_under_which_no_engine_ended_runs_alone(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=variant(2)), Ruling.ALONE)
+        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
         self.quarantine.begin_trial(variant(2), "e4", 0.0)
-        self.assertIs(self.ruling(request=variant(3)), Ruling.HELD)
+        self.assertIs(self.ruling(request=variant(3)), RunPermission.HELD)
 
     def test_an_answer_to_one_variant_clears_no_other(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
-        self.quarantine.note_answered(variant(2), 0.0)
-        self.assertIs(self.ruling(), Ruling.HELD)
-        self.assertIs(self.ruling(request=variant(2)), Ruling.ALONE)
+        self.quarantine.record_answer(variant(2), 0.0)
+        self.assertIs(self.ruling(), RunPermission.HELD)
+        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
 
     def test_after_enough_variants_all_are_held_back(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
-        self.assertIs(self.ruling(request=variant(4)), Ruling.ALONE)
+        self.assertIs(self.ruling(request=variant(4)), RunPermission.ALONE)
         self.end("e5", request=variant(3))
-        self.assertIs(self.ruling(request=variant(4)), Ruling.HELD)
+        self.assertIs(self.ruling(request=variant(4)), RunPermission.HELD)
 
     def test_a_trial_holds_the_others_back_while_it_runs(self):
         self.end("e1", "e2")
         trial = self.quarantine.begin_trial(REQUEST, "e3", 1.0)
-        self.assertIs(self.ruling(now=1.0), Ruling.HELD)
-        self.quarantine.note_alive(EngineLife("e3"), 2.0, 2.0)
-        self.assertIs(self.ruling(now=2.0), Ruling.HELD)
+        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.quarantine.record_alive(EngineLife("e3"), 2.0, 2.0)
+        self.assertIs(self.ruling(now=2.0), RunPermission.HELD)
         self.quarantine.end_trial(trial)
-        self.assertIs(self.ruling(now=2.0), Ruling.ALONE)
+        self.assertIs(self.ruling(now=2.0), RunPermission.ALONE)
 
     def test_a_whole_answer_clears_it(self):
         self.end("e1", "e2", "e3")
-        self.assertTrue(self.quarantine.note_answered(REQUEST, 0.0))
-        self.assertFalse(self.quarantine.note_answered(REQUEST, 0.0))
-        self.assertIs(self.ruling(), Ruling.FREE)
+        self.assertTrue(self.quarantine.record_answer(REQUEST, 0.0))
+        self.assertFalse(self.quarantine.record_answer(REQUEST, 0.0))
+        self.assertIs(self.ruling(), RunPermission.FREE)
 
     def test_one_that_was_answered_lately_did_not_end_an_engine(self):
-        self.quarantine.note_answered(REQUEST, 0.0)
-        self.end("e1", "e2", "e3", now=ANSWER_TIME - 1.0)
-        self.assertIs(self.ruling(now=ANSWER_TIME - 1.0), Ruling.FREE)
-        self.end("e1", "e2", "e3", now=ANSWER_TIME)
-        self.assertIs(self.ruling(now=ANSWER_TIME), Ruling.HELD)
+        self.quarantine.record_answer(REQUEST, 0.0)
+        self.end("e1", "e2", "e3", now=ANSWER_RETENTION - 1.0)
+        self.assertIs(self.ruling(now=ANSWER_RETENTION - 1.0), RunPermission.FREE)
+        self.end("e1", "e2", "e3", now=ANSWER_RETENTION)
+        self.assertIs(self.ruling(now=ANSWER_RETENTION), RunPermission.HELD)
 
     def test_answers_are_remembered_in_bounds(self):
         for number in range(2 * MAX_ANSWERS):
-            self.quarantine.note_answered(numbered(number), 0.0)
+            self.quarantine.record_answer(numbered(number), 0.0)
         self.assertEqual(len(self.quarantine._answered), MAX_ANSWERS)
 
     def test_an_engine_that_answers_later_had_not_ended(self):
         self.end("e1", "e2", "e3", now=1.0)
-        self.quarantine.note_alive(EngineLife("e3"), 0.9, 0.9)
-        self.assertIs(self.ruling(now=1.0), Ruling.HELD)
-        self.quarantine.note_alive(EngineLife("e3"), 1.1, 1.1)
-        self.assertIs(self.ruling(now=1.1), Ruling.ALONE)
+        self.quarantine.record_alive(EngineLife("e3"), 0.9, 0.9)
+        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.quarantine.record_alive(EngineLife("e3"), 1.1, 1.1)
+        self.assertIs(self.ruling(now=1.1), RunPermission.ALONE)
         self.end("e3", now=1.2)
-        self.assertIs(self.ruling(now=1.2), Ruling.HELD)
+        self.assertIs(self.ruling(now=1.2), RunPermission.HELD)
 
     def test_what_is_sent_to_an_engine_that_has_ended_did_not_end_it(self):
         self.end("e1", now=1.0)
-        self.assertFalse(self.quarantine.note_end(OTHER, "e1", 1.5, 1.6))
-        self.assertTrue(self.quarantine.note_end(OTHER, "e1", 0.5, 1.6))
+        self.assertFalse(self.quarantine.record_end(OTHER, "e1", 1.5, 1.6))
+        self.assertTrue(self.quarantine.record_end(OTHER, "e1", 0.5, 1.6))
 
     def test_what_is_old_is_dropped(self):
         self.end("e1", "e2", "e3")
         self.end("e1", request=OTHER)
-        self.quarantine.expire(DOUBT_TIME)
+        self.quarantine.expire(SUSPICION_TIME)
         self.assertEqual(self.quarantine.digests(), [REQUEST.digest])
         self.quarantine.expire(2 * HOLD_TIME - 1.0)
         self.assertEqual(len(self.quarantine), 1)
@@ -167,12 +167,12 @@
 
     def test_memory_is_bounded_and_keeps_what_weighs_most(self):
         self.end("e1", "e2", "e3")
-        for number in range(2 * MAX_CASES):
+        for number in range(2 * MAX_ENTRIES):
             self.end("e4", request=numbered(number))
-        self.assertEqual(len(self.quarantine), MAX_CASES)
-        self.assertIs(self.ruling(), Ruling.HELD)
+        self.assertEqual(len(self.quarantine), MAX_ENTRIES)
+        self.assertIs(self.ruling(), RunPermission.HELD)
         self.end(*(f"x{number}" for number in range(100)))
-        self.assertLessEqual(len(self.quarantine.case(REQUEST.digest).facts), MAX_FACTS)
+        self.assertLessEqual(len(self.quarantine.entry(REQUEST.digest).failures), MAX_FAILURES)
 
     def test_doubtful_requests_spread_over_the_engines(self):
         engines = [f"e{number}" for number in range(6)]
@@ -186,63 +186,63 @@
     def test_ends_that_three_nodes_saw_add_up(self):
         nodes = [Quarantine(f"n{number}") for number in range(3)]
         for number, node in enumerate(nodes):
-            node.note_end(REQUEST, f"e{number}", 0.0, 0.0)
+            node.record_end(REQUEST, f"e{number}", 0.0, 0.0)
         for source in nodes:
             for target in nodes:
                 tell(source, target, 0.1)
         for node in nodes:
-            self.assertIs(node.rule(REQUEST, 0.1).ruling, Ruling.HELD)
+            self.assertIs(node.check_request(REQUEST, 0.1).permission, RunPermission.HELD)
 
     def test_the_same_end_seen_by_two_nodes_is_one(self):
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(REQUEST, "e1", 0.0, 0.0)
-        second.note_end(REQUEST, "e1", 0.0, 0.0)
+        first.record_end(REQUEST, "e1", 0.0, 0.0)
+        second.record_end(REQUEST, "e1", 0.0, 0.0)
         tell(second, first, 0.0)
-        self.assertEqual(len(first.case(REQUEST.digest).engines()), 1)
+        self.assertEqual(len(first.entry(REQUEST.digest).engines()), 1)
 
     def test_retelling_does_not_make_it_younger(self):
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(REQUEST, "e1", 0.0, 0.0)
+        first.record_end(REQUEST, "e1", 0.0, 0.0)
         for _ in range(50):
             tell(first, second, 0.2, delay=0.1)
             tell(second, first, 0.2, delay=0.1)
-        self.assertEqual(first.case(REQUEST.digest).engines(), {"e1": 0.0})
-        self.assertEqual(second.case(REQUEST.digest).engines(), {"e1": 0.1})
+        self.assertEqual(first.entry(REQUEST.digest).engines(), {"e1": 0.0})
+        self.assertEqual(second.entry(REQUEST.digest).engines(), {"e1": 0.1})
 
     def test_a_node_that_saw_it_answered_speaks_for_it(self):
         first, second = Quarantine("a"), Quarantine("b")
-        second.note_answered(REQUEST, 0.0)
+        second.record_answer(REQUEST, 0.0)
         for number in range(3):
-            first.note_end(REQUEST, f"e{number}", 1.0, 1.0)
+            first.record_end(REQUEST, f"e{number}", 1.0, 1.0)
         tell(first, second, 1.1)
         tell(second, first, 1.2)
-        self.assertIs(first.rule(REQUEST, 1.2).ruling, Ruling.FREE)
+        self.assertIs(first.check_request(REQUEST, 1.2).permission, RunPermission.FREE)
 
     def test_an_engine_that_was_blamed_wrongly_may_end_later(self):
         """Others saw it live: an end that this node sees after that counts here too."""
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(OTHER, "e1", 0.9, 1.0)
+        first.record_end(OTHER, "e1", 0.9, 1.0)
         tell(first, second, 1.1)
-        first.note_alive(EngineLife("e1"), 1.2, 1.2)
+        first.record_alive(EngineLife("e1"), 1.2, 1.2)
         tell(first, second, 1.3)
-        self.assertTrue(second.note_end(REQUEST, "e1", 1.4, 1.5))
+        self.assertTrue(second.record_end(REQUEST, "e1", 1.4, 1.5))
 
     def test_who_has_not_heard_of_an_excuse_does_not_take_it_back(self):
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(REQUEST, "e1", 0.0, 0.0)
+        first.record_end(REQUEST, "e1", 0.0, 0.0)
         tell(first, second, 0.1)
-        second.note_alive(EngineLife("e1"), 0.2, 0.2)
+        second.record_alive(EngineLife("e1"), 0.2, 0.2)
         tell(first, second, 0.3)
-        self.assertEqual(second.case(REQUEST.digest).engines(), {})
+        self.assertEqual(second.entry(REQUEST.digest).engines(), {})
         tell(second, first, 0.4)
-        self.assertEqual(first.case(REQUEST.digest).engines(), {})
+        self.assertEqual(first.entry(REQUEST.digest).engines(), {})
 
     def test_news_stops(self):
         """What was heard before is no news: nodes don't tell each other the same for ever."""
         first, second = Quarantine("a"), Quarantine("b")
-        for number in range(3 * MAX_FACTS):
-            first.note_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
-            second.note_end(REQUEST, f"b{number}", 0.01 * number, 0.01 * number)
+        for number in range(3 * MAX_FAILURES):
+            first.record_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
+            second.record_end(REQUEST, f"b{number}", 0.01 * number, 0.01 * number)
         news = []
         first.on_change = second.on_change = news.append
         for _ in range(10):
@@ -252,8 +252,8 @@
 
     def test_what_a_node_tells_that_stood_still_for_long_is_passed_over(self):
         stale, fresh = Quarantine("a"), Quarantine("b")
-        stale.note_end(REQUEST, "e1", 0.0, 0.0)
-        tell(stale, fresh, DOUBT_TIME + 1.0)
+        stale.record_end(REQUEST, "e1", 0.0, 0.0)
+        tell(stale, fresh, SUSPICION_TIME + 1.0)
         self.assertEqual(len(fresh), 0)
 
     @given(st.integers(0, 2**32))
@@ -269,11 +269,11 @@
             request = generator.choice((REQUEST, OTHER, variant(2)))
             action = generator.randrange(6)
             if action == 0:
-                node.note_end(request, engine, now - 0.1, now)
+                node.record_end(request, engine, now - 0.1, now)
             elif action == 1 and generator.random() < 0.3:
-                node.note_answered(request, now)
+                node.record_answer(request, now)
             elif action == 2:
-                node.note_alive(EngineLife(engine), now, now)
+                node.record_alive(EngineLife(engine), now, now)
             else:
                 tell(node, generator.choice(nodes), now)
         for _ in range(2):
@@ -281,7 +281,7 @@
                 for target in nodes:
                     tell(source, target, now)
         for request in (REQUEST, OTHER, variant(2), variant(3)):
-            rulings = {node.rule(request, now) for node in nodes}
+            rulings = {node.check_request(request, now) for node in nodes}
             self.assertEqual(len(rulings), 1)
 
 
@@ -293,18 +293,18 @@
         """Identity, engine, and when it ended."""
         self.answers = []
 
-    def note_end(self, identity, engine, sent_at, now):
+    def record_end(self, identity, engine, sent_at, now):
         if any(one == engine and at < sent_at for _, one, at in self.ends):
             return
-        if any(one == identity and now - at < ANSWER_TIME for one, at in self.answers):
+        if any(one == identity and now - at < ANSWER_RETENTION for one, at in self.answers):
             return
         self.ends.append((identity, engine, now))
 
-    def note_answered(self, identity, now):
+    def record_answer(self, identity, now):
         self.answers.append((identity, now))
         self.ends = [one for one in self.ends if one[0] != identity]
 
-    def note_alive(self, engine, sent_at, now):
+    def record_alive(self, engine, sent_at, now):
         self.ends = [one for one in self.ends if one[1] != engine or one[2] >= sent_at]
 
     def rule(self, identity, now):
@@ -312,15 +312,15 @@
         first = {}
         for _, engine, at in own:
             first[engine] = min(at, first.get(engine, at))
-        if len(first) < DOUBTFUL_ENDS:
-            return Ruling.FREE
+        if len(first) < SUSPECT_AFTER:
+            return RunPermission.FREE
         latest = max(first.values())
-        if len(first) < HELD_ENDS:
-            return Ruling.ALONE if now - latest < DOUBT_TIME else Ruling.FREE
+        if len(first) < HOLD_AFTER:
+            return RunPermission.ALONE if now - latest < SUSPICION_TIME else RunPermission.FREE
         variants = {one.variant for one, _, _ in own}
-        concerned = identity.variant in variants or len(variants) >= ENOUGH_VARIANTS
+        concerned = identity.variant in variants or len(variants) >= HOLD_ALL_VARIANTS_AFTER
         held = now < latest + hold_time(len(first)) and concerned
-        return Ruling.HELD if held else Ruling.ALONE
+        return RunPermission.HELD if held else RunPermission.ALONE
 
 
 class DifferentialTest(unittest.TestCase):
@@ -339,12 +339,14 @@
             action = generator.random()
             for one in (node, naive):
                 if action < 0.75:
-                    one.note_end(request, engine, sent_at, now)
+                    one.record_end(request, engine, sent_at, now)
                 elif action < 0.85:
-                    one.note_answered(request, now)
+                    one.record_answer(request, now)
                 else:
-                    one.note_alive(EngineLife(engine), sent_at, sent_at)
+                    one.record_alive(EngineLife(engine), sent_at, sent_at)
             for source, target in itertools.product([node, *nodes], nodes):
                 tell(source, target, now)
             for one, asked in itertools.product(nodes, requests):
-                self.assertEqual(one.rule(asked, now).ruling, naive.rule(asked, now))
+                self.assertEqual(
+                    one.check_request(asked, now).permission, naive.check_request(asked, now)
+                )
