--- a/postvalve/gateway/gateway.py
+++ b/postvalve/gateway/gateway.py
@@ -78,10 +78,10 @@
 STATUS_PATH = "/status"
 """Path of the status document on the metrics server."""
 PURGE_INTERVAL = 10.0
-DRAIN_CHECK = 0.05
+DRAIN_POLL_INTERVAL = 0.05
 DRAIN_RESERVE = 0.8
 """Seconds before the process is killed at which a drain stops waiting for requests under way."""
-JOBS_PATIENCE = 2.0
+JOBS_START_DELAY = 2.0
 """Seconds that the reader of the jobs topic waits for configuration and engines. When all nodes
 start together its records fill the store's links, and online requests need none of them."""
 IDLE_FACTOR = 2.0
@@ -213,7 +213,7 @@
         admission_queue.on_started = self._shares.clock.record_served
         self._shares.first_waiting = admission_queue.first_waiting
         self._admission_queue = admission_queue
-        self._line = admission_queue.zone_queue = SharedZoneQueue(peer_services)
+        self._zone_queue = admission_queue.zone_queue = SharedZoneQueue(peer_services)
         budget = MemoryBudget(settings.slow_client_bytes)
         self.slow_clients = SlowClients(budget, clock, events, self._metrics)
         self.application = GatewayApplication(
@@ -238,7 +238,9 @@
         self._server = GatewayServer(settings.listen, self.application)
         self._ready_server = plain_server(settings.ready_listen, self._readiness)
         self._metrics_server = (
-            plain_server(settings.metrics_listen, self._tell) if settings.metrics_listen else None
+            plain_server(settings.metrics_listen, self._metrics_response)
+            if settings.metrics_listen
+            else None
         )
         self._configuration_follower = TopicFollower(
             topics, clock, events, platform.configuration_topic,
@@ -247,9 +249,9 @@
         self._directory = DirectoryReader(
             topics, platform.directory_topic, platform.parse_engine, self._fleet, clock, events
         )
-        self._connect()
+        self._connect_parts()
 
-    def _connect(self) -> None:
+    def _connect_parts(self) -> None:
         self.configuration.add_listener(self._configuration_changed)
         self._fleet.find_service = self._service_named
         self._fleet.pause_aim = self._pause_aim
@@ -260,26 +262,26 @@
         self._reports.zones.on_digest = self._zone_reported
         self._reports.store_failing = lambda: self._topics.failing
         self._reports.directory = self._directory.state
-        self._reports.on_refresh = self._look
-        self._reports.on_line_state = self._line.receive_state
-        self._reports.on_line_grant = self._line.receive_grant
-        self._line.own_report = self._reports.next_report
-        self._line.on_granted = self._admission_queue.reevaluate
+        self._reports.on_refresh = self._refresh
+        self._reports.on_line_state = self._zone_queue.receive_state
+        self._reports.on_line_grant = self._zone_queue.receive_grant
+        self._zone_queue.own_report = self._reports.next_report
+        self._zone_queue.on_granted = self._admission_queue.reevaluate
         self._reports.extensions[Extension.SHARE_CLOCK] = self._shares.pack
         self._reports.enable_pace_reports()
         self._reports.on_quarantine_news = self._quarantine_gossip.receive
-        self._quarantine_gossip.on_learned = self._note_usable
+        self._quarantine_gossip.on_learned = self._update_usable
         self._topics.on_change = self._reports.schedule_report
         self._transport.gather_time = self._reports.gather_time
-        self._nodes.on_change = self._nodes_known
-        self._fleet.on_overload = self._engine_crowded
+        self._nodes.on_change = self._nodes_changed
+        self._fleet.on_overload = self._engine_overloaded
         self._fleet.on_placed = self._reports.watch.record_placed
         self._fleet.watched = self._reports.watch.watched
         self._directory.on_change = self._directory_changed
         self.application.state_age = self._state_age
         self.application.key_policy = self._settings.key_policy
 
-    def _look(self) -> None:
+    def _refresh(self) -> None:
         self._directory.update_age()
         known_at = self._clock.monotonic() - self._fleet.directory_age()
         self._quarantine.confirm_alive(self._fleet.is_listed, known_at)
@@ -287,7 +289,7 @@
         self._limits.update_view()
         self._feature_status.update()
 
-    def _nodes_known(self) -> None:
+    def _nodes_changed(self) -> None:
         self._reports.refresh_targets()
         self._quarantine_gossip.on_peers_known()
 
@@ -298,17 +300,17 @@
             self._configuration_follower.age,
         )
 
-    def _engine_crowded(self, life: EngineLife) -> None:
+    def _engine_overloaded(self, life: EngineLife) -> None:
         self._runner.wake()
         self._reports.watch.preempt_remote(life)
 
     @property
     def ready(self) -> bool:
         """Whether the platform should send clients to this node."""
-        return not self._draining and self._serves
+        return not self._draining and self._can_serve
 
     @property
-    def _serves(self) -> bool:
+    def _can_serve(self) -> bool:
         """Whether there are a configuration and engines, and the quarantine state was loaded."""
         listed = self.configuration.table is not None and bool(self._fleet.listed_engines())
         return listed and self._quarantine_gossip.learned.is_set()
@@ -335,8 +337,8 @@
             self._quarantine_gossip.run,
             self._follow_jobs,
             self._housekeeping,
-            self._purge,
-            self._sweep,
+            self._purge_jobs,
+            self._sweep_progress,
             self._await_drain,
         ):
             self._spawn(task)
@@ -347,7 +349,7 @@
         )
 
     def _spawn(self, task: Callable[[], None]) -> None:
-        self._greenlets.append(gevent.spawn(self._guard, task))
+        self._greenlets.append(gevent.spawn(self._supervise, task))
 
     def kill(self) -> None:
         """Stop at once, without notice to peers or clients; for tests of how they react."""
@@ -358,7 +360,7 @@
         self.application.abandon()
         self._runner.abandon()
 
-    def _guard(self, task: Callable[[], None]) -> None:
+    def _supervise(self, task: Callable[[], None]) -> None:
         while True:
             try:
                 task()
@@ -398,19 +400,19 @@
             "tenants": self._accounts.documents(),
             "waiting": self._admission_queue.rows(),
             "builds": self._feature_status.fields(),
-            "line": self._shares.fields() | self._line.fields(),
+            "line": self._shares.fields() | self._zone_queue.fields(),
             "readers": self.slow_clients.rows(),
         }
 
-    def _tell(self, path: str) -> tuple[str, bytes]:
+    def _metrics_response(self, path: str) -> tuple[str, bytes]:
         if path == STATUS_PATH:
             return "200 OK", json.dumps(self.status_document()).encode()
         return self._exposition(path)
 
     def _exposition(self, path: str) -> tuple[str, bytes]:
-        knowledge = self._state_age()
-        self._metrics.directory_age.set(knowledge.directory_age)
-        self._metrics.revision_age.set(knowledge.revision_age)
+        state_age = self._state_age()
+        self._metrics.directory_age.set(state_age.directory_age)
+        self._metrics.revision_age.set(state_age.revision_age)
         self._metrics.connections.set(self._pool.opened)
         self._metrics.quarantined.set(len(self._quarantine))
         self._metrics.held_bytes.set(self.slow_clients.budget.held)
@@ -430,19 +432,19 @@
     # Changes read from the store
 
     def _directory_changed(self) -> None:
-        self._note_usable()
+        self._update_usable()
         self._runner.wake()
 
     def _configuration_changed(self, table: RouteTable) -> None:
         idle = table.configuration.limits.idle_timeout * IDLE_FACTOR
         self._server.set_idle_timeout(max(60.0, idle))
         self._runner.urgency.configure(table)
-        self._server.set_head_timeout(table.configuration.limits.header_timeout)
-        self._note_usable()
+        self._server.set_header_timeout(table.configuration.limits.header_timeout)
+        self._update_usable()
         self._reports.schedule_report()
 
-    def _note_usable(self) -> None:
-        if self._serves:
+    def _update_usable(self) -> None:
+        if self._can_serve:
             self._usable.set()
 
     def _route_named(self, name: str) -> RouteSpec | None:
@@ -458,26 +460,26 @@
         return table.pause_aim(service) if table else None
 
     def _follow_jobs(self) -> None:
-        self._usable.wait(JOBS_PATIENCE)
+        self._usable.wait(JOBS_START_DELAY)
         self._log.follower.run()
 
     # Reports of peers
 
-    def _hear_shares(self, teller: str, parts: Extensions) -> None:
-        news = self._shares.receive(parts.get(Extension.SHARE_CLOCK, b""))
-        if news is not None:
-            self._admission_queue.peer_queue_heads.update(teller, news)
+    def _receive_shares(self, sender: str, parts: Extensions) -> None:
+        update = self._shares.receive(parts.get(Extension.SHARE_CLOCK, b""))
+        if update is not None:
+            self._admission_queue.peer_queue_heads.update(sender, update)
 
     def _peer_reported(self, report: LoadReport) -> None:
-        self._hear_shares(report.node_id, report.extensions)
-        self._line.receive_report(report)
+        self._receive_shares(report.node_id, report.extensions)
+        self._zone_queue.receive_report(report)
         self._revisions.consider(report.revision, report.node_id, report.peer_address)
         if report.directory is not None:
             self._directory.receive(report.directory, report.node_id)
         self._runner.on_peer_update()
 
     def _zone_reported(self, digest: ZoneDigest) -> None:
-        self._hear_shares(digest.key, digest.extensions)
+        self._receive_shares(digest.key, digest.extensions)
         self._revisions.consider(digest.revision, digest.reporter, digest.peer_address)
         self._runner.on_peer_update()
 
@@ -495,7 +497,7 @@
             self._pool.expire()
             self._accounts.log_summary()
 
-    def _purge(self) -> None:
+    def _purge_jobs(self) -> None:
         """Delete jobs from the store that can no longer be queried."""
         while True:
             gevent.sleep(PURGE_INTERVAL)
@@ -514,7 +516,7 @@
                 continue
             self._events.emit(Event.ROUTED_JOBS_PURGED, jobs=len(expired))
 
-    def _sweep(self) -> None:
+    def _sweep_progress(self) -> None:
         """Delete saved progress of items whose jobs have ended."""
         while True:
             gevent.sleep(SWEEP_INTERVAL)
@@ -542,7 +544,7 @@
         self._claims.draining = True
         self._reports.leaving = True
         self._limits.leaving = True
-        self._line.leaving = True
+        self._zone_queue.leaving = True
         gevent.spawn(self._progress.save)
         self._reports.schedule_report()
         self._events.emit(
@@ -564,5 +566,5 @@
         while self._clock.monotonic() < latest:
             if not self.application.in_progress + self._runner.in_progress:
                 return True
-            gevent.sleep(DRAIN_CHECK)
+            gevent.sleep(DRAIN_POLL_INTERVAL)
         return False
--- a/postvalve/gateway/serving/admission_queue.py
+++ b/postvalve/gateway/serving/admission_queue.py
@@ -42,11 +42,11 @@
 from postvalve.gateway.serving.zone_queue import NoZoneQueue, ZoneQueue
 from postvalve.settings.routes import RouteSpec
 
-LOOK_INTERVAL = 0.015
+EVALUATION_INTERVAL = 0.015
 """Seconds between two evaluations of the queue."""
-_Firsts = Sequence[tuple[tuple[int, int], float]]
+_Heads = Sequence[tuple[tuple[int, int], float]]
 """Rank and tag of the first request queued at each peer, in order."""
-LEAST_RETURN_TIME = 1.0
+MIN_RETRY_TIME = 1.0
 """Seconds that a client must have left to retry after a refusal."""
 MAX_ROWS = 50
 """Queued requests that the status document lists, the first in order."""
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Waiting:
+class _QueuedRequest:
     request_id: str
     service: str
     place: QueuePosition
@@ -64,8 +64,8 @@
     """Whether tenants have shares."""
     number: int
     """Number by which nodes refer to the request in messages."""
-    held: PendingRequest
-    gone: Callable[[], bool]
+    pending: PendingRequest
+    disconnected: Callable[[], bool]
     tenant: str = ""
     """The tenant that sent it; empty for anonymous requests."""
     decided: AsyncResult = field(default_factory=AsyncResult)
@@ -78,19 +78,19 @@
 class _Queue:
     """The requests queued for one service, during one evaluation."""
 
-    rooms: list[EngineOccupancy]
-    firsts: _Firsts
-    held: int = 0
+    occupancies: list[EngineOccupancy]
+    heads: _Heads
+    ahead: int = 0
     """Requests of this node that go before the next one."""
 
 
-def _before(firsts: _Firsts, place: QueuePosition) -> int:
+def _peers_ahead(heads: _Heads, place: QueuePosition) -> int:
     """Return the number of peers with a queued request that goes before a place."""
-    return bisect.bisect_left(firsts, (place.rank, place.tag))
+    return bisect.bisect_left(heads, (place.rank, place.tag))
 
 
 class AdmissionQueue:
-    """Queues, starts and refuses online requests; see `core/admission/holding` for the rules."""
+    """Queues, starts and refuses online requests by the rules of `core/admission/online_admission`."""
 
     def __init__(
         self,
@@ -105,10 +105,10 @@
         self._fleet = fleet
         self._random = generator
         self._metrics = metrics
-        self._waiting: list[_Waiting] = []
+        self._waiting: list[_QueuedRequest] = []
         self._numbers = itertools.count(1)
         self._episodes: dict[str, OverloadEpisodes] = {}
-        self._longest: dict[str, float] = {}
+        self._longest_allowed: dict[str, float] = {}
         """The longest time that clients of a route have allowed, in seconds."""
         self._evaluator: gevent.Greenlet | None = None
         self.nodes: Callable[[], int] = lambda: 1
@@ -130,7 +130,7 @@
         rank: tuple[int, int],
         arrived_at: float,
         deadline: float,
-        gone: Callable[[], bool],
+        disconnected: Callable[[], bool],
         tenant: str = "",
         tag: float | None = None,
     ) -> None:
@@ -163,113 +163,121 @@
             return
         number = next(self._numbers)
         shared = tag is not None
-        entry = _Waiting(terms.request_id, service, place, shared, number, held, gone, tenant)
-        ruling, rooms = self._first_ruling(entry)
-        if ruling is AdmissionAction.HOLD:
-            self._note(Event.ROUTED_REQUEST_HELD, entry, rooms)
-            ruling = self._wait(entry)
-            rooms = self._fleet.occupancies(service)
-            if ruling is AdmissionAction.START:
-                self._note(Event.ROUTED_REQUEST_RELEASED, entry, rooms)
-        if ruling is AdmissionAction.REFUSE:
-            raise self._refusal(entry, rooms)
+        entry = _QueuedRequest(
+            terms.request_id, service, place, shared, number, held, disconnected, tenant
+        )
+        action, occupancies = self._decide_on_arrival(entry)
+        if action is AdmissionAction.HOLD:
+            self._log(Event.ROUTED_REQUEST_HELD, entry, occupancies)
+            action = self._wait(entry)
+            occupancies = self._fleet.occupancies(service)
+            if action is AdmissionAction.START:
+                self._log(Event.ROUTED_REQUEST_RELEASED, entry, occupancies)
+        if action is AdmissionAction.REFUSE:
+            raise self._refusal(entry, occupancies)
         self._start(place, service, entry.shared)
 
-    def _first_ruling(self, entry: _Waiting) -> tuple[AdmissionAction, list[EngineOccupancy]]:
+    def _decide_on_arrival(
+        self, entry: _QueuedRequest
+    ) -> tuple[AdmissionAction, list[EngineOccupancy]]:
         """Decide about a request that has just arrived."""
-        rooms = self._fleet.occupancies(entry.service)
+        occupancies = self._fleet.occupancies(entry.service)
         if not entry.shared:
-            return self._rule(entry, rooms), rooms
-        ruling = self._rule_in_order(entry, rooms, self._ahead(entry))
-        if ruling is AdmissionAction.START and not self._is_first(entry.service, entry.place):
-            ruling = AdmissionAction.HOLD
-        return ruling, rooms
+            return self._decide_by_time(entry, occupancies), occupancies
+        action = self._decide_by_position(entry, occupancies, self._ahead(entry))
+        if action is AdmissionAction.START and not self._is_first(entry.service, entry.place):
+            action = AdmissionAction.HOLD
+        return action, occupancies
 
     def _is_first(self, service: str, place: QueuePosition) -> bool:
         """Whether no request known to be queued, here or at a peer, goes before a place."""
         if self.zone_queue.is_coordinated(service):
             return False
         own = self.first_waiting().get(service_hash(service), place)
-        return place <= own and not _before(self.peer_queue_heads.for_service(service), place)
+        return place <= own and not _peers_ahead(self.peer_queue_heads.for_service(service), place)
 
     def _start(self, place: QueuePosition, service: str, shared: bool) -> None:
         """Report the tag of a request that starts."""
         if not shared:
             return
-        tags = (one.place.tag for one in self._open() if one.shared)
+        tags = (one.place.tag for one in self._undecided() if one.shared)
         first = min(min(tags, default=math.inf), self.peer_queue_heads.min_tag())
         self.on_started(place.tag, None if first == math.inf else first)
 
-    def _open(self) -> Iterator[_Waiting]:
+    def _undecided(self) -> Iterator[_QueuedRequest]:
         """Yield the queued requests that are not decided yet."""
         return (one for one in self._waiting if not one.decided.ready())
 
     def first_waiting(self) -> dict[int, QueuePosition]:
         """Return the first request queued here for each service, by the hash of the service."""
         first: dict[int, QueuePosition] = {}
-        for entry in self._open():
+        for entry in self._undecided():
             if entry.shared:
                 key = service_hash(entry.service)
                 first[key] = min(entry.place, first.get(key, entry.place))
         return first
 
-    def _ahead(self, entry: _Waiting) -> int:
+    def _ahead(self, entry: _QueuedRequest) -> int:
         """Return how many requests of all nodes go before one, as far as this node knows."""
-        own = sum(one.service == entry.service and one.place < entry.place for one in self._open())
+        own = sum(
+            one.service == entry.service and one.place < entry.place for one in self._undecided()
+        )
         return self._ahead_of(entry, own, self.peer_queue_heads.for_service(entry.service))
 
-    def _ahead_of(self, entry: _Waiting, own: int, firsts: _Firsts) -> int:
+    def _ahead_of(self, entry: _QueuedRequest, own: int, heads: _Heads) -> int:
         """Return the same number, given those of this node (`own`) and the peers' queue heads
         (`firsts`)."""
-        told = self.zone_queue.requests_ahead(entry.service, entry.number)
-        if told is not None:
-            return told
+        position = self.zone_queue.requests_ahead(entry.service, entry.number)
+        if position is not None:
+            return position
         # A peer whose first request goes before this one has about as many such requests as this
         # node.
-        return own + _before(firsts, entry.place) * max(1, own)
+        return own + _peers_ahead(heads, entry.place) * max(1, own)
 
     def _may_return(self, route: RouteSpec, terms: RequestTerms, left: float) -> bool:
         """Whether a refused client would retry: judging by the time it has left, this is its first
         try."""
         if terms.allowed is None or terms.last_event_id is not None:
             return False
-        longest = max(terms.allowed, self._longest.get(route.name, 0.0))
-        self._longest[route.name] = longest
-        return left >= LEAST_RETURN_TIME and terms.allowed >= longest * FIRST_TRY_SHARE
+        longest = max(terms.allowed, self._longest_allowed.get(route.name, 0.0))
+        self._longest_allowed[route.name] = longest
+        return left >= MIN_RETRY_TIME and terms.allowed >= longest * FIRST_TRY_SHARE
 
-    def _rule(self, entry: _Waiting, rooms: list[EngineOccupancy]) -> AdmissionAction:
+    def _decide_by_time(
+        self, entry: _QueuedRequest, occupancies: list[EngineOccupancy]
+    ) -> AdmissionAction:
         now = self._clock.monotonic()
         pace = self._fleet.pace(entry.service)
         episode = self._episode(entry.service)
-        if not finds_room(entry.held, rooms, pace, now):
+        if not finds_room(entry.pending, occupancies, pace, now):
             episode.record_full(now)
-        return decide(entry.held, rooms, pace, now, persistent=episode.persistent(now))
+        return decide(entry.pending, occupancies, pace, now, persistent=episode.persistent(now))
 
-    def _rule_in_order(
-        self, entry: _Waiting, rooms: list[EngineOccupancy], ahead: int
+    def _decide_by_position(
+        self, entry: _QueuedRequest, occupancies: list[EngineOccupancy], ahead: int
     ) -> AdmissionAction:
         now = self._clock.monotonic()
         pace = self._fleet.pace(entry.service)
-        if rooms and not free_capacity(rooms, pace):
+        if occupancies and not free_capacity(occupancies, pace):
             self._episode(entry.service).record_full(now)
-        return decide_in_order(entry.held, rooms, pace, now, ahead)
+        return decide_in_order(entry.pending, occupancies, pace, now, ahead)
 
     def _episode(self, service: str) -> OverloadEpisodes:
         return self._episodes.setdefault(service, OverloadEpisodes())
 
-    def _wait(self, entry: _Waiting) -> AdmissionAction:
+    def _wait(self, entry: _QueuedRequest) -> AdmissionAction:
         self._waiting.append(entry)
         if self._evaluator is None:
-            self._evaluator = gevent.spawn(self._look_while_held)
+            self._evaluator = gevent.spawn(self._evaluate_while_queued)
         try:
-            ruling: AdmissionAction = entry.decided.get()
+            action: AdmissionAction = entry.decided.get()
         finally:
             self._waiting.remove(entry)
-        return ruling
+        return action
 
-    def _look_while_held(self) -> None:
+    def _evaluate_while_queued(self) -> None:
         while self._waiting:
-            gevent.sleep(LOOK_INTERVAL)
+            gevent.sleep(EVALUATION_INTERVAL)
             self._reevaluate()
         # Reporting may wait for the socket, and a request that arrives meanwhile needs a greenlet
         # of its own.
@@ -285,26 +293,30 @@
         """Decide about all queued requests, in their order."""
         queues: dict[str, _Queue] = {}
         waiting = sorted(self._waiting, key=_place_of)
-        self._show(waiting)
+        self._report_queue(waiting)
         for entry in waiting:
             if entry.decided.ready():
                 continue
             if entry.service not in queues:
-                rooms = self._fleet.occupancies(entry.service)
+                occupancies = self._fleet.occupancies(entry.service)
                 queues[entry.service] = _Queue(
-                    rooms, self.peer_queue_heads.for_service(entry.service)
+                    occupancies, self.peer_queue_heads.for_service(entry.service)
                 )
             queue = queues[entry.service]
-            ruling = self._decide(entry, queue) if entry.shared else self._draw(entry, queue.rooms)
-            if ruling is not AdmissionAction.HOLD:
-                entry.decided.set(ruling)
-            if ruling is AdmissionAction.START and queue.rooms:
+            action = (
+                self._evaluate_with_shares(entry, queue)
+                if entry.shared
+                else self._evaluate_without_shares(entry, queue.occupancies)
+            )
+            if action is not AdmissionAction.HOLD:
+                entry.decided.set(action)
+            if action is AdmissionAction.START and queue.occupancies:
                 # The engine's count changes when the attempt starts; the next requests must see it
                 # now.
-                least_loaded(queue.rooms, self._fleet.pace(entry.service)).online += 1
-            queue.held += ruling is AdmissionAction.HOLD
+                least_loaded(queue.occupancies, self._fleet.pace(entry.service)).online += 1
+            queue.ahead += action is AdmissionAction.HOLD
 
-    def _show(self, waiting: list[_Waiting]) -> None:
+    def _report_queue(self, waiting: list[_QueuedRequest]) -> None:
         """Report the queued requests to the zone's shared queue."""
         of: dict[str, list[tuple[int, QueuePosition]]] = {}
         for entry in waiting:
@@ -312,77 +324,91 @@
                 of.setdefault(entry.service, []).append((entry.number, entry.place))
         self.zone_queue.update_waiting(of)
 
-    def _draw(self, entry: _Waiting, rooms: list[EngineOccupancy]) -> AdmissionAction:
+    def _evaluate_without_shares(
+        self, entry: _QueuedRequest, occupancies: list[EngineOccupancy]
+    ) -> AdmissionAction:
         """Decide about a request where tenants have no shares."""
-        ruling = AdmissionAction.START if entry.gone() else self._rule(entry, rooms)
-        if ruling is AdmissionAction.START and not self._is_turn(entry, rooms):
+        action = (
+            AdmissionAction.START
+            if entry.disconnected()
+            else self._decide_by_time(entry, occupancies)
+        )
+        if action is AdmissionAction.START and not self._is_turn(entry, occupancies):
             return AdmissionAction.HOLD
-        return ruling
+        return action
 
-    def _decide(self, entry: _Waiting, queue: _Queue) -> AdmissionAction:
+    def _evaluate_with_shares(self, entry: _QueuedRequest, queue: _Queue) -> AdmissionAction:
         """Decide about a request where tenants have shares."""
-        if entry.gone() or self.zone_queue.is_granted(entry.service, entry.number):
+        if entry.disconnected() or self.zone_queue.is_granted(entry.service, entry.number):
             return AdmissionAction.START
-        ahead = self._ahead_of(entry, queue.held, queue.firsts)
-        ruling = self._rule_in_order(entry, queue.rooms, ahead)
-        if ruling is not AdmissionAction.START or hold_expired(entry.held, self._clock.monotonic()):
-            return ruling
+        ahead = self._ahead_of(entry, queue.ahead, queue.heads)
+        action = self._decide_by_position(entry, queue.occupancies, ahead)
+        if action is not AdmissionAction.START or hold_expired(
+            entry.pending, self._clock.monotonic()
+        ):
+            return action
         if self.zone_queue.is_coordinated(entry.service):
             return AdmissionAction.HOLD
-        return ruling if self._is_turn(entry, queue.rooms) else AdmissionAction.HOLD
+        return action if self._is_turn(entry, queue.occupancies) else AdmissionAction.HOLD
 
-    def _is_turn(self, entry: _Waiting, rooms: list[EngineOccupancy]) -> bool:
+    def _is_turn(self, entry: _QueuedRequest, occupancies: list[EngineOccupancy]) -> bool:
         """Whether this node may take a free slot; all nodes see the same free slots.
 
         Each node takes one at random, with the probability at which all nodes together take as many
         as are free.
         """
         pace = self._fleet.pace(entry.service)
-        free = sum(max(0, room.capacity(pace) - room.online) for room in rooms)
+        free = sum(max(0, occupancy.capacity(pace) - occupancy.online) for occupancy in occupancies)
         nodes = self.nodes()
         return not free or free >= nodes or self._random.uniform(0, 1) * nodes < free
 
-    def _refusal(self, entry: _Waiting, rooms: list[EngineOccupancy]) -> RefusedError:
+    def _refusal(self, entry: _QueuedRequest, occupancies: list[EngineOccupancy]) -> RefusedError:
         now = self._clock.monotonic()
-        left = entry.held.deadline - now
+        left = entry.pending.deadline - now
         drawn = self._random.uniform(0, 1)
         episode = self._episode(entry.service)
         if entry.shared:
-            wait = zone_queue_wait(self._ahead(entry), rooms, self._fleet.pace(entry.service))
+            wait = zone_queue_wait(self._ahead(entry), occupancies, self._fleet.pace(entry.service))
             seconds = retry_after_seconds(max(wait, episode.seconds_left(now)), left, drawn)
         else:
             seconds = episode.retry_after(now, left, drawn)
-        self._note(Event.ROUTED_REQUEST_TURNED_AWAY, entry, rooms, retry_after=round(seconds, 3))
+        self._log(
+            Event.ROUTED_REQUEST_TURNED_AWAY, entry, occupancies, retry_after=round(seconds, 3)
+        )
         return RefusedError("no engine can serve this in time", retry_after=seconds)
 
-    def _note(
-        self, event: Event, entry: _Waiting, rooms: list[EngineOccupancy], **fields: float
+    def _log(
+        self,
+        event: Event,
+        entry: _QueuedRequest,
+        occupancies: list[EngineOccupancy],
+        **fields: float,
     ) -> None:
         pace = self._fleet.pace(entry.service)
         if entry.shared:
-            told = self.zone_queue.requests_ahead(entry.service, entry.number) is not None
+            position = self.zone_queue.requests_ahead(entry.service, entry.number) is not None
             fields |= {
                 "tag": round(entry.place.tag, 3),
                 "before_all": self._ahead(entry),
-                "in_line": told,
+                "in_line": position,
             }
         self._metrics.held.labels(event.name).inc()
         self._events.emit(
             event,
             request=entry.request_id,
             service=entry.service,
-            engines=len(rooms),
-            slots=sum(room.slots for room in rooms),
-            online=sum(room.online for room in rooms),
+            engines=len(occupancies),
+            slots=sum(occupancy.slots for occupancy in occupancies),
+            online=sum(occupancy.online for occupancy in occupancies),
             held=len(self._waiting),
-            waited=round(self._clock.monotonic() - entry.held.arrived_at, 3),
+            waited=round(self._clock.monotonic() - entry.pending.arrived_at, 3),
             slot_time=round(pace.slot_time, 3),
             margin=round(pace.margin, 3),
-            **self._place_of(entry),
+            **self._tenant_fields(entry),
             **fields,
         )
 
-    def _place_of(self, entry: _Waiting) -> dict[str, Any]:
+    def _tenant_fields(self, entry: _QueuedRequest) -> dict[str, Any]:
         """Return log fields about a request's tenant, the requests ahead of it and those running;
         empty for anonymous requests."""
         if not entry.tenant:
@@ -411,7 +437,7 @@
                     "service": entry.service,
                     "tenant": entry.tenant,
                     "rank": list(entry.place.rank),
-                    "waited": round(now - entry.held.arrived_at, 3),
+                    "waited": round(now - entry.pending.arrived_at, 3),
                     "behind": last.get(entry.service, ""),
                 }
             )
--- a/postvalve/gateway/serving/application.py
+++ b/postvalve/gateway/serving/application.py
@@ -38,21 +38,21 @@
 from postvalve.gateway.serving.routed_run import RoutedRequest, RoutedRun, RunServices
 from postvalve.settings.routes import EdgeLimits, RouteSpec
 
-START_PATIENCE = 2.5
+STARTUP_WAIT = 2.5
 """Seconds that a request waits at a node that has just started, until it has a configuration and
 engines. A start takes less than one second; directory entries that expired while the store was
 unavailable are back after two."""
-START_SHARE = 0.5
+STARTUP_WAIT_SHARE = 0.5
 """Fraction of a request's time that it may spend waiting for a node to start; the rest is left for
 the client to be served by another node."""
-LEAVING_RETRY_AFTER = 0.1
+DRAINING_RETRY_AFTER = 0.1
 """Retry-After in seconds from a node that is draining; other nodes can serve the client at once."""
 NOT_READY_RETRY_AFTER = 0.5
 """Retry-After in seconds from a node that has no configuration yet."""
 DEADLINE_MARGIN = 0.02
 """Seconds before the route's timeout at which a request is given up, so that the error response
 still reaches the client in time."""
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -76,18 +76,18 @@
         services: RunServices,
         jobs: JobCalls,
         table: Callable[[], RouteTable | None],
-        started: GeventEvent,
+        usable: GeventEvent,
         generator: RandomSource,
         accounts: CallerAccounts,
         slow_clients: SlowClients,
     ) -> None:
         self._services = services
-        self._slow = slow_clients
+        self._slow_clients = slow_clients
         self._clock: Clock = services.clock
         self._events: EventLog = services.events
         self._jobs = jobs
         self._table = table
-        self._started = started
+        self._usable = usable
         self._random = generator
         self._accounts = accounts
         self.draining = False
@@ -120,8 +120,8 @@
         try:
             call = self._read_call(environ)
             if self.refusing:
-                raise DrainingError("this node is leaving", retry_after=LEAVING_RETRY_AFTER)
-            table = self._usable_table(call)
+                raise DrainingError("this node is leaving", retry_after=DRAINING_RETRY_AFTER)
+            table = self._wait_for_table(call)
             if self._jobs.matches(call):
                 caller = self._caller(call, table, needs_key=_needs_key(call, table))
                 account.exclude()
@@ -142,7 +142,7 @@
             yield from self._relay(request, environ, start_response)
         except PostvalveError as error:
             account.failed(error)
-            self._note_failure(request_id, error, arrived_at)
+            self._log_failure(request_id, error, arrived_at)
             yield from self._send(start_response, self._error_reply(error))
         except (GeneratorExit, TruncatedAnswer):
             raise
@@ -160,7 +160,7 @@
             retry = [*retry, ("Connection", "close")]
         return error_reply(error, retry)
 
-    def _note_failure(self, request_id: str, error: PostvalveError, arrived_at: float) -> None:
+    def _log_failure(self, request_id: str, error: PostvalveError, arrived_at: float) -> None:
         if not request_id and error.http_status < 500:
             return
         self._events.emit(
@@ -181,7 +181,7 @@
             environ,
             limits.body_bytes if table else None,
             limits.header_timeout,
-            self._slow,
+            self._slow_clients,
             lambda: self._services.dialect.read_terms(headers).request_id,
         )
         call = HttpCall(
@@ -196,9 +196,9 @@
             raise HeadTooLargeError("the request's headers are too large")
         return call
 
-    def _usable_table(self, call: HttpCall) -> RouteTable:
+    def _wait_for_table(self, call: HttpCall) -> RouteTable:
         """Return the configuration in force, which is used for all decisions about this request."""
-        self._await_start(call)
+        self._wait_until_usable(call)
         table = self._table()
         if table is None:
             raise NotReadyError(
@@ -207,14 +207,14 @@
         return table
 
     def _caller(self, call: HttpCall, table: RouteTable, *, needs_key: bool) -> Caller:
-        knowledge, key = self.state_age(), None
+        state_age, key = self.state_age(), None
         try:
             key = self._services.dialect.api_key(call.headers)
             return identify_caller(
                 table,
                 key,
                 needs_key=needs_key,
-                age=knowledge.revision_age,
+                age=state_age.revision_age,
                 policy=self.key_policy,
             )
         except AuthenticationError as exc:
@@ -223,18 +223,20 @@
                 request=self._services.dialect.read_terms(call.headers).request_id,
                 status=exc.http_status,
                 key=key is not None,
-                **knowledge.fields(),
+                **state_age.fields(),
                 error=exc.message,
             )
             raise
 
-    def _await_start(self, call: HttpCall) -> None:
+    def _wait_until_usable(self, call: HttpCall) -> None:
         """Wait until this node can serve, within the time that the client allows."""
-        if self._started.is_set():
+        if self._usable.is_set():
             return
         allowed = self._services.dialect.read_terms(call.headers).allowed
-        patience = START_PATIENCE if allowed is None else min(START_PATIENCE, allowed * START_SHARE)
-        self._started.wait(patience)
+        max_wait = (
+            STARTUP_WAIT if allowed is None else min(STARTUP_WAIT, allowed * STARTUP_WAIT_SHARE)
+        )
+        self._usable.wait(max_wait)
 
     def _routed_request(
         self,
@@ -270,7 +272,11 @@
         run, connection = RoutedRun(self._services, request), environ[CONNECTION_KEY]
         self._runs.add(run)
         ahead = ReadAhead(
-            self._slow, run.events(), request.caller.name, request.terms.request_id, connection
+            self._slow_clients,
+            run.events(),
+            request.caller.name,
+            request.terms.request_id,
+            connection,
         )
         environ[ON_LAG_KEY] = ahead.on_client_lag
 
@@ -316,7 +322,9 @@
 
     def _answer_headers(self, answer: EngineAnswer) -> list[tuple[str, str]]:
         headers = [
-            (name, value) for name, value in answer.headers if name.lower() not in HOP_HEADERS
+            (name, value)
+            for name, value in answer.headers
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         return [*headers, *self._connection_headers()]
 
--- a/postvalve/gateway/serving/caller_accounts.py
+++ b/postvalve/gateway/serving/caller_accounts.py
@@ -38,12 +38,12 @@
 
 SUMMARY_INTERVAL = 10.0
 """Seconds between two log events that summarise what tenants got."""
-HOLDERS = 3
+MAX_HOLDERS = 3
 """Number of tenants named as those with the most requests at engines."""
 TENANTS_PER_LIST = 5
 """Number of tenants in each list of a summary event."""
 
-ENDS: dict[type[BaseException], End] = {
+END_BY_ERROR: dict[type[BaseException], End] = {
     AuthenticationError: End.KEY_UNKNOWN,
     KeyUnknownError: End.KEY_UNKNOWN,
     InvalidRequestError: End.INVALID,
@@ -67,8 +67,8 @@
     if isinstance(error, TruncatedAnswer) and error.__cause__ is not None:
         return end_of(error.__cause__)
     for kind in type(error).__mro__:
-        if kind in ENDS:
-            return ENDS[kind]
+        if kind in END_BY_ERROR:
+            return END_BY_ERROR[kind]
     not_run = isinstance(error, PostvalveError) and error.verdict is Verdict.NOT_RUN
     return End.REFUSED_ELSE if not_run else End.FAILED
 
@@ -78,21 +78,21 @@
     whatever happened."""
 
     __slots__ = (
+        "_accounts",
         "_arrived_at",
-        "_book",
         "_clock",
         "_counted",
         "_end",
-        "_first_at",
+        "_engine_seconds",
+        "_first_event_at",
         "_placed_at",
-        "_seconds",
         "_target_latency",
         "_tenant",
         "_waited",
     )
 
     def __init__(self, accounts: Accounts, clock: Clock, arrived_at: float) -> None:
-        self._book = accounts
+        self._accounts = accounts
         self._counted = True
         self._clock = clock
         self._arrived_at = arrived_at
@@ -102,8 +102,8 @@
         """Seconds until the first attempt at an engine began; None before that."""
         self._placed_at: float | None = None
         """When the current attempt began; None between attempts."""
-        self._first_at: float | None = None
-        self._seconds = 0.0
+        self._first_event_at: float | None = None
+        self._engine_seconds = 0.0
         self._end: End | None = None
 
     def __enter__(self) -> RequestAccount:
@@ -121,13 +121,13 @@
         if not self._counted:
             return
         now = self._clock.monotonic()
-        self._book.record_request(
+        self._accounts.record_request(
             self._tenant,
             self._end or End.FAILED,
             now,
             waited=now - self._arrived_at if self._waited is None else self._waited,
             sent=self._waited is not None,
-            engine_seconds=self._seconds,
+            engine_seconds=self._engine_seconds,
         )
 
     def exclude(self) -> None:
@@ -142,36 +142,38 @@
     def attempt_started(self, now: float) -> None:
         """Record that an attempt at an engine begins."""
         self._placed_at = now
-        self._book.record_start(self._tenant)
+        self._accounts.record_start(self._tenant)
         if self._waited is None:
             self._waited = now - self._arrived_at
 
     def attempt_refused(self) -> None:
         """Record that the engine refused the current attempt: its time does not count as engine
         time."""
-        self._take_back()
+        self._end_attempt()
 
     def attempt_ended(self) -> None:
         """Record that the engine is done with the current attempt, if there is one."""
-        placed_at = self._take_back()
+        placed_at = self._end_attempt()
         if placed_at is not None:
-            self._seconds += self._clock.monotonic() - placed_at
+            self._engine_seconds += self._clock.monotonic() - placed_at
 
-    def _take_back(self) -> float | None:
+    def _end_attempt(self) -> float | None:
         """End the current attempt; returns when it began, or None if there is none."""
         placed_at, self._placed_at = self._placed_at, None
         if placed_at is not None:
-            self._book.record_stop(self._tenant)
+            self._accounts.record_stop(self._tenant)
         return placed_at
 
     def first_event(self) -> None:
         """Record that the first event of the response has arrived."""
-        self._first_at = self._clock.monotonic()
+        self._first_event_at = self._clock.monotonic()
 
     def completed(self) -> None:
         """Record that the response is complete."""
-        first_at = self._clock.monotonic() if self._first_at is None else self._first_at
-        in_time = first_at - self._arrived_at <= self._target_latency
+        first_event_at = (
+            self._clock.monotonic() if self._first_event_at is None else self._first_event_at
+        )
+        in_time = first_event_at - self._arrived_at <= self._target_latency
         self._end = self._end or (End.IN_TIME if in_time else End.LATE)
 
     def failed(self, error: BaseException) -> None:
@@ -186,8 +188,8 @@
         self._clock = clock
         self._events = events
         self.accounts = Accounts()
-        self._told_at = clock.monotonic()
-        self._told = 0
+        self._logged_at = clock.monotonic()
+        self._logged_count = 0
         """Number of records counted up to the last summary event."""
 
     def open(self, arrived_at: float) -> RequestAccount:
@@ -206,34 +208,37 @@
     def holders(self) -> dict[str, int]:
         """Return the tenants with the most online requests of this node at engines now, with their
         numbers."""
-        return self.accounts.holders(HOLDERS)
+        return self.accounts.holders(MAX_HOLDERS)
 
     def log_summary(self) -> None:
-        """Emit a summary event every `TELL_INTERVAL` seconds, unless nothing was counted since the
+        """Emit a summary event every `SUMMARY_INTERVAL` seconds if anything was counted since the
         last."""
         now = self._clock.monotonic()
-        if now - self._told_at < SUMMARY_INTERVAL or self._told == self.accounts.change_count:
+        if (
+            now - self._logged_at < SUMMARY_INTERVAL
+            or self._logged_count == self.accounts.change_count
+        ):
             return
-        self._told_at, self._told = now, self.accounts.change_count
-        lately = {row.tenant: row.recent for row in self.rows() if row.tenant not in ("", OTHERS)}
-        lately = {tenant: counts for tenant, counts in lately.items() if counts != Counts()}
-        if not lately:
+        self._logged_at, self._logged_count = now, self.accounts.change_count
+        recent = {row.tenant: row.recent for row in self.rows() if row.tenant not in ("", OTHERS)}
+        recent = {tenant: counts for tenant, counts in recent.items() if counts != Counts()}
+        if not recent:
             return
         self._events.emit(
             Event.TENANTS_SERVED,
-            tenants=len(lately),
+            tenants=len(recent),
             largest=[
-                _summary(one, lately[one])
-                for one in top_tenants(lately, by_asked, TENANTS_PER_LIST)
+                _summary(one, recent[one])
+                for one in top_tenants(recent, by_asked, TENANTS_PER_LIST)
             ],
             worst=[
-                _summary(one, lately[one])
-                for one in top_tenants(lately, by_in_time_score, TENANTS_PER_LIST)
+                _summary(one, recent[one])
+                for one in top_tenants(recent, by_in_time_score, TENANTS_PER_LIST)
             ],
         )
 
 
 def _summary(tenant: str, counts: Counts) -> dict[str, Any]:
     """Return the non-zero counts of a tenant."""
-    told = {name: value for name, value in counts.fields().items() if value}
-    return {"tenant": tenant, **told}
+    nonzero = {name: value for name, value in counts.fields().items() if value}
+    return {"tenant": tenant, **nonzero}
--- a/postvalve/gateway/serving/disconnect_watcher.py
+++ b/postvalve/gateway/serving/disconnect_watcher.py
@@ -15,18 +15,18 @@
 class DisconnectWatcher:
     """Watches one connection through the event loop, without a greenlet of its own."""
 
-    def __init__(self, connection: Any, on_gone: Callable[[], None]) -> None:
+    def __init__(self, connection: Any, on_disconnect: Callable[[], None]) -> None:
         self._connection = connection
-        self._on_gone = on_gone
+        self._on_disconnect = on_disconnect
         self._watcher = gevent.get_hub().loop.io(connection.fileno(), READ_EVENT)
-        self._watcher.start(self._readable)
+        self._watcher.start(self._on_readable)
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         # Readable bytes are the client's next request; only end of file or an error is a
         # disconnect.
         self._watcher.stop()
-        if not _has_bytes(self._connection):
-            gevent.spawn(self._on_gone)
+        if not _has_data(self._connection):
+            gevent.spawn(self._on_disconnect)
 
     def stop(self) -> None:
         """Stop watching the connection."""
@@ -34,7 +34,7 @@
         self._watcher.close()
 
 
-def _has_bytes(connection: Any) -> bool:
+def _has_data(connection: Any) -> bool:
     try:
         with socket.socket(fileno=socket.dup(connection.fileno())) as raw:
             return bool(raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -14,7 +14,7 @@
 
 MAX_CONNECTIONS = 3_000
 """Client connections that may be open at once."""
-HEAD_TIMEOUT = 3.0
+HEADER_TIMEOUT = 3.0
 """Seconds that a request's headers may take from their first byte on, until a configuration sets
 another limit."""
 CONNECTION_KEY = "postvalve.connection"
@@ -23,8 +23,8 @@
 ON_LAG_KEY = "postvalve.lag"
 """Key of a callback in the WSGI environ, called when a write has to wait for the client for the
 first time."""
-HEAD_END = b"\r\n\r\n"
-HEAD_TOO_SLOW = (
+HEADER_END = b"\r\n\r\n"
+HEADER_TIMEOUT_RESPONSE = (
     "408 Request Timeout",
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 )
@@ -40,35 +40,35 @@
 class _Handler(SendAtOnceHandler):
     """Passes the target and the headers on unchanged, and reports when a client lags behind."""
 
-    _head_limit: gevent.Timeout | None = None
+    _header_timer: gevent.Timeout | None = None
 
     def handle_one_request(self) -> Any:
         """Serve one request, if its headers arrive in time."""
         try:
             return super().handle_one_request()
         except gevent.Timeout as limit:
-            if limit is not self._head_limit:
+            if limit is not self._header_timer:
                 raise
-            return HEAD_TOO_SLOW
+            return HEADER_TIMEOUT_RESPONSE
         finally:
-            self._end_head_limit()
+            self._cancel_header_timer()
 
     def read_requestline(self) -> str:
         """Wait for the next request; the connection counts as idle until the first bytes arrive."""
         self.socket.settimeout(self.server.idle_timeout)
-        self.server.resting.add(self)
+        self.server.idle_handlers.add(self)
         try:
-            begun = self.rfile.peek(1)
+            peeked = self.rfile.peek(1)
         finally:
-            self.server.resting.discard(self)
-        if begun and HEAD_END not in begun:
-            self._head_limit = gevent.Timeout.start_new(self.server.head_timeout)
+            self.server.idle_handlers.discard(self)
+        if peeked and HEADER_END not in peeked:
+            self._header_timer = gevent.Timeout.start_new(self.server.header_timeout)
         return str(super().read_requestline())
 
-    def _end_head_limit(self) -> None:
-        if self._head_limit is not None:
-            self._head_limit.close()
-            self._head_limit = None
+    def _cancel_header_timer(self) -> None:
+        if self._header_timer is not None:
+            self._header_timer.close()
+            self._header_timer = None
 
     def _sendall(self, data: bytes | memoryview) -> None:
         try:
@@ -81,9 +81,9 @@
 
     def _send_rest(self, rest: memoryview) -> None:
         """Send what the socket did not accept at once; the first time, call the lag callback."""
-        lags = self.environ and self.environ.pop(ON_LAG_KEY, None)
-        if lags:
-            lags()
+        on_lag = self.environ and self.environ.pop(ON_LAG_KEY, None)
+        if on_lag:
+            on_lag()
         try:
             super()._sendall(rest)
         except OSError as error:
@@ -94,7 +94,7 @@
 
     def get_environ(self) -> dict[str, Any]:
         """Return the WSGI environ, with the target and the headers as received."""
-        self._end_head_limit()
+        self._cancel_header_timer()
         environ: dict[str, Any] = super().get_environ()
         environ[CONNECTION_KEY] = self.socket
         environ[TARGET_KEY] = self.path
@@ -114,8 +114,8 @@
     def __init__(self, listen: str, application: Application, idle_timeout: float) -> None:
         host, _, port = listen.rpartition(":")
         self.idle_timeout = idle_timeout
-        self.head_timeout = HEAD_TIMEOUT
-        self.resting: set[_Handler] = set()
+        self.header_timeout = HEADER_TIMEOUT
+        self.idle_handlers: set[_Handler] = set()
         super().__init__(
             (host, int(port)),
             application,
@@ -142,9 +142,9 @@
         """Set how long a connection may be idle; applies from its next idle time on."""
         self._server.idle_timeout = seconds
 
-    def set_head_timeout(self, seconds: float) -> None:
+    def set_header_timeout(self, seconds: float) -> None:
         """Set how long a request's headers may take from their first byte on."""
-        self._server.head_timeout = seconds
+        self._server.header_timeout = seconds
 
     def close_listener(self) -> None:
         """Accept no new connections; open ones continue."""
@@ -152,7 +152,7 @@
 
     def close_idle(self) -> None:
         """Close the connections that have no request under way."""
-        for handler in list(self._server.resting):
+        for handler in list(self._server.idle_handlers):
             handler.socket.close()
 
     def stop(self, timeout: float) -> None:
--- a/postvalve/gateway/serving/pace_observer.py
+++ b/postvalve/gateway/serving/pace_observer.py
@@ -13,7 +13,7 @@
 from postvalve.gateway.fleet.placement import ConsideredEngine, Placement
 from postvalve.gateway.metrics import GatewayMetrics
 
-CANDIDATES_TOLD = 6
+MAX_LOGGED_CANDIDATES = 6
 """Number of engines that a log event about a late request lists: the chosen one, and those expected
 to be first."""
 
@@ -105,9 +105,9 @@
         )
 
         if placement.considered:
-            self._tell_considered(placement)
+            self._log_candidates(placement)
 
-    def _tell_considered(self, placement: Placement) -> None:
+    def _log_candidates(self, placement: Placement) -> None:
         """Log the engines that a late request could have been sent to, the best ones."""
         pace = self._fleet.pace(self._service)
         tokens = placement.to_read - placement.unread_seen
@@ -121,7 +121,8 @@
             engine=placement.engine.life,
             engines=len(expected),
             candidates=[
-                self._candidate_fields(one, seconds) for seconds, one in expected[:CANDIDATES_TOLD]
+                self._candidate_fields(one, seconds)
+                for seconds, one in expected[:MAX_LOGGED_CANDIDATES]
             ],
         )
 
--- a/postvalve/gateway/serving/peer_queue_heads.py
+++ b/postvalve/gateway/serving/peer_queue_heads.py
@@ -17,31 +17,31 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._news: dict[str, tuple[float, ShareUpdate]] = {}
+        self._updates: dict[str, tuple[float, ShareUpdate]] = {}
 
-    def update(self, peer: str, news: ShareUpdate) -> None:
+    def update(self, peer: str, update: ShareUpdate) -> None:
         """Update the queue heads of a node or zone."""
-        if news.queue_heads:
-            self._news[peer] = (self._clock.monotonic(), news)
+        if update.queue_heads:
+            self._updates[peer] = (self._clock.monotonic(), update)
         else:
-            self._news.pop(peer, None)
+            self._updates.pop(peer, None)
 
-    def _fresh(self) -> list[ShareUpdate]:
+    def _current(self) -> list[ShareUpdate]:
         now = self._clock.monotonic()
-        old = [peer for peer, (at, _) in self._news.items() if now - at > MAX_REPORT_AGE]
+        old = [peer for peer, (at, _) in self._updates.items() if now - at > MAX_REPORT_AGE]
         for peer in old:
-            del self._news[peer]
-        return [news for _, news in self._news.values()]
+            del self._updates[peer]
+        return [update for _, update in self._updates.values()]
 
     def for_service(self, service: str) -> list[tuple[tuple[int, int], float]]:
         """Return rank and tag of the first request queued at each peer for a service, in order."""
-        if not self._news:
+        if not self._updates:
             return []
         key = service_hash(service)
-        places = (news.queue_heads.get(key) for news in self._fresh())
+        places = (update.queue_heads.get(key) for update in self._current())
         return sorted((one.rank, one.tag) for one in places if one is not None)
 
     def min_tag(self) -> float:
         """Return the least tag queued at any peer; infinite if none is queued."""
-        tags = (one.tag for news in self._fresh() for one in news.queue_heads.values())
+        tags = (one.tag for update in self._current() for one in update.queue_heads.values())
         return min(tags, default=math.inf)
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -24,7 +24,7 @@
 from postvalve.gateway.metrics import GatewayMetrics
 from postvalve.gateway.serving.lag import await_lag
 
-CLOSE_AT_ONCE = struct.pack("ii", 1, 0)
+LINGER_DISCARD = struct.pack("ii", 1, 0)
 """SO_LINGER value that discards unsent data when a connection is closed."""
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class _Slow:
+class _SlowClient:
     """A client for which data is or was held."""
 
     holding: BufferAccount
@@ -55,19 +55,19 @@
     clock: Clock
     events: EventLog
     metrics: GatewayMetrics
-    _slow: dict[BufferAccount, _Slow] = field(default_factory=dict)
+    _clients: dict[BufferAccount, _SlowClient] = field(default_factory=dict)
 
     def register(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> BufferAccount:
         """Register a client for which data will be held; `on_cut` is called if the budget gives it
         up."""
         holding, now = BufferAccount(tenant), self.clock.monotonic()
-        self._slow[holding] = _Slow(holding, request_id, now, on_cut)
+        self._clients[holding] = _SlowClient(holding, request_id, now, on_cut)
         return holding
 
     def unregister(self, holding: BufferAccount) -> None:
         """Release the memory held for a client."""
         self.budget.release(holding)
-        self._slow.pop(holding, None)
+        self._clients.pop(holding, None)
 
     def hold(self, holding: BufferAccount, size: int) -> None:
         """Hold `size` more bytes for a client; clients over the budget are disconnected, this one
@@ -77,7 +77,7 @@
     def disconnect(self, holdings: list[BufferAccount]) -> None:
         """Disconnect the clients that the budget has given up."""
         for holding in holdings:
-            one = self._slow.pop(holding, None)
+            one = self._clients.pop(holding, None)
             if one is None or holding.cause is None:
                 continue
             self.metrics.slow_clients.labels(holding.cause.value).inc()
@@ -95,7 +95,7 @@
     def rows(self) -> list[dict[str, Any]]:
         """Return the clients for which data is held, most bytes first, for the status document."""
         now = self.clock.monotonic()
-        slow = sorted(self._slow.values(), key=lambda one: -one.holding.size)
+        slow = sorted(self._clients.values(), key=lambda one: -one.holding.size)
         return [
             {
                 "request": one.request_id,
@@ -107,7 +107,7 @@
         ]
 
     def __len__(self) -> int:
-        return len(self._slow)
+        return len(self._clients)
 
 
 class ReadAhead:
@@ -122,20 +122,20 @@
         connection: Any,
     ) -> None:
         """Begin without reading anything; `source` yields the events of the response."""
-        self._slow = slow
+        self._slow_clients = slow
         self._clock = slow.clock
         self._source = source
         self._tenant = tenant
         self._request_id = request_id
         self._connection = connection
-        self._whole: bytes | None = None
+        self._body: bytes | None = None
         self._reader: gevent.Greenlet | None = None
-        self._counter: gevent.Greenlet | None = None
+        self._lag_watch: gevent.Greenlet | None = None
         self._holding: BufferAccount | None = None
-        self._store: EventBuffer | None = None
-        self._came = GeventEvent()
+        self._buffer: EventBuffer | None = None
+        self._buffer_changed = GeventEvent()
         """Set when an event, or the end of the response, was stored."""
-        self._room = GeventEvent()
+        self._space_freed = GeventEvent()
         """Set when the client has taken an event."""
 
     def events(self) -> Iterator[bytes]:
@@ -146,13 +146,13 @@
         """
         for event in self._source:
             yield event
-            if self._store is not None:
-                yield from self._stored_events(self._store)
+            if self._buffer is not None:
+                yield from self._buffered_events(self._buffer)
                 return
 
     def body(self, body: bytes) -> bytes:
         """Pass on a complete response body that is not a stream."""
-        self._whole = body
+        self._body = body
         return body
 
     def on_client_lag(self) -> None:
@@ -160,8 +160,8 @@
         two events."""
         if self._holding is not None or getgeneratorstate(self._source) == GEN_CLOSED:
             return
-        slow = self._slow
-        self._holding = slow.register(self._tenant, self._request_id, self._cut)
+        slow = self._slow_clients
+        self._holding = slow.register(self._tenant, self._request_id, self._abort)
         slow.metrics.slow_clients.labels("lagged").inc()
         slow.events.emit(
             Event.CLIENT_LAGS,
@@ -170,89 +170,89 @@
             held=slow.budget.held,
             lagging=len(slow),
         )
-        if self._whole is not None:
-            self._counter = gevent.spawn(self._count_when_late, self._holding, len(self._whole))
+        if self._body is not None:
+            self._lag_watch = gevent.spawn(self._hold_when_lagging, self._holding, len(self._body))
             return
-        self._store = EventBuffer(slow.budget, self._holding)
-        self._reader = gevent.spawn(self._read_on, self._store)
+        self._buffer = EventBuffer(slow.budget, self._holding)
+        self._reader = gevent.spawn(self._read_rest, self._buffer)
 
-    def _count_when_late(self, holding: BufferAccount, size: int) -> None:
-        """Count a complete body as held memory once the client has lagged for `LAG` seconds."""
+    def _hold_when_lagging(self, holding: BufferAccount, size: int) -> None:
+        """Count a complete body as held memory once the client has lagged for some time."""
         await_lag(self._connection, select.POLLOUT)
-        self._slow.hold(holding, size)
+        self._slow_clients.hold(holding, size)
 
-    def _read_on(self, store: EventBuffer) -> None:
+    def _read_rest(self, buffer: EventBuffer) -> None:
         # Unless the source is read to its end, the client must see the response as truncated.
         error: PostvalveError | None = ReaderCutError("the answer was not read to its end")
         try:
             for event in self._source:
-                self._await_room(store, len(event))
-                self._slow.disconnect(store.put(event, self._clock.monotonic()))
-                if store.holding.cause is not None:
+                self._await_space(buffer, len(event))
+                self._slow_clients.disconnect(buffer.put(event, self._clock.monotonic()))
+                if buffer.holding.cause is not None:
                     return
-                self._came.set()
+                self._buffer_changed.set()
             error = None
         except PostvalveError as exc:
             error = exc
         finally:
             # If reading stopped early, closing the source ends the current attempt.
             self._source.close()
-            store.end(error)
-            self._came.set()
+            buffer.end(error)
+            self._buffer_changed.set()
 
-    def _await_room(self, store: EventBuffer, size: int) -> None:
+    def _await_space(self, buffer: EventBuffer, size: int) -> None:
         """Wait while the buffer is full; the engine may be held up for a short time only."""
-        while (patience := store.max_wait(size, self._clock.monotonic())) > 0:
-            self._room.clear()
-            self._room.wait(patience)
-        if store.holding.cause is CutCause.STORE_FULL:
-            self._slow.disconnect([store.holding])
+        while (max_wait := buffer.max_wait(size, self._clock.monotonic())) > 0:
+            self._space_freed.clear()
+            self._space_freed.wait(max_wait)
+        if buffer.holding.cause is CutCause.STORE_FULL:
+            self._slow_clients.disconnect([buffer.holding])
 
-    def _stored_events(self, store: EventBuffer) -> Iterator[bytes]:
+    def _buffered_events(self, buffer: EventBuffer) -> Iterator[bytes]:
         while True:
-            if store.holding.cause is not None:
-                raise ReaderCutError(f"the client is too slow: {store.holding.cause.value}")
-            event = store.first()
+            if buffer.holding.cause is not None:
+                raise ReaderCutError(f"the client is too slow: {buffer.holding.cause.value}")
+            event = buffer.first()
             if event:
                 yield event
                 # Until now the socket had not accepted the event.
-                store.pop_first(self._clock.monotonic())
-                self._room.set()
-            elif store.ended:
-                if store.error is not None:
-                    raise store.error
+                buffer.pop_first(self._clock.monotonic())
+                self._space_freed.set()
+            elif buffer.ended:
+                if buffer.error is not None:
+                    raise buffer.error
                 return
             else:
-                self._came.clear()
-                self._came.wait()
+                self._buffer_changed.clear()
+                self._buffer_changed.wait()
 
-    def _cut(self) -> None:
+    def _abort(self) -> None:
         """Close the connection and end the current attempt. Called by whichever client needs the
         memory."""
         if self._reader is not None and self._reader is not gevent.getcurrent():
             self._reader.kill(block=False)
-        self._came.set()
-        drop_connection(self._connection)
+        self._buffer_changed.set()
+        reset_connection(self._connection)
 
     def client_gone(self) -> None:
         """Drop what is held for a client that has disconnected."""
         if self._holding is not None:
-            drop_connection(self._connection)
+            reset_connection(self._connection)
 
     def close(self) -> None:
         """Stop reading and sending; the current attempt ends."""
-        for greenlet in (self._reader, self._counter):
+        for greenlet in (self._reader, self._lag_watch):
             if greenlet is not None:
                 greenlet.kill()
         self._source.close()
         if self._holding is not None:
-            self._slow.unregister(self._holding)
+            self._slow_clients.unregister(self._holding)
 
 
-def drop_connection(connection: Any) -> None:
+def reset_connection(connection: Any) -> None:
     """Reset a connection and discard its unsent data; a write that waits for it returns."""
     try:
-        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, CLOSE_AT_ONCE)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_DISCARD)
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
         return  # already closed
--- a/postvalve/gateway/serving/request_body.py
+++ b/postvalve/gateway/serving/request_body.py
@@ -42,11 +42,11 @@
     """Reads the body of one request."""
 
     environ: dict[str, Any]
-    largest: int | None
+    max_bytes: int | None
     """Maximum size of the body in bytes; None while no configuration sets one."""
-    patience: float
+    max_lag: float
     """Seconds that the body may fall behind the minimum rate."""
-    slow: SlowClients
+    slow_clients: SlowClients
     request_id: Callable[[], str]
 
     def read(self) -> bytes:
@@ -63,7 +63,7 @@
             self._check(length)
             if source.chunked_input or source.socket is not None:
                 return self._read_rest(source, [], lambda: source.read(READ_BLOCK))
-            parts = list(self._ready_parts(source, length))
+            parts = list(self._received_parts(source, length))
             if source.position >= length:
                 return b"".join(parts)
             return self._read_rest(source, parts, lambda: self._receive(source, length))
@@ -71,10 +71,10 @@
             raise InvalidRequestError("the request's body was cut") from error
 
     def _check(self, size: int) -> None:
-        if self.largest is not None and size > self.largest:
-            raise RequestTooLargeError(f"body over {self.largest} bytes")
+        if self.max_bytes is not None and size > self.max_bytes:
+            raise RequestTooLargeError(f"body over {self.max_bytes} bytes")
 
-    def _ready_parts(self, source: Any, length: int) -> Iterator[bytes]:
+    def _received_parts(self, source: Any, length: int) -> Iterator[bytes]:
         """Yield what has already arrived, mostly the whole body; the reader's own buffer is empty
         after a short read."""
         connection = self.environ[CONNECTION_KEY]
@@ -104,14 +104,14 @@
     def _read_rest(self, source: Any, parts: list[bytes], receive: Receive) -> bytes:
         """Read the rest at the minimum rate; once the client lags, the part received counts as held
         memory."""
-        clock = self.slow.clock
-        pace = MinTransferRate(MIN_BODY_RATE, self.patience, clock.monotonic())
-        body = _LateBody(parts, self.slow, self.request_id, self.environ[CONNECTION_KEY])
+        clock = self.slow_clients.clock
+        pace = MinTransferRate(MIN_BODY_RATE, self.max_lag, clock.monotonic())
+        body = _PartialBody(parts, self.slow_clients, self.request_id, self.environ[CONNECTION_KEY])
         try:
             while not body.given_up:
-                part = self._next(receive, pace)
+                part = self._next_part(receive, pace)
                 if part is None:
-                    raise self._given_up(source, body.size, "its pace")
+                    raise self._too_slow_error(source, body.size, "its pace")
                 if not part:
                     return b"".join(parts)
                 body.add(part)
@@ -123,27 +123,27 @@
                 raise
         finally:
             body.close()
-        raise self._given_up(source, body.size, "no room for it")
+        raise self._too_slow_error(source, body.size, "no room for it")
 
-    def _next(self, receive: Receive, pace: MinTransferRate) -> bytes | None:
+    def _next_part(self, receive: Receive, pace: MinTransferRate) -> bytes | None:
         """Return the next part; None if it does not arrive at the minimum rate."""
-        left = max(0.0, pace.seconds_left(self.slow.clock.monotonic()))
+        left = max(0.0, pace.seconds_left(self.slow_clients.clock.monotonic()))
         with gevent.Timeout(left, exception=False):
             return receive()
         return None
 
-    def _given_up(self, source: Any, size: int, cause: str) -> SlowBodyError:
+    def _too_slow_error(self, source: Any, size: int, cause: str) -> SlowBodyError:
         # Keeps the server from waiting for the rest of the body.
         source.content_length = source.position
         source.chunked_input = False
-        self.slow.metrics.slow_clients.labels("body").inc()
-        self.slow.events.emit(
+        self.slow_clients.metrics.slow_clients.labels("body").inc()
+        self.slow_clients.events.emit(
             Event.BODY_TOO_SLOW, request=self.request_id(), size=size, cause=cause
         )
         return SlowBodyError(f"the body came too slowly: {cause}")
 
 
-class _LateBody:
+class _PartialBody:
     """The part of a body received so far; it counts as held memory once the client lags."""
 
     def __init__(
@@ -156,12 +156,12 @@
         self.parts = parts
         self.size = sum(map(len, parts))
         """Bytes received."""
-        self._slow = slow
+        self._slow_clients = slow
         self._request_id = request_id
         self._connection = connection
         self._holding: BufferAccount | None = None
         # Runs in a greenlet, so that a body of which nothing more arrives is counted too.
-        self._counter = gevent.spawn(self._count_when_late)
+        self._lag_watch = gevent.spawn(self._hold_when_lagging)
 
     @property
     def given_up(self) -> bool:
@@ -173,19 +173,19 @@
         self.parts.append(part)
         self.size += len(part)
         if self._holding is not None:
-            self._slow.hold(self._holding, len(part))
+            self._slow_clients.hold(self._holding, len(part))
 
     def close(self) -> None:
         """Release the memory: the body is complete, or will not be read any further."""
         # Blocks until the greenlet has ended, since it must not count the body after this.
-        self._counter.kill()
+        self._lag_watch.kill()
         if self._holding is not None:
-            self._slow.unregister(self._holding)
+            self._slow_clients.unregister(self._holding)
 
-    def _count_when_late(self) -> None:
+    def _hold_when_lagging(self) -> None:
         await_lag(self._connection, select.POLLIN)
-        self._holding = self._slow.register("", self._request_id(), self._stop_reading)
-        self._slow.hold(self._holding, self.size)
+        self._holding = self._slow_clients.register("", self._request_id(), self._stop_reading)
+        self._slow_clients.hold(self._holding, self.size)
 
     def _stop_reading(self) -> None:
         with contextlib.suppress(OSError):
--- a/postvalve/gateway/serving/routed_run.py
+++ b/postvalve/gateway/serving/routed_run.py
@@ -38,17 +38,17 @@
 
 FIRST_EVENT_TIMEOUT = 2.0
 """Seconds without a byte before the first event after which an engine counts as failed."""
-EVENT_SILENCE = 1.0
+EVENT_TIMEOUT = 1.0
 """Seconds without a byte between events after which an engine counts as failed."""
 MAX_TRIES = 4
 """Engines that one request may be sent to; those that refused it are not counted."""
-HURRIED_TRIES = 2
+FAIL_OVER_EARLY_TRIES = 2
 """Number of attempts, the first ones, in which connecting is given up early. The later ones get all
 their time: if no connection comes up, it is rather this node that is slow."""
-REFUSED_PAUSE = 0.04
+REFUSAL_BACKOFF = 0.04
 """Seconds before the engines are asked again after all have refused, doubled for each round."""
-MAX_REFUSED_PAUSE = 0.32
-WAIT_SHARE = 0.5
+MAX_REFUSAL_BACKOFF = 0.32
+MAX_WAIT_SHARE = 0.5
 """Fraction of a request's time that it may wait for an engine to be listed, or be offered again
 after refusals; the rest is left for the client to be served by another node."""
 OVERLOAD_RETRY_AFTER = 0.5
@@ -80,7 +80,7 @@
 class _Progress(Attempts):
     runs: int = 0
     """Number of engines that may have run the request."""
-    unanswered: bool = False
+    broke_off: bool = False
     """Whether an attempt broke off, so that the next ones open new connections."""
     tried: set[EngineLife] = field(default_factory=set)
     last_event_id: int | None = None
@@ -141,11 +141,11 @@
             request.arrived_at,
             request.route.target_latency,
         )
-        self._judged = False
+        self._has_headers = False
         """Whether the current attempt has response headers, and was counted as a run."""
-        self._failed = False
+        self._engine_failed = False
         """Whether those headers report a failure of the engine."""
-        self._resumes = False
+        self._client_has_headers = False
         """Whether the client already has response headers, from an earlier attempt."""
 
     @property
@@ -162,7 +162,7 @@
         request = self._request
         try:
             self._guard.check()
-            tag = self._enter_shares()
+            tag = self._acquire_credit()
             self._services.admission_queue.admit(
                 request.route,
                 request.service,
@@ -174,12 +174,12 @@
                 request.caller.name,
                 tag,
             )
-            return self._open()
+            return self._attempt_until_answered()
         except PostvalveError as error:
             self.finish(error.code)
             raise
 
-    def _enter_shares(self) -> float | None:
+    def _acquire_credit(self) -> float | None:
         """Check the tenant's rate limit; returns the start tag, or None where tenants have no
         shares."""
         limits, caller = self._services.limits, self._request.caller
@@ -195,29 +195,29 @@
         self._share = limits.shares.open(caller.name, work, told)
         return self._share.tag if self._share else None
 
-    def _open(self) -> EngineAnswer:
+    def _attempt_until_answered(self) -> EngineAnswer:
         while True:
             self._check_time()
             try:
                 return self._attempt()
             except AttemptError as error:
                 self._fail_attempt(error)
-                if not self._may_go_on(error.verdict):
+                if not self._may_retry(error.verdict):
                     raise self._final_error(error) from error
                 if error.verdict is Verdict.NOT_RUN:
-                    self._wait_for_room()
+                    self._back_off()
 
-    def _wait_for_room(self) -> None:
+    def _back_off(self) -> None:
         """Back off for a moment if every engine has refused: slots come free all the time."""
         progress = self._progress
-        if self._others_left():
+        if self._has_untried_engines():
             return
-        pause = min(MAX_REFUSED_PAUSE, REFUSED_PAUSE * 2**progress.refused_rounds)
+        pause = min(MAX_REFUSAL_BACKOFF, REFUSAL_BACKOFF * 2**progress.refused_rounds)
         progress.refused_rounds += 1
         progress.tried.clear()
         gevent.sleep(pause)
 
-    def _others_left(self) -> bool:
+    def _has_untried_engines(self) -> bool:
         """Whether the service has engines that were not tried in this round."""
         engines = self._fleet.engines(self._request.service)
         return any(one.life not in self._progress.tried for one in engines)
@@ -226,9 +226,9 @@
         if self._client_gone:
             raise ClientGoneError("the client left")
         if self._clock.monotonic() >= self._request.deadline:
-            raise self._given_up()
+            raise self._deadline_error()
 
-    def _given_up(self) -> PostvalveError:
+    def _deadline_error(self) -> PostvalveError:
         if self.may_have_run:
             return GivenUpError("the time is over")
         return TimeOverError("the time is over", retry_after=OVERLOAD_RETRY_AFTER)
@@ -241,7 +241,7 @@
         placement = self._place()
         self._placement = placement
         self._progress.tries += 1
-        self._judged = False
+        self._has_headers = False
         self._progress.tried.add(placement.engine.life)
         now = self._clock.monotonic()
         self._pace.record_placed(now)
@@ -263,12 +263,13 @@
             data,
             request.deadline,
             still_usable=lambda: self._fleet.takes_work(engine.life),
-            new_connection=self._progress.unanswered,
-            fail_over_early=self._progress.tries <= HURRIED_TRIES and self._others_left(),
+            new_connection=self._progress.broke_off,
+            fail_over_early=self._progress.tries <= FAIL_OVER_EARLY_TRIES
+            and self._has_untried_engines(),
         )
         self._answer = answer
-        answer.read_head(self._patience(FIRST_EVENT_TIMEOUT))
-        self._judge(answer)
+        answer.read_head(self._read_timeout(FIRST_EVENT_TIMEOUT))
+        self._check_headers(answer)
         return answer
 
     def _place(self) -> Placement:
@@ -276,7 +277,7 @@
         place = self._fleet.place_online
         left = request.arrived_at + request.route.target_latency - self._clock.monotonic()
         if self._guard.alone:
-            placement = self._place_alone()
+            placement = self._place_suspect()
         else:
             placement = place(request.service, request.terms, self._progress.tried, left)
         if placement is None and self._progress.tried:
@@ -288,7 +289,7 @@
             raise RefusedError("no engine serves this now", retry_after=OVERLOAD_RETRY_AFTER)
         return placement
 
-    def _place_alone(self) -> Placement | None:
+    def _place_suspect(self) -> Placement | None:
         """Return the engine that all nodes use for a request that is suspected of crashing
         engines."""
         request, quarantine = self._request, self._services.quarantine
@@ -302,7 +303,7 @@
     def _await_engines(self) -> None:
         """Wait if no engine is listed at the moment and there is time for it."""
         request = self._request
-        latest = request.arrived_at + (request.deadline - request.arrived_at) * WAIT_SHARE
+        latest = request.arrived_at + (request.deadline - request.arrived_at) * MAX_WAIT_SHARE
         if self._fleet.engines(request.service):
             return
         found = self._fleet.await_engines(request.service, latest - self._clock.monotonic())
@@ -315,7 +316,7 @@
         )
         self._check_time()
 
-    def _judge(self, answer: EngineAnswer) -> None:
+    def _check_headers(self, answer: EngineAnswer) -> None:
         terms = self._request.terms
         judge = self._services.dialect.judge
         judgement = judge(terms.request_id, answer.status, answer.headers)
@@ -330,10 +331,10 @@
         if judgement is Judgement.FOREIGN:
             raise AttemptError("the engine answered another request", Verdict.MAY_HAVE_RUN)
         self._progress.runs += 1
-        self._judged = True
-        self._failed = judgement in (Judgement.FAILED, Judgement.HOPELESS)
+        self._has_headers = True
+        self._engine_failed = judgement in (Judgement.FAILED, Judgement.HOPELESS)
         self._guard.record_head()
-        if self._failed and not self._passes_on(judgement):
+        if self._engine_failed and not self._forwards_failure(judgement):
             self._progress.runs -= 1
             self._guard.record_engine_failure()
             raise AttemptError(f"the engine failed: {answer.status}", Verdict.MAY_HAVE_RUN)
@@ -344,16 +345,16 @@
             dialect, paces = self._services.dialect, self._fleet.paces
             read_load(dialect, self._clock, paces, placement, judgement, answer.headers)
 
-    def _passes_on(self, judgement: Judgement) -> bool:
+    def _forwards_failure(self, judgement: Judgement) -> bool:
         """Whether the client gets this failure: only the last one, while it has no response
         headers.
 
         Sent as the end of a stream that the client has begun to receive, a failure made a truncated
         response look complete: once or twice a day where half of the engines failed many requests.
         """
-        if self._resumes:
+        if self._client_has_headers:
             return False
-        return judgement is Judgement.HOPELESS or not self._may_go_on(Verdict.MAY_HAVE_RUN)
+        return judgement is Judgement.HOPELESS or not self._may_retry(Verdict.MAY_HAVE_RUN)
 
     @property
     def _life(self) -> EngineLife | None:
@@ -365,7 +366,7 @@
             self._request.account.attempt_refused()
         else:
             self._progress.runs += 1
-            self._progress.unanswered = True
+            self._progress.broke_off = True
         judged = answer is not None and answer.status > 0 and error.verdict is Verdict.NOT_RUN
         over = self._client_gone or self._clock.monotonic() >= self._request.deadline
         if judged:
@@ -389,46 +390,46 @@
         )
         self._release()
 
-    def _may_go_on(self, verdict: Verdict) -> bool:
+    def _may_retry(self, verdict: Verdict) -> bool:
         progress, route = self._progress, self._request.route
         if self._client_gone or self._clock.monotonic() >= self._request.deadline:
             return False
         if progress.tries >= MAX_TRIES or progress.runs >= route.max_attempts:
             return False
         if verdict is Verdict.NOT_RUN:
-            return self._may_wait()
+            return self._may_wait_for_capacity()
         if route.repeat is RepeatPolicy.SAFE:
             return progress.events == 0
         return route.repeat is RepeatPolicy.RESUMABLE
 
-    def _may_wait(self) -> bool:
+    def _may_wait_for_capacity(self) -> bool:
         """Whether there is time to offer the request again after a refusal.
 
         Enough time must be left for the client to retry and be served by another node.
         """
         request = self._request
-        allowed = (request.deadline - request.arrived_at) * WAIT_SHARE
+        allowed = (request.deadline - request.arrived_at) * MAX_WAIT_SHARE
         return self._clock.monotonic() - request.arrived_at < allowed
 
-    def _patience(self, silence: float) -> float:
+    def _read_timeout(self, timeout: float) -> float:
         """Return the seconds without a byte after which an engine is given up.
 
         A request that no other engine may run waits for as long as its client does.
         """
         route, progress = self._request.route, self._progress
-        runs_after_this = progress.runs + (0 if self._judged else 1)
+        runs_after_this = progress.runs + (0 if self._has_headers else 1)
         repeatable = route.repeat is RepeatPolicy.RESUMABLE or (
             route.repeat is RepeatPolicy.SAFE and progress.events == 0
         )
         if repeatable and progress.tries < MAX_TRIES and runs_after_this < route.max_attempts:
-            return silence
-        return max(silence, self._request.deadline - self._clock.monotonic())
+            return timeout
+        return max(timeout, self._request.deadline - self._clock.monotonic())
 
     def _final_error(self, error: AttemptError) -> PostvalveError:
         if self._client_gone:
             return ClientGoneError("the client left")
         if self._clock.monotonic() >= self._request.deadline:
-            return self._given_up()
+            return self._deadline_error()
         if self.may_have_run:
             return AttemptError(error.message, Verdict.MAY_HAVE_RUN)
         return RefusedError(error.message, retry_after=OVERLOAD_RETRY_AFTER)
@@ -464,23 +465,23 @@
         answer = self._answer
         assert answer is not None
         while True:
-            silence = EVENT_SILENCE if self._progress.events else FIRST_EVENT_TIMEOUT
+            timeout = EVENT_TIMEOUT if self._progress.events else FIRST_EVENT_TIMEOUT
             self._pace.record_read_started()
-            event = answer.read_event(self._patience(silence))
+            event = answer.read_event(self._read_timeout(timeout))
             if not event:
                 rest = answer.take_remaining_body()
                 if rest:
                     yield rest
                 self._pace.record_end(self._placement)
-                self._note_whole()
+                self._record_completion()
                 return
             self._note_event(event)
             yield event
 
-    def _note_whole(self) -> None:
+    def _record_completion(self) -> None:
         if self._placement is not None:
             self._fleet.record_success(self._placement.engine.life)
-        if self._failed:
+        if self._engine_failed:
             self._guard.record_engine_failure()
         else:
             self._guard.record_answer()
@@ -503,10 +504,10 @@
     def _resume(self, error: AttemptError) -> None:
         self._progress.runs -= 1  # counted when its response headers arrived
         self._fail_attempt(error)
-        if not self._may_go_on(error.verdict):
+        if not self._may_retry(error.verdict):
             raise self._final_error(error)
-        self._resumes = True
-        self._open()
+        self._client_has_headers = True
+        self._attempt_until_answered()
         self._services.metrics.resumed.inc()
         self._services.events.emit(
             Event.ROUTED_STREAM_RESUMED,
@@ -524,13 +525,13 @@
         answer = self._answer
         assert answer is not None
         try:
-            body = answer.read_body(self._patience(FIRST_EVENT_TIMEOUT))
+            body = answer.read_body(self._read_timeout(FIRST_EVENT_TIMEOUT))
         except AttemptError as error:
             self._progress.runs -= 1
             self._fail_attempt(error)
             self.finish(error.code)
             raise self._final_error(error) from error
-        self._note_whole()
+        self._record_completion()
         self.finish("completed")
         return body
 
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -29,19 +29,19 @@
 from postvalve.node.peer_link import Channel
 from postvalve.settings.routes import RoutedTenant
 
-FIRST_PATIENCE = 0.08
+PRIMARY_TIMEOUT = 0.08
 """Seconds after which the secondary lender is asked in addition to the primary one; some twenty
 times what a call between zones takes."""
 CALL_TIMEOUT = 0.4
 """Seconds that a call to a lender may take: a busy machine may be suspended for some tenths of a
 second, and a client that the secondary lender refuses waits longer than that."""
-SHORT_WAIT = 0.05
+MAX_CREDIT_WAIT = 0.05
 """Seconds in total for which a call is held until there is credit: a bucket is empty for a moment
 after another node has taken it over, and a request would be refused below its tenant's limit. Less
-than `FIRST_PATIENCE`, after which the secondary lender is asked."""
-SHORT_PAUSE = 0.005
+than `PRIMARY_TIMEOUT`, after which the secondary lender is asked."""
+CREDIT_POLL_INTERVAL = 0.005
 """Least seconds between two checks for credit while a call is held."""
-SILENT_TIME = 0.5
+UNRESPONSIVE_TIME = 0.5
 """Seconds for which a node that did not answer is not asked again: all requests of its tenants
 would wait for it."""
 LENDER_TIMEOUT = 2.5
@@ -52,13 +52,13 @@
 """Seconds without a report of a node after which it no longer counts in the share of the fleet by
 which this node lends. A node that this one does not hear may have received the last report one
 report earlier, and begins to lend itself that much sooner."""
-LOOK_TIME = 0.5
+VIEW_UPDATE_INTERVAL = 0.5
 """Approximate seconds between two updates of the live nodes."""
 UNKNOWN_RETRY_AFTER = 0.1
 """Retry-After in seconds when no lender answered and other nodes can reach one."""
-START_PAUSE = 0.1
+STARTUP_RETRY_INTERVAL = 0.1
 """Seconds after which a starting node asks again if no lender answered."""
-START_SHARE = 0.3
+STARTUP_WAIT_SHARE = 0.3
 """Fraction of a client's time left that each such wait may take."""
 RETRY_AFTER_SHARE = 0.7
 """Fraction of a client's time left that Retry-After may take: the request must be served in the
@@ -89,11 +89,11 @@
         self._peers = services.peers
         self._node_id = services.identity.node_id
         self._revision = revision
-        self._silent_until: dict[str, float] = {}
-        self.primary_timeout = FIRST_PATIENCE
-        """Seconds, see `FIRST_PATIENCE`."""
+        self._unresponsive_until: dict[str, float] = {}
+        self.primary_timeout = PRIMARY_TIMEOUT
+        """Seconds, see `PRIMARY_TIMEOUT`."""
         self.call_timeout = CALL_TIMEOUT
-        """Seconds, see `ASK_PATIENCE`."""
+        """Seconds, see `CALL_TIMEOUT`."""
         self.leaving = False
         """Whether this node is draining, and lends no more."""
         self.limits = FleetLimits(self._node_id, services.clock.monotonic(), bounds)
@@ -135,13 +135,13 @@
         tenant = caller.tenant
         if tenant is None or not tenant.rate:
             return 0.0
-        asked, node_id, loan = self._borrow_patiently(tenant, work, deadline)
-        if loan.outcome is CreditOutcome.GRANTED:
-            return loan.tag
-        if loan.outcome is CreditOutcome.OVER_LIMIT:
-            self._note_over(tenant, request_id, node_id, loan)
-            raise RateLimitedError("the tenant is over its limit", retry_after=loan.wait)
-        known_in = round(self._known_in(asked, deadline), 3)
+        asked, node_id, decision = self._acquire_with_retry(tenant, work, deadline)
+        if decision.outcome is CreditOutcome.GRANTED:
+            return decision.tag
+        if decision.outcome is CreditOutcome.OVER_LIMIT:
+            self._log_over_limit(tenant, request_id, node_id, decision)
+            raise RateLimitedError("the tenant is over its limit", retry_after=decision.wait)
+        known_in = round(self._seconds_to_takeover(asked, deadline), 3)
         self._events.emit(
             Event.LIMIT_UNKNOWN,
             request=request_id,
@@ -153,7 +153,7 @@
         )
         raise LimitUnknownError("the tenant's count is not known", retry_after=known_in)
 
-    def _borrow_patiently(
+    def _acquire_with_retry(
         self, tenant: RoutedTenant, work: Work, deadline: float
     ) -> tuple[list[str], str, CreditDecision]:
         """Return the lenders asked, the one whose answer counts, and its answer; retries at
@@ -164,16 +164,16 @@
         """
         while True:
             asked = self.limits.choices(tenant.name)
-            node_id, loan = self._borrow(asked, tenant, work)
+            node_id, decision = self._acquire(asked, tenant, work)
             now = self._clock.monotonic()
-            wait = max(loan.wait, START_PAUSE)
-            if loan.outcome is CreditOutcome.GRANTED or not self.limits.is_starting(now + wait):
-                return asked, node_id, loan
-            if wait > (deadline - now) * START_SHARE:
-                return asked, node_id, loan
+            wait = max(decision.wait, STARTUP_RETRY_INTERVAL)
+            if decision.outcome is CreditOutcome.GRANTED or not self.limits.is_starting(now + wait):
+                return asked, node_id, decision
+            if wait > (deadline - now) * STARTUP_WAIT_SHARE:
+                return asked, node_id, decision
             gevent.sleep(wait)
 
-    def _known_in(self, asked: list[str], deadline: float) -> float:
+    def _seconds_to_takeover(self, asked: list[str], deadline: float) -> float:
         """Return the seconds until another lender takes over, if the client has that much time.
 
         The nodes that this one hears can't reach a silent lender either, and replace it at the same
@@ -181,17 +181,17 @@
         """
         first = self._peers.get(asked[0]) if asked else None
         now = self._clock.monotonic()
-        if first is None or not self._was_silent(first.node_id, now):
+        if first is None or not self._unanswered_lately(first.node_id, now):
             return UNKNOWN_RETRY_AFTER
-        if not self._hears_neighbours():
+        if not self._hears_zone_peers():
             return UNKNOWN_RETRY_AFTER
-        left = first.heard_at + LENDER_TIMEOUT + LOOK_TIME - now
+        left = first.heard_at + LENDER_TIMEOUT + VIEW_UPDATE_INTERVAL - now
         most = (deadline - now) * RETRY_AFTER_SHARE
         if not 0 < left <= most:
             return UNKNOWN_RETRY_AFTER
         return min(most, left + self._services.generator.uniform(0.0, RETRY_JITTER))
 
-    def _borrow(
+    def _acquire(
         self, choices: list[str], tenant: RoutedTenant, work: Work
     ) -> tuple[str, CreditDecision]:
         """Return the answer that counts, and the node that gave it.
@@ -204,33 +204,33 @@
             first, patience = self._node_id, None
         else:
             first, patience = choices[0], self.primary_timeout
-        asked = gevent.spawn(self._ask, first, tenant, work)
+        asked = gevent.spawn(self._request_credit, first, tenant, work)
         asked.join(patience)
-        loan = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
-        if loan.outcome is CreditOutcome.GRANTED or (
-            loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0
+        decision = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
+        if decision.outcome is CreditOutcome.GRANTED or (
+            decision.outcome is CreditOutcome.OVER_LIMIT and decision.share >= 1.0
         ):
-            return first, loan
+            return first, decision
         for second in choices[1:]:
-            little = self._ask(second, tenant, work)
-            if little.outcome is CreditOutcome.GRANTED:
-                return second, little
+            secondary_decision = self._request_credit(second, tenant, work)
+            if secondary_decision.outcome is CreditOutcome.GRANTED:
+                return second, secondary_decision
         return first, asked.get()
 
-    def _was_silent(self, node_id: str, now: float) -> bool:
+    def _unanswered_lately(self, node_id: str, now: float) -> bool:
         """Whether a node did not answer, and only the secondary lender was asked since.
 
         A node that answers but does not lend knows of another lender, and this node soon will too.
         """
-        return self._silent_until.get(node_id, 0.0) > now - self.call_timeout
+        return self._unresponsive_until.get(node_id, 0.0) > now - self.call_timeout
 
-    def _hears_neighbours(self) -> bool:
+    def _hears_zone_peers(self) -> bool:
         """Whether this node hears peers of its zone, and so is not the one that is cut off."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(now - one.heard_at <= HEARD_WITHIN for one in self._peers.neighbours(zone))
 
-    def _note_over(
-        self, tenant: RoutedTenant, request_id: str, lender: str, loan: CreditDecision
+    def _log_over_limit(
+        self, tenant: RoutedTenant, request_id: str, lender: str, decision: CreditDecision
     ) -> None:
         self._events.emit(
             Event.TENANT_OVER_LIMIT,
@@ -240,18 +240,18 @@
             rate=tenant.rate,
             burst=tenant.burst,
             revision=self._revision(),
-            share=round(loan.share, 3),
-            retry_after=round(loan.wait, 3),
+            share=round(decision.share, 3),
+            retry_after=round(decision.wait, 3),
         )
 
-    def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> CreditDecision:
+    def _request_credit(self, node_id: str, tenant: RoutedTenant, work: Work) -> CreditDecision:
         """Ask one node for credit; a node that does not answer lends none."""
         terms = LimitTerms(tenant.rate, tenant.burst, max(0, self._revision()))
         now = self._clock.monotonic()
         if node_id == self._node_id:
-            return self._lend(tenant.name, terms, work)
+            return self._lend_credit(tenant.name, terms, work)
         peer = self._peers.get(node_id)
-        if peer is None or self._silent_until.get(node_id, 0.0) > now:
+        if peer is None or self._unresponsive_until.get(node_id, 0.0) > now:
             return CreditDecision(CreditOutcome.NOT_OWNER)
         ask = gateway.CreditAsk(
             tenant=tenant.name,
@@ -264,27 +264,27 @@
         )
         reply = self._call(node_id, peer.report.peer_address, ask)
         if reply is None:
-            self._silent_until[node_id] = self._clock.monotonic() + SILENT_TIME
+            self._unresponsive_until[node_id] = self._clock.monotonic() + UNRESPONSIVE_TIME
         if not isinstance(reply, gateway.CreditReply) or reply.lending not in _LENDINGS:
             return CreditDecision(CreditOutcome.NOT_OWNER)
         return CreditDecision(CreditOutcome(reply.lending), reply.wait, reply.share, reply.tag)
 
-    def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> CreditDecision:
+    def _lend_credit(self, tenant: str, terms: LimitTerms, work: Work) -> CreditDecision:
         """Take credit from this node's bucket, and assign the request's start tag.
 
         Credit that will be there in a moment is waited for.
         """
         asked_at = self._clock.monotonic()
-        loan = self.limits.try_acquire(tenant, terms, asked_at)
-        while loan.outcome is CreditOutcome.OVER_LIMIT:
-            wait = max(loan.wait, SHORT_PAUSE)
-            if self._clock.monotonic() + wait > asked_at + SHORT_WAIT:
+        decision = self.limits.try_acquire(tenant, terms, asked_at)
+        while decision.outcome is CreditOutcome.OVER_LIMIT:
+            wait = max(decision.wait, CREDIT_POLL_INTERVAL)
+            if self._clock.monotonic() + wait > asked_at + MAX_CREDIT_WAIT:
                 break
             gevent.sleep(wait)
-            loan = self.limits.try_acquire(tenant, terms, self._clock.monotonic())
-        if loan.outcome is not CreditOutcome.GRANTED or not self.shares.enabled:
-            return loan
-        return replace(loan, tag=self.shares.assign_tag(tenant, work))
+            decision = self.limits.try_acquire(tenant, terms, self._clock.monotonic())
+        if decision.outcome is not CreditOutcome.GRANTED or not self.shares.enabled:
+            return decision
+        return replace(decision, tag=self.shares.assign_tag(tenant, work))
 
     def _call(self, node_id: str, address: str, ask: gateway.CreditAsk) -> object:
         reply, error = None, "no answer in time"
@@ -312,14 +312,17 @@
         """Answer a peer's request for credit."""
         terms = LimitTerms(ask.rate, ask.burst, ask.revision)
         self.shares.clock.merge(ask.clock)
-        loan = self._lend(ask.tenant, terms, Work(ask.cost, ask.correction))
+        decision = self._lend_credit(ask.tenant, terms, Work(ask.cost, ask.correction))
         if (
-            loan.outcome is CreditOutcome.OVER_LIMIT
+            decision.outcome is CreditOutcome.OVER_LIMIT
             and self.limits.choices(ask.tenant)[0] != self._node_id
         ):
             # A secondary lender's empty bucket does not mean that the limit is reached, but some
             # builds take it for that.
-            loan = CreditDecision(CreditOutcome.NOT_OWNER)
+            decision = CreditDecision(CreditOutcome.NOT_OWNER)
         return gateway.CreditReply(
-            lending=loan.outcome.value, wait=loan.wait, share=loan.share, tag=loan.tag
+            lending=decision.outcome.value,
+            wait=decision.wait,
+            share=decision.share,
+            tag=decision.tag,
         )
--- a/postvalve/gateway/serving/zone_queue.py
+++ b/postvalve/gateway/serving/zone_queue.py
@@ -1,7 +1,7 @@
 """This node's side of the queues that its zone shares, one for each service.
 
 It reports the requests queued here to the node that coordinates a queue, and coordinates queues
-itself. See `core/scheduling/line` for the rules.
+itself. See `core/scheduling/zone_queue` for the rules.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from postvalve.messages.framing import encode_frame
 from postvalve.messages.generated import gateway
 
-FIRST_GRANTS = 0x7FFFFFFF
+FIRST_GRANT_MASK = 0x7FFFFFFF
 """Mask of the first number of a coordinator's grants: the rest of the 32-bit range is left for
 those that follow."""
 ZONE_COUNT_MAX_AGE = 0.1
@@ -98,7 +98,7 @@
     last_grant: int = 0
     """Number of the last grant received."""
     last_grant_reported: int = 0
-    """The value of `taken` when the queue was last reported."""
+    """The value of `last_grant` when the queue was last reported."""
     granted: set[int] = field(default_factory=set)
     ahead: dict[int, int] = field(default_factory=dict)
 
@@ -115,13 +115,13 @@
         self._peers = services.peers
         self._started_at = services.clock.monotonic()
         self._new_nodes = NewNodes(self._started_at)
-        self._numbers = 0
-        self._zones_at = float("-inf")
-        self._zones = 1
+        self._report_count = 0
+        self._zones_counted_at = float("-inf")
+        self._zone_count = 1
         """Number of zones that have nodes; all of them share the engines."""
         self._queues: dict[int, _LocalQueue] = {}
         self._coordinators: dict[int, QueueCoordinator] = {}
-        self._names: dict[int, str] = {}
+        self._service_names: dict[int, str] = {}
         """Service names by hash."""
         self.leaving = False
         self.own_report: Callable[[], bytes] = bytes
@@ -132,123 +132,125 @@
     # Requests queued at this node
 
     @property
-    def _usable(self) -> bool:
+    def _supported(self) -> bool:
         """Whether all live peers support shared queues; older builds do not know these messages."""
         return Feature.LINE in self._peers.features()
 
     def _count_zones(self, now: float) -> None:
-        if now - self._zones_at >= ZONE_COUNT_MAX_AGE:
-            self._zones_at = now
+        if now - self._zones_counted_at >= ZONE_COUNT_MAX_AGE:
+            self._zones_counted_at = now
             zones = {one.report.zone for one in self._peers.all()}
-            self._zones = len(zones | {self._identity.zone})
+            self._zone_count = len(zones | {self._identity.zone})
 
     def is_coordinated(self, service: str) -> bool:
         """Whether a coordinator grants the slots of a service to the requests queued here."""
-        told = self._queues.get(service_hash(service))
-        return told is not None and bool(told.waiting) and not told.silent and self._usable
+        queue = self._queues.get(service_hash(service))
+        return queue is not None and bool(queue.waiting) and not queue.silent and self._supported
 
     def requests_ahead(self, service: str, number: int) -> int | None:
         """Return how many requests of all nodes go before one queued here; None if that is
         unknown."""
-        told = self._queues.get(service_hash(service))
-        if told is None or told.silent or number not in told.ahead:
+        queue = self._queues.get(service_hash(service))
+        if queue is None or queue.silent or number not in queue.ahead:
             return None
         # The coordinator knows only its own zone; the other zones take slots of all engines at the
         # same rate.
-        return told.ahead[number] * self._zones
+        return queue.ahead[number] * self._zone_count
 
     def is_granted(self, service: str, number: int) -> bool:
         """Whether a request queued here was granted a slot."""
-        told = self._queues.get(service_hash(service))
-        return told is not None and number in told.granted
+        queue = self._queues.get(service_hash(service))
+        return queue is not None and number in queue.granted
 
     def update_waiting(self, waiting: dict[str, list[tuple[int, QueuePosition]]]) -> None:
         """Report the requests queued here to the coordinators, where a report is due."""
-        if not self._usable:
+        if not self._supported:
             self._queues.clear()
             return
         now = self._clock.monotonic()
         self._count_zones(now)
         for service, entries in waiting.items():
             key = service_hash(service)
-            self._names[key] = service
-            self._tell(key, self._queues.setdefault(key, _LocalQueue(service)), entries, now)
-        for key, told in list(self._queues.items()):
-            if told.name in waiting or not told.waiting:
+            self._service_names[key] = service
+            self._report_if_due(
+                key, self._queues.setdefault(key, _LocalQueue(service)), entries, now
+            )
+        for key, queue in list(self._queues.items()):
+            if queue.name in waiting or not queue.waiting:
                 continue
-            if told.last_grant != told.last_grant_reported:
+            if queue.last_grant != queue.last_grant_reported:
                 # This node's load report includes the granted requests by now.
-                self._send_state(key, told, [], now)
+                self._send_report(key, queue, [], now)
             else:
-                self._rest(told)
+                self._clear(queue)
 
-    def _tell(
-        self, key: int, told: _LocalQueue, entries: list[tuple[int, QueuePosition]], now: float
+    def _report_if_due(
+        self, key: int, queue: _LocalQueue, entries: list[tuple[int, QueuePosition]], now: float
     ) -> None:
-        if now - told.sent_at >= state_interval(len(self._nodes())):
-            if told.unanswered_since is None:
-                told.unanswered_since = now
-            self._send_state(key, told, entries, now)
-        self._note_silence(told, now)
-
-    def _send_state(
-        self, key: int, told: _LocalQueue, entries: list[tuple[int, QueuePosition]], now: float
+        if now - queue.sent_at >= state_interval(len(self._coordinator_candidates())):
+            if queue.unanswered_since is None:
+                queue.unanswered_since = now
+            self._send_report(key, queue, entries, now)
+        self._check_timeout(queue, now)
+
+    def _send_report(
+        self, key: int, queue: _LocalQueue, entries: list[tuple[int, QueuePosition]], now: float
     ) -> None:
-        self._numbers += 1
+        self._report_count += 1
         identity = self._identity
-        keeper = coordinator_of(identity.zone, key, self._nodes())
-        if keeper != told.coordinator:
+        coordinator = coordinator_of(identity.zone, key, self._coordinator_candidates())
+        if coordinator != queue.coordinator:
             # Each coordinator numbers its own grants: none of the new one's was received yet.
-            told.coordinator, told.last_grant, told.last_grant_reported = keeper, 0, 0
+            queue.coordinator, queue.last_grant, queue.last_grant_reported = coordinator, 0, 0
         state = QueueState(
             key,
             identity.node_id,
             identity.incarnation,
-            self._numbers,
-            told.last_grant,
+            self._report_count,
+            queue.last_grant,
             first_waiting(entries),
         )
-        told.waiting, told.sent_at = tuple(one.number for one in state.waiting), now
-        told.granted &= {number for number, _ in entries}
+        queue.waiting, queue.sent_at = tuple(one.number for one in state.waiting), now
+        queue.granted &= {number for number, _ in entries}
         if not entries:
-            self._rest(told)
-        if keeper == identity.node_id:
-            self._take_state(state)
+            self._clear(queue)
+        if coordinator == identity.node_id:
+            self._process_report(state)
             return
-        peer = self._peers.get(keeper) if keeper is not None else None
+        peer = self._peers.get(coordinator) if coordinator is not None else None
         if peer is None:
             return
-        if told.last_grant != told.last_grant_reported:
+        if queue.last_grant != queue.last_grant_reported:
             # The requests started by the last grants must be counted before the coordinator grants
             # more.
             self._transport.send(peer.report.peer_address, self.own_report())
-            told.last_grant_reported = told.last_grant
+            queue.last_grant_reported = queue.last_grant
         msg = gateway.LineState(packed=state.pack())
         self._transport.send(peer.report.peer_address, encode_frame(msg, 0))
 
     @staticmethod
-    def _rest(told: _LocalQueue) -> None:
+    def _clear(queue: _LocalQueue) -> None:
         """Clear the queue of a service for which no request waits any more; no answer is
         expected."""
-        told.waiting = ()
-        told.ahead = {}
-        if not told.silent:
-            told.unanswered_since = None
-
-    def _note_silence(self, told: _LocalQueue, now: float) -> None:
-        since = told.unanswered_since
-        if since is None or now - since < COORDINATOR_TIMEOUT or told.silent:
+        queue.waiting = ()
+        queue.ahead = {}
+        if not queue.silent:
+            queue.unanswered_since = None
+
+    def _check_timeout(self, queue: _LocalQueue, now: float) -> None:
+        since = queue.unanswered_since
+        if since is None or now - since < COORDINATOR_TIMEOUT or queue.silent:
             return
-        told.silent = True
-        self._events.emit(Event.LINE_SILENT, service=told.name, seconds=round(now - since, 3))
+        queue.silent = True
+        self._events.emit(Event.LINE_SILENT, service=queue.name, seconds=round(now - since, 3))
 
-    def _nodes(self) -> list[str]:
+    def _coordinator_candidates(self) -> list[str]:
         """Return the nodes of the zone that may coordinate a queue."""
-        near = self._peers.neighbours(self._identity.zone)
+        local = self._peers.neighbours(self._identity.zone)
         now = self._clock.monotonic()
         nodes = [
             one.node_id
-            for one in near
+            for one in local
             if not one.report.leaving and not self._new_nodes.includes(one.node_id, now)
         ]
         return nodes if self.leaving else [*nodes, self._identity.node_id]
@@ -256,53 +258,53 @@
     def receive_grant(self, msg: gateway.LineGrant, address: str) -> None:
         """Process a coordinator's answer."""
         try:
-            self._take_grant(unpack_grant(msg.packed))
+            self._process_grant(unpack_grant(msg.packed))
         except QueueMessageError as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
 
-    def _take_grant(self, grant: Grant) -> None:
-        told = self._queues.get(grant.service)
-        if told is None:
+    def _process_grant(self, grant: Grant) -> None:
+        queue = self._queues.get(grant.service)
+        if queue is None:
             return
-        if told.silent:
-            self._events.emit(Event.LINE_ANSWERS, service=told.name)
-        told.unanswered_since, told.silent = None, False
-        told.ahead = dict(grant.ahead)
-        told.last_grant = max(told.last_grant, grant.number)
-        new = set(grant.granted) - told.granted
+        if queue.silent:
+            self._events.emit(Event.LINE_ANSWERS, service=queue.name)
+        queue.unanswered_since, queue.silent = None, False
+        queue.ahead = dict(grant.ahead)
+        queue.last_grant = max(queue.last_grant, grant.number)
+        new = set(grant.granted) - queue.granted
         if new:
-            told.granted |= new
+            queue.granted |= new
             self.on_granted()
-        if grant.granted and not told.waiting:
+        if grant.granted and not queue.waiting:
             # No request is queued here any more: return the granted slots.
-            self._send_state(grant.service, told, [], self._clock.monotonic())
+            self._send_report(grant.service, queue, [], self._clock.monotonic())
 
     # Queues that this node coordinates
 
     @property
-    def _may_keep(self) -> bool:
-        return self._usable and not self.leaving
+    def _may_coordinate(self) -> bool:
+        return self._supported and not self.leaving
 
     def receive_state(self, msg: gateway.LineState, address: str) -> None:
         """Process a peer's report of the requests queued there."""
         try:
-            self._take_state(unpack_state(msg.packed))
+            self._process_report(unpack_state(msg.packed))
         except QueueMessageError as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
 
-    def _take_state(self, state: QueueState) -> None:
+    def _process_report(self, state: QueueState) -> None:
         now = self._clock.monotonic()
-        if not self._may_keep or now - self._started_at < LISTEN_TIME:
+        if not self._may_coordinate or now - self._started_at < LISTEN_TIME:
             return
         self._count_zones(now)
-        keeper = self._coordinators.get(state.service)
-        if keeper is None:
+        coordinator = self._coordinators.get(state.service)
+        if coordinator is None:
             # Numbers continue above those of a previous run of this node: no coordinator makes more
             # than a thousand grants per second.
-            first = milliseconds(self._clock.wall()) & FIRST_GRANTS
-            keeper = self._coordinators[state.service] = QueueCoordinator(state.service, first)
-        if keeper.receive(state, now):
-            self._grant(state.service, keeper, {state.node_id} if state.waiting else set())
+            first = milliseconds(self._clock.wall()) & FIRST_GRANT_MASK
+            coordinator = self._coordinators[state.service] = QueueCoordinator(state.service, first)
+        if coordinator.receive(state, now):
+            self._grant(state.service, coordinator, {state.node_id} if state.waiting else set())
 
     def receive_report(self, report: LoadReport) -> None:
         """Process a peer's load report, and grant the slots that have come free."""
@@ -311,25 +313,25 @@
 
     def grant_free_slots(self) -> None:
         """Grant the slots that have come free."""
-        if not self._may_keep:
+        if not self._may_coordinate:
             # Another node coordinates the queues, or none does: grants based on old reports would
             # be made in addition to its own.
             self._coordinators.clear()
-        for service, keeper in list(self._coordinators.items()):
-            if keeper.has_waiting:
-                self._grant(service, keeper, set())
+        for service, coordinator in list(self._coordinators.items()):
+            if coordinator.has_waiting:
+                self._grant(service, coordinator, set())
 
-    def _grant(self, service: int, keeper: QueueCoordinator, asking: set[str]) -> None:
+    def _grant(self, service: int, coordinator: QueueCoordinator, reporting: set[str]) -> None:
         """Grant free slots, and answer the nodes that reported and those that got a grant."""
         now = self._clock.monotonic()
-        keeper.expire(now, len(self._nodes()))
-        name = self._names.get(service) or self._service_named(service)
+        coordinator.expire(now, len(self._coordinator_candidates()))
+        name = self._service_names.get(service) or self._service_named(service)
         if name is None:
             return
-        nodes = asking | (
-            keeper.grant(self._free_slots(name), now) if keeper.has_waiting else set()
+        nodes = reporting | (
+            coordinator.grant(self._free_slots(name), now) if coordinator.has_waiting else set()
         )
-        for node_id, grant in keeper.answers(nodes).items():
+        for node_id, grant in coordinator.answers(nodes).items():
             self._send(node_id, grant)
             if grant.granted:
                 self._events.emit(
@@ -337,13 +339,13 @@
                     service=name,
                     peer=node_id,
                     granted=len(grant.granted),
-                    outstanding=keeper.outstanding,
+                    outstanding=coordinator.outstanding,
                 )
 
     def _service_named(self, service: int) -> str | None:
         for entry in self._fleet.listed_engines():
-            self._names[service_hash(entry.service)] = entry.service
-        return self._names.get(service)
+            self._service_names[service_hash(entry.service)] = entry.service
+        return self._service_names.get(service)
 
     def _free_slots(self, service: str) -> int:
         """Return how many requests the engines can still take from this zone's queue.
@@ -353,21 +355,21 @@
         all of them failed.
         """
         entries = self._fleet.engines(service)
-        sound = [one for one in entries if self._fleet.state_of(one) != "suspect"] or entries
-        near = far = 0
-        for entry in sound:
+        healthy = [one for one in entries if self._fleet.state_of(one) != "suspect"] or entries
+        local = remote = 0
+        for entry in healthy:
             left = self._fleet.spare_capacity(entry)
             if entry.zone == self._identity.zone:
-                near += max(0, left + MAX_ENGINE_QUEUE)
+                local += max(0, left + MAX_ENGINE_QUEUE)
             else:
-                far += max(0, left)
+                remote += max(0, left)
         # A single free slot elsewhere is granted even where the zone's part is less than one: if
         # the other zones have no request waiting, it would stay idle.
-        return near + far // self._zones or min(1, far)
+        return local + remote // self._zone_count or min(1, remote)
 
     def _send(self, node_id: str, grant: Grant) -> None:
         if node_id == self._identity.node_id:
-            self._take_grant(grant)
+            self._process_grant(grant)
             return
         peer = self._peers.get(node_id)
         if peer is not None:
@@ -378,15 +380,15 @@
         """Return the queues as this node knows them, for the status document."""
         kept = [
             {
-                "service": self._names.get(service, ""),
-                "waiting": len(keeper.order()),
-                "granted": keeper.outstanding,
+                "service": self._service_names.get(service, ""),
+                "waiting": len(coordinator.order()),
+                "granted": coordinator.outstanding,
             }
-            for service, keeper in self._coordinators.items()
-            if keeper.has_waiting
+            for service, coordinator in self._coordinators.items()
+            if coordinator.has_waiting
         ]
         own = [
-            {"service": told.name, "told": len(told.waiting), "keeper_silent": told.silent}
-            for told in self._queues.values()
+            {"service": queue.name, "told": len(queue.waiting), "keeper_silent": queue.silent}
+            for queue in self._queues.values()
         ]
         return {"kept": kept, "waiting_here": own}
--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -348,7 +348,7 @@
     def test_metrics_of_a_node(self):
         self.send("nobody")
         wait_until(lambda: self.rows())
-        _, text = self.fleet.nodes["n0"]._tell("/metrics")
+        _, text = self.fleet.nodes["n0"]._metrics_response("/metrics")
         line = b'postvalve_tenant_requests_total{end="key_unknown",tenant=""} 1.0'
         self.assertIn(line, text.splitlines())
 
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -96,84 +96,84 @@
         self.assertLessEqual(len(grant.pack()), 70)
 
 
-class KeeperTest(unittest.TestCase):
+class CoordinatorTest(unittest.TestCase):
     def setUp(self):
-        self.keeper = QueueCoordinator(SERVICE, 100)
+        self.coordinator = QueueCoordinator(SERVICE, 100)
 
     def granted(self, free, now=0.0):
-        nodes = self.keeper.grant(free, now)
-        return {node: one.granted for node, one in self.keeper.answers(nodes).items()}
+        nodes = self.coordinator.grant(free, now)
+        return {node: one.granted for node, one in self.coordinator.answers(nodes).items()}
 
     def test_free_places_go_to_the_first_of_all_nodes(self):
-        self.keeper.receive(state("a", [(1, 5.0), (2, 9.0)]), 0.0)
-        self.keeper.receive(state("b", [(1, 3.0), (2, 7.0)]), 0.0)
+        self.coordinator.receive(state("a", [(1, 5.0), (2, 9.0)]), 0.0)
+        self.coordinator.receive(state("b", [(1, 3.0), (2, 7.0)]), 0.0)
         self.assertEqual(self.granted(3), {"a": (1,), "b": (1, 2)})
-        self.assertEqual(self.keeper.answers(["a"])["a"].ahead, ((2, 0),))
+        self.assertEqual(self.coordinator.answers(["a"])["a"].ahead, ((2, 0),))
 
     def test_a_grant_counts_until_its_node_has_taken_it_in_or_its_time_is_over(self):
-        self.keeper.receive(state("a", [(1, 5.0)]), 0.0)
-        self.keeper.receive(state("b", [(1, 6.0)]), 0.0)
+        self.coordinator.receive(state("a", [(1, 5.0)]), 0.0)
+        self.coordinator.receive(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
         self.assertEqual(self.granted(1), {})
-        told = self.keeper.answers(["a"])["a"]
-        self.keeper.receive(state("a", [], 2, last_grant=told.number), 0.01)
+        told = self.coordinator.answers(["a"])["a"]
+        self.coordinator.receive(state("a", [], 2, last_grant=told.number), 0.01)
         self.assertEqual(self.granted(1), {"b": (1,)})
-        self.keeper.expire(GRANT_TIME + 0.01, 3)
-        self.assertEqual(self.keeper.outstanding, 0)
+        self.coordinator.expire(GRANT_TIME + 0.01, 3)
+        self.assertEqual(self.coordinator.outstanding, 0)
 
     def test_a_lost_grant_is_told_again_with_the_next_state(self):
-        self.keeper.receive(state("a", [(1, 5.0)]), 0.0)
+        self.coordinator.receive(state("a", [(1, 5.0)]), 0.0)
         first = self.granted(1)
-        self.keeper.receive(state("a", [(1, 5.0)], 2), 0.05)
-        self.assertEqual({"a": self.keeper.answers(["a"])["a"].granted}, first)
+        self.coordinator.receive(state("a", [(1, 5.0)], 2), 0.05)
+        self.assertEqual({"a": self.coordinator.answers(["a"])["a"].granted}, first)
 
     def test_doubled_and_old_states_change_nothing(self):
-        self.keeper.receive(state("a", [], 5), 0.0)
+        self.coordinator.receive(state("a", [], 5), 0.0)
         for number in (5, 4):
-            self.assertFalse(self.keeper.receive(state("a", [(1, 1.0)], number), 0.1))
-        self.assertFalse(self.keeper.has_waiting)
-        self.assertTrue(self.keeper.receive(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
+            self.assertFalse(self.coordinator.receive(state("a", [(1, 1.0)], number), 0.1))
+        self.assertFalse(self.coordinator.has_waiting)
+        self.assertTrue(self.coordinator.receive(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
 
     def test_numbers_of_another_keeper_stand_for_no_grants_of_this_one(self):
         """Another coordinator, or this one before a restart, used higher numbers and answered
         last."""
-        self.keeper.receive(state("a", [(1, 5.0)], 1, last_grant=5000), 0.0)
-        self.keeper.receive(state("b", [(1, 6.0)]), 0.0)
+        self.coordinator.receive(state("a", [(1, 5.0)], 1, last_grant=5000), 0.0)
+        self.coordinator.receive(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
-        self.keeper.receive(state("a", [(1, 5.0)], 2, last_grant=5000), 0.01)
-        self.assertEqual(self.keeper.outstanding, 1)
-        told = self.keeper.answers(["a"])["a"]
-        self.keeper.receive(state("a", [], 3, last_grant=told.number), 0.02)
-        self.assertEqual(self.keeper.outstanding, 0)
+        self.coordinator.receive(state("a", [(1, 5.0)], 2, last_grant=5000), 0.01)
+        self.assertEqual(self.coordinator.outstanding, 1)
+        told = self.coordinator.answers(["a"])["a"]
+        self.coordinator.receive(state("a", [], 3, last_grant=told.number), 0.02)
+        self.assertEqual(self.coordinator.outstanding, 0)
 
     def test_no_number_that_a_node_tells_makes_a_grant_too_large_to_send(self):
-        self.keeper.receive(state("a", [(1, 5.0)], 1, last_grant=2**32 - 1), 0.0)
-        self.keeper.grant(1, 0.0)
-        self.assertEqual(unpack_grant(self.keeper.answers(["a"])["a"].pack()).granted, (1,))
+        self.coordinator.receive(state("a", [(1, 5.0)], 1, last_grant=2**32 - 1), 0.0)
+        self.coordinator.grant(1, 0.0)
+        self.assertEqual(unpack_grant(self.coordinator.answers(["a"])["a"].pack()).granted, (1,))
 
     def test_a_node_that_is_gone_loses_its_place_only(self):
-        self.keeper.receive(state("a", [(1, 1.0)]), 0.0)
-        self.keeper.receive(state("b", [(1, 2.0)]), STATE_TIME)
-        self.keeper.expire(STATE_TIME + 0.01, 3)
+        self.coordinator.receive(state("a", [(1, 1.0)]), 0.0)
+        self.coordinator.receive(state("b", [(1, 2.0)]), STATE_TIME)
+        self.coordinator.expire(STATE_TIME + 0.01, 3)
         self.assertEqual(self.granted(1), {"b": (1,)})
 
     @settings(max_examples=200, deadline=None)
     @given(st.integers(0, 2**32), st.integers(1, 6))
     def test_no_more_is_outstanding_than_there_is_room_and_nobody_is_passed(self, seed, free):
         draw, now, numbers = random.Random(seed), 0.0, {}
-        keeper = QueueCoordinator(SERVICE, 100)
+        coordinator = QueueCoordinator(SERVICE, 100)
         for _ in range(60):
             now += draw.uniform(0, 0.05)
             node = draw.choice("abcd")
             numbers[node] = numbers.get(node, 0) + 1
             told = [(n, draw.uniform(0, 50)) for n in range(draw.randrange(4))]
             if draw.random() < 0.7:
-                keeper.receive(state(node, told, numbers[node]), now)
-            keeper.expire(now, 4)
-            before = keeper.order()
-            keeper.grant(free, now)
-            self.assertLessEqual(keeper.outstanding, free)
-            left = keeper.order()
+                coordinator.receive(state(node, told, numbers[node]), now)
+            coordinator.expire(now, 4)
+            before = coordinator.order()
+            coordinator.grant(free, now)
+            self.assertLessEqual(coordinator.outstanding, free)
+            left = coordinator.order()
             given = [one for one in before if one not in left]
             if given and left:
                 self.assertLess(max(given), min(left))
@@ -220,7 +220,7 @@
         self.waiting, self.started = {}, []
         self.clock = SimpleNamespace(monotonic=lambda: network.now, wall=lambda: 1e9 + network.now)
         self.peers = PeerView(name)
-        self.can = Feature.LINE
+        self.features = Feature.LINE
         use = SimpleNamespace(total=lambda life: SimpleNamespace(online=network.online))
         entry = SimpleNamespace(life="e", slots=network.slots, zone="z", service="s")
         fleet = mock.Mock(use=use, engines=lambda s: [entry], listed_engines=lambda: [entry])
@@ -243,7 +243,7 @@
 
     def report(self, leaving=False):
         self.numbers += 1
-        parts = {Extension.FEATURES: pack_features(self.can)}
+        parts = {Extension.FEATURES: pack_features(self.features)}
         return LoadReport(
             self.name, self.incarnation, self.numbers, peer_address=self.name, zone="z",
             leaving=leaving, extensions=parts,
@@ -323,11 +323,11 @@
             self.step()
 
     @property
-    def keeper(self):
+    def coordinator(self):
         return coordinator_of("z", SERVICE, self.nodes)
 
     def others(self):
-        return [one for name, one in self.nodes.items() if name != self.keeper]
+        return [one for name, one in self.nodes.items() if name != self.coordinator]
 
 
 class ZoneLineTest(unittest.TestCase):
@@ -342,13 +342,13 @@
         self.first.ask(1, 9.0)
         self.second.ask(1, 3.0)
         self.second.ask(2, 7.0)
-        self.network.nodes[self.network.keeper].ask(5, 5.0)
+        self.network.nodes[self.network.coordinator].ask(5, 5.0)
         self.network.play(0.15)
         self.assertEqual(self.network.order, [])
         for _ in range(4):
             self.network.online -= 1
             self.network.play(GRANT_TIME + 0.1)
-        names = (self.second.name, self.network.keeper, self.second.name, self.first.name)
+        names = (self.second.name, self.network.coordinator, self.second.name, self.first.name)
         self.assertEqual(self.network.order, list(zip(names, (1, 5, 2, 1), strict=True)))
 
     def test_nodes_hear_how_many_go_before(self):
@@ -360,7 +360,7 @@
 
     def test_without_a_keeper_that_answers_nodes_go_by_their_own_order(self):
         """The coordinator has died, and no node has noticed yet."""
-        dead = self.network.keeper
+        dead = self.network.coordinator
         self.network.frozen.add(dead)
         self.first.ask(1, 1.0)
         self.network.play(COORDINATOR_TIMEOUT - 0.03)
@@ -379,10 +379,10 @@
         self.assertEqual(len(self.network.order), 1)
 
     def test_a_keeper_that_stood_still_grants_by_new_states_only(self):
-        keeper = self.network.keeper
+        coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
         self.network.play(0.1)
-        self.network.frozen.add(keeper)
+        self.network.frozen.add(coordinator)
         self.first.waiting.clear()
         self.network.play(STATE_TIME + 0.1)
         self.network.frozen.clear()
@@ -393,7 +393,7 @@
 
     def test_two_keepers_grant_each_request_once(self):
         """The third node does not hear the coordinator, and takes itself or another node for it."""
-        self.third.peers.drop(self.network.keeper)
+        self.third.peers.drop(self.network.coordinator)
         for number, one in enumerate((self.first, self.second, self.third)):
             one.ask(1, float(number))
         self.network.play(0.1)
@@ -403,11 +403,13 @@
         self.assertEqual(sorted(self.network.order), sorted(started))
 
     def test_a_lost_grant_is_used_later_and_delays_the_others_by_its_time_only(self):
-        keeper = self.network.keeper
+        coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
         self.network.play(0.1)
-        self.network.lost = lambda source, target: (source, target) == (keeper, self.first.name)
+        self.network.lost = lambda source, target: (
+            (source, target) == (coordinator, self.first.name)
+        )
         self.network.online -= 1
         self.network.play(0.06)
         self.assertEqual(self.network.order, [])
@@ -426,7 +428,7 @@
 
     def test_a_new_keeper_that_numbers_its_grants_lower_counts_them(self):
         """Grants received from a previous coordinator must not acknowledge those of the new one."""
-        former = self.network.keeper
+        former = self.network.coordinator
         self.first.ask(1, 1.0)
         self.network.play(0.1)
         self.network.online -= 1
@@ -435,15 +437,15 @@
         del self.network.nodes[former]
         for one in self.network.nodes.values():
             one.peers.drop(former)
-        keeper = self.network.keeper
-        asking = next(one for name, one in self.network.nodes.items() if name != keeper)
+        coordinator = self.network.coordinator
+        asking = next(one for name, one in self.network.nodes.items() if name != coordinator)
         asking.line._queues.setdefault(SERVICE, self.first.line._queues[SERVICE])
         asking.ask(2, 1.0)
         self.network.play(0.1)
-        self.network.lost = lambda source, target: source == keeper
+        self.network.lost = lambda source, target: source == coordinator
         self.network.online -= 1
         self.network.play(0.03)
-        member = self.network.nodes[keeper].line._coordinators[SERVICE]._members[asking.name]
+        member = self.network.nodes[coordinator].line._coordinators[SERVICE]._members[asking.name]
         given = list(member.given)
         self.assertEqual(len(given), 1)
         self.network.play(0.15)
@@ -483,15 +485,15 @@
             self.assertEqual(len(network.order), 8)
 
     def test_a_keeper_that_has_just_started_or_leaves_grants_nothing(self):
-        keeper = self.network.nodes[self.network.keeper].line
-        keeper._started_at = self.network.now
+        coordinator = self.network.nodes[self.network.coordinator].line
+        coordinator._started_at = self.network.now
         self.first.ask(1, 1.0)
         self.network.play(0.2)
         self.assertEqual(self.stand(self.first), [False])
-        keeper._started_at, keeper.leaving = 0.0, True
+        coordinator._started_at, coordinator.leaving = 0.0, True
         self.network.play(0.2)
         self.assertEqual(self.stand(self.first), [False])
-        report = self.network.nodes[self.network.keeper].report(leaving=True)
+        report = self.network.nodes[self.network.coordinator].report(leaving=True)
         for one in self.network.others():
             one.peers.observe(report, self.network.now)
         self.network.play(0.2)
@@ -500,9 +502,9 @@
     def test_a_keeper_that_starts_anew_leaves_no_zone_without_a_line(self):
         """It becomes coordinator again once the shared queue is active there; until then another
         node is."""
-        network, keeper = self.network, self.network.keeper
-        network.nodes[keeper] = Node(network, keeper)
-        network.nodes[keeper].incarnation = 2
+        network, coordinator = self.network, self.network.coordinator
+        network.nodes[coordinator] = Node(network, coordinator)
+        network.nodes[coordinator].incarnation = 2
         network.hear_all()
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
@@ -514,16 +516,16 @@
         self.assertEqual(network.order, [(self.first.name, 1)])
         network.settle()
         network.play(0.2)
-        self.assertEqual(self.second.line._queues[SERVICE].coordinator, keeper)
+        self.assertEqual(self.second.line._queues[SERVICE].coordinator, coordinator)
         self.assertEqual(self.stand(self.second), [True])
 
     def test_one_node_that_cannot_turns_it_off_for_all_that_hear_it(self):
-        self.third.can = Feature.NONE
+        self.third.features = Feature.NONE
         self.network.hear_all()
         self.first.ask(1, 1.0)
         self.network.play(0.2)
         self.assertEqual((self.stand(self.first), self.network.sent), ([False], 0))
-        self.third.can = Feature.LINE
+        self.third.features = Feature.LINE
         self.network.hear_all()
         self.network.settle()
         self.network.play(0.2)
@@ -533,7 +535,7 @@
         """An older build does not know these messages, and may have replaced a node of the zone."""
         self.first.ask(1, 1.0)
         self.network.play(0.2)
-        self.third.can = Feature.NONE
+        self.third.features = Feature.NONE
         self.network.hear_all()
         self.network.queue.clear()
         self.network.sent = 0
@@ -543,10 +545,10 @@
 
     def test_a_keeper_that_leaves_grants_nothing_to_those_that_it_knows(self):
         """From its last report on, other nodes coordinate the queue and grant the same slots."""
-        keeper = self.network.keeper
+        coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
         self.network.play(0.2)
-        self.network.nodes[keeper].line.leaving = True
+        self.network.nodes[coordinator].line.leaving = True
         self.network.online -= 1
         self.network.play(0.3)
         self.assertEqual(self.network.order, [])
@@ -555,11 +557,11 @@
         line = self.first.line
         far = SimpleNamespace(life="f", slots=4, zone="y", service="s")
         line._fleet.engines = lambda service: [far]
-        line._zones = 3
+        line._zone_count = 3
         for online, places in ((5, 0), (4, 0), (3, 1), (0, 1)):
             self.network.online = online
             self.assertEqual(line._free_slots("s"), places)
-        line._zones = 2
+        line._zone_count = 2
         self.assertEqual(line._free_slots("s"), 2)
 
     def test_nothing_is_sent_while_nobody_waits(self):
@@ -569,7 +571,7 @@
     def test_operators_see_the_line(self):
         self.first.ask(1, 1.0)
         self.network.play(0.1)
-        kept = self.network.nodes[self.network.keeper].line.fields()["kept"]
+        kept = self.network.nodes[self.network.coordinator].line.fields()["kept"]
         self.assertEqual(kept, [{"service": "s", "waiting": 1, "granted": 0}])
 
 
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -184,14 +184,14 @@
 
     def test_one_that_hears_nobody_sends_it_to_others_at_once(self):
         self.refuse()
-        self.credit._hears_neighbours = lambda: False
+        self.credit._hears_zone_peers = lambda: False
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_one_whose_lender_is_not_silent_but_sends_elsewhere_comes_back_at_once(self):
         """Another node lends, since others heard its report first; this node will hear it in a
         moment."""
         self.refuse()
-        self.credit._silent_until.clear()
+        self.credit._unresponsive_until.clear()
         elsewhere = gateway.CreditReply(lending=CreditOutcome.NOT_OWNER.value)
         self.credit._call = lambda node_id, address, ask: elsewhere
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
@@ -199,7 +199,7 @@
     def test_what_a_second_choice_has_not_left_is_no_limit_reached(self):
         self.refuse()
         over = CreditDecision(CreditOutcome.OVER_LIMIT, 3.0, 0.25)
-        self.credit._ask = lambda node_id, tenant, work: (
+        self.credit._request_credit = lambda node_id, tenant, work: (
             over if node_id == self.choices()[1] else CreditDecision(CreditOutcome.NOT_OWNER)
         )
         self.assertEqual(self.send(self.node).status, 503)
@@ -248,6 +248,6 @@
         lender = self.take_over("ann")
         lend, looks = lender.limits.try_acquire, itertools.count(1)
         lender.limits.try_acquire = lambda *arguments: (next(looks), lend(*arguments))[1]
-        loan = lender._lend("ann", LimitTerms(RATE, BURST), Work(1.0))
+        loan = lender._lend_credit("ann", LimitTerms(RATE, BURST), Work(1.0))
         self.assertIs(loan.outcome, CreditOutcome.OVER_LIMIT)
         self.assertEqual(next(looks), 2)
