--- a/postvalve/gateway/__init__.py
+++ b/postvalve/gateway/__init__.py
@@ -1,2 +1,1 @@
-"""Routed traffic: requests that are passed on unchanged, and batch jobs made up of such
-requests."""
+"""Routed traffic: requests forwarded unchanged, and batch jobs made up of such requests."""
--- a/postvalve/gateway/serving/admission_queue.py
+++ b/postvalve/gateway/serving/admission_queue.py
@@ -90,7 +90,11 @@
 
 
 class AdmissionQueue:
-    """Queues, starts and refuses online requests by the rules of `core/admission/online_admission`."""
+    """Queues, starts and refuses online requests at one node.
+
+    The rules are those of `core/admission/online_admission` and, where tenants have shares, of
+    `core/scheduling/load_shedding`.
+    """
 
     def __init__(
         self,
@@ -225,8 +229,7 @@
         return self._ahead_of(entry, own, self.peer_queue_heads.for_service(entry.service))
 
     def _ahead_of(self, entry: _QueuedRequest, own: int, heads: _Heads) -> int:
-        """Return the same number, given those of this node (`own`) and the peers' queue heads
-        (`firsts`)."""
+        """Return the same number from those of this node (`own`) and the peers' queue heads."""
         position = self.zone_queue.requests_ahead(entry.service, entry.number)
         if position is not None:
             return position
@@ -235,8 +238,7 @@
         return own + _peers_ahead(heads, entry.place) * max(1, own)
 
     def _may_return(self, route: RouteSpec, terms: RequestTerms, left: float) -> bool:
-        """Whether a refused client would retry: judging by the time it has left, this is its first
-        try."""
+        """Whether a refused client would retry: its time left suggests that this is a first try."""
         if terms.allowed is None or terms.last_event_id is not None:
             return False
         longest = max(terms.allowed, self._longest_allowed.get(route.name, 0.0))
@@ -409,8 +411,10 @@
         )
 
     def _tenant_fields(self, entry: _QueuedRequest) -> dict[str, Any]:
-        """Return log fields about a request's tenant, the requests ahead of it and those running;
-        empty for anonymous requests."""
+        """Return log fields about a request's tenant, and who is ahead and running.
+
+        They are empty for anonymous requests.
+        """
         if not entry.tenant:
             return {}
         same_engines = (one for one in self._waiting if one.service == entry.service)
@@ -424,8 +428,7 @@
         }
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return the queued requests in order, each with the one ahead of it, for the status
-        document."""
+        """Return the queued requests in order for the status document, each with the one ahead."""
         now = self._clock.monotonic()
         rows: list[dict[str, Any]] = []
         last: dict[str, str] = {}
--- a/postvalve/gateway/serving/application.py
+++ b/postvalve/gateway/serving/application.py
@@ -343,8 +343,10 @@
 
 
 def _needs_key(call: HttpCall, table: RouteTable) -> bool:
-    """Whether a call about jobs needs an API key: not where the host has a batch route that allows
-    anonymous requests."""
+    """Whether a call about jobs needs an API key.
+
+    It does not where the host has a batch route that allows anonymous requests.
+    """
     routes = table.routes_of_host(call.host)
     return not any(route.batch is not None and route.anonymous for route in routes)
 
--- a/postvalve/gateway/serving/caller_accounts.py
+++ b/postvalve/gateway/serving/caller_accounts.py
@@ -74,8 +74,10 @@
 
 
 class RequestAccount:
-    """Outcome and times of one request. As a context manager it records the request on exit,
-    whatever happened."""
+    """Outcome and times of one request.
+
+    As a context manager it records the request on exit, whatever happened.
+    """
 
     __slots__ = (
         "_accounts",
@@ -147,8 +149,7 @@
             self._waited = now - self._arrived_at
 
     def attempt_refused(self) -> None:
-        """Record that the engine refused the current attempt: its time does not count as engine
-        time."""
+        """Record that the engine refused the current attempt; its time is not engine time."""
         self._end_attempt()
 
     def attempt_ended(self) -> None:
@@ -193,8 +194,7 @@
         """Number of records counted up to the last summary event."""
 
     def open(self, arrived_at: float) -> RequestAccount:
-        """Return an account for a request that has arrived; its tenant is set once it is
-        identified."""
+        """Return an account for a request that has arrived; its tenant is set later."""
         return RequestAccount(self.accounts, self._clock, arrived_at)
 
     def rows(self) -> list[Row]:
@@ -206,13 +206,11 @@
         return [row.fields() for row in self.rows()]
 
     def holders(self) -> dict[str, int]:
-        """Return the tenants with the most online requests of this node at engines now, with their
-        numbers."""
+        """Return the tenants with the most online requests at engines now, with their numbers."""
         return self.accounts.holders(MAX_HOLDERS)
 
     def log_summary(self) -> None:
-        """Emit a summary event every `SUMMARY_INTERVAL` seconds if anything was counted since the
-        last."""
+        """Emit a summary event if it is due and anything was counted since the last one."""
         now = self._clock.monotonic()
         if (
             now - self._logged_at < SUMMARY_INTERVAL
--- a/postvalve/gateway/serving/fair_shares.py
+++ b/postvalve/gateway/serving/fair_shares.py
@@ -1,5 +1,4 @@
-"""Start-time fair queueing at this node: assigns start tags to requests and exchanges clocks with
-peers."""
+"""Start-time fair queueing at this node: assigns start tags and exchanges clocks with peers."""
 
 from __future__ import annotations
 
@@ -29,8 +28,10 @@
 
 
 class FairShares:
-    """Start tags and corrections of tenants; disabled where the configuration names fewer than
-    two."""
+    """Start tags and corrections of tenants.
+
+    Fair queueing is disabled where the configuration names fewer than `MIN_TENANTS` tenants.
+    """
 
     def __init__(self, table: Callable[[], RouteTable | None]) -> None:
         """Begin without any account; `table` returns the routes in force."""
@@ -100,19 +101,19 @@
         return self._tags.assign_tag(tenant, self._weights.get(tenant, 1.0), work)
 
     def record_end(self, tenant: str, correction: float) -> None:
-        """Add to a tenant's pending correction the slot seconds that a request took beyond its
-        estimated cost; negative if it took less."""
+        """Add a correction in slot seconds: what a request took beyond its estimated cost.
+
+        It is negative if the request took less.
+        """
         if tenant in self._weights or not tenant:
             self._pending[tenant] = self._pending.get(tenant, 0.0) + correction
 
     def reset(self) -> None:
-        """Drop all finish tags: this node was suspended, and other nodes assigned tags
-        meanwhile."""
+        """Drop all finish tags, since other nodes assigned tags while this one was suspended."""
         self._tags.reset()
 
     def pack(self) -> bytes:
-        """Encode the clock and the queue heads for load reports; empty where tenants have no
-        shares."""
+        """Encode clock and queue heads for load reports; empty where tenants have no shares."""
         if not self.enabled:
             return b""
         return ShareUpdate(self.clock.now, self.first_waiting()).pack()
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -103,8 +103,10 @@
 
 
 def _unfold(value: str) -> str:
-    """Return a folded header value on one line: the next reader may take a folded value for two
-    headers."""
+    """Return a folded header value on one line.
+
+    The next reader might take a folded value for two headers.
+    """
     return " ".join(value.splitlines())
 
 
--- a/postvalve/gateway/serving/lag.py
+++ b/postvalve/gateway/serving/lag.py
@@ -1,5 +1,7 @@
-"""Tells clients that lag behind from those that keep up, where a body or response is larger than
-the socket buffers."""
+"""Tells clients that lag behind from those that keep up.
+
+It matters where a body or a response is larger than the socket buffers.
+"""
 
 from __future__ import annotations
 
--- a/postvalve/gateway/serving/pace_observer.py
+++ b/postvalve/gateway/serving/pace_observer.py
@@ -1,5 +1,4 @@
-"""Measures one routed request for the latency estimates of its service: first event, queue delay,
-slot time."""
+"""Measures one routed request for the latency estimates of its service."""
 
 from __future__ import annotations
 
@@ -72,8 +71,10 @@
         self._times = AttemptTimes(now)
 
     def record_read_started(self) -> None:
-        """Record that the next event is about to be read, so that its arrival is not delayed by the
-        reader."""
+        """Record that the next event is about to be read.
+
+        The time until it arrives is then the engine's, not the reader's.
+        """
         self._times.requested_at = self._clock.monotonic()
 
     def record_event(self) -> None:
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -58,8 +58,10 @@
     _clients: dict[BufferAccount, _SlowClient] = field(default_factory=dict)
 
     def register(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> BufferAccount:
-        """Register a client for which data will be held; `on_cut` is called if the budget gives it
-        up."""
+        """Register a client for which data will be held.
+
+        If the budget gives the client up, `on_cut` is called.
+        """
         holding, now = BufferAccount(tenant), self.clock.monotonic()
         self._clients[holding] = _SlowClient(holding, request_id, now, on_cut)
         return holding
@@ -70,8 +72,10 @@
         self._clients.pop(holding, None)
 
     def hold(self, holding: BufferAccount, size: int) -> None:
-        """Hold `size` more bytes for a client; clients over the budget are disconnected, this one
-        or others."""
+        """Hold `size` more bytes for a client.
+
+        If that exceeds the budget, clients are disconnected: this one or others.
+        """
         self.disconnect(self.budget.take(holding, size, self.clock.monotonic()))
 
     def disconnect(self, holdings: list[BufferAccount]) -> None:
@@ -156,8 +160,10 @@
         return body
 
     def on_client_lag(self) -> None:
-        """Begin to buffer, since a write waits for the client. Called during that write, between
-        two events."""
+        """Begin to buffer, since a write waits for the client.
+
+        Called during that write, between two events.
+        """
         if self._holding is not None or getgeneratorstate(self._source) == GEN_CLOSED:
             return
         slow = self._slow_clients
@@ -227,8 +233,10 @@
                 self._buffer_changed.wait()
 
     def _abort(self) -> None:
-        """Close the connection and end the current attempt. Called by whichever client needs the
-        memory."""
+        """Close the connection and end the current attempt.
+
+        Called from the greenlet of whichever client needs the memory.
+        """
         if self._reader is not None and self._reader is not gevent.getcurrent():
             self._reader.kill(block=False)
         self._buffer_changed.set()
--- a/postvalve/gateway/serving/request_body.py
+++ b/postvalve/gateway/serving/request_body.py
@@ -29,8 +29,7 @@
 
 
 class SlowBodyError(RefusedError):
-    """The body arrived below the minimum rate, or there was no memory for the part received; the
-    request did not run."""
+    """The body arrived too slowly, or there was no memory for it; the request did not run."""
 
     code = "body_too_slow"
     error_type = "timeout_error"
@@ -75,8 +74,10 @@
             raise RequestTooLargeError(f"body over {self.max_bytes} bytes")
 
     def _received_parts(self, source: Any, length: int) -> Iterator[bytes]:
-        """Yield what has already arrived, mostly the whole body; the reader's own buffer is empty
-        after a short read."""
+        """Yield what has already arrived, mostly the whole body.
+
+        After a short read the reader's own buffer is empty.
+        """
         connection = self.environ[CONNECTION_KEY]
         usual = connection.gettimeout()
         connection.settimeout(0.0)
@@ -102,8 +103,10 @@
         return part
 
     def _read_rest(self, source: Any, parts: list[bytes], receive: Receive) -> bytes:
-        """Read the rest at the minimum rate; once the client lags, the part received counts as held
-        memory."""
+        """Read the rest at the minimum rate.
+
+        Once the client lags, the part received so far counts as held memory.
+        """
         clock = self.slow_clients.clock
         pace = MinTransferRate(MIN_BODY_RATE, self.max_lag, clock.monotonic())
         body = _PartialBody(parts, self.slow_clients, self.request_id, self.environ[CONNECTION_KEY])
--- a/postvalve/gateway/serving/routed_run.py
+++ b/postvalve/gateway/serving/routed_run.py
@@ -180,8 +180,10 @@
             raise
 
     def _acquire_credit(self) -> float | None:
-        """Check the tenant's rate limit; returns the start tag, or None where tenants have no
-        shares."""
+        """Check the tenant's rate limit.
+
+        Returns the start tag; None where tenants have no shares.
+        """
         limits, caller = self._services.limits, self._request.caller
         cost = self._fleet.pace(self._request.service).slot_time
         work = limits.shares.work(caller.name, cost)
@@ -290,8 +292,7 @@
         return placement
 
     def _place_suspect(self) -> Placement | None:
-        """Return the engine that all nodes use for a request that is suspected of crashing
-        engines."""
+        """Return the engine that all nodes use for a request suspected of crashing engines."""
         request, quarantine = self._request, self._services.quarantine
         return self._fleet.place_at(
             request.service,
@@ -346,8 +347,7 @@
             read_load(dialect, self._clock, paces, placement, judgement, answer.headers)
 
     def _forwards_failure(self, judgement: Judgement) -> bool:
-        """Whether the client gets this failure: only the last one, while it has no response
-        headers.
+        """Whether the client gets this failure: only the last, while it has no response headers.
 
         Sent as the end of a stream that the client has begun to receive, a failure made a truncated
         response look complete: once or twice a day where half of the engines failed many requests.
@@ -536,8 +536,10 @@
         return body
 
     def client_gone(self) -> None:
-        """Abort the current attempt, since the client has disconnected. Called from another
-        greenlet."""
+        """Abort the current attempt, since the client has disconnected.
+
+        Called from another greenlet.
+        """
         self._client_gone = True
         if self._answer is not None:
             self._answer.abort()
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -1,5 +1,8 @@
-"""Rate limits of tenants over all nodes: asks the node that owns a tenant's token bucket, and
-answers such calls."""
+"""Rate limits of tenants over all nodes.
+
+A node asks the lender, which owns a tenant's token bucket, for the credit of each request, and
+answers such calls of its peers.
+"""
 
 from __future__ import annotations
 
@@ -80,8 +83,7 @@
         bounds: LimitBounds,
         shares: FairShares,
     ) -> None:
-        """Begin with empty buckets; `revision` returns the revision of the configuration in
-        force."""
+        """Begin with empty buckets; `revision` returns that of the configuration in force."""
         self.shares = shares
         self._services = services
         self._clock = services.clock
@@ -156,11 +158,11 @@
     def _acquire_with_retry(
         self, tenant: RoutedTenant, work: Work, deadline: float
     ) -> tuple[list[str], str, CreditDecision]:
-        """Return the lenders asked, the one whose answer counts, and its answer; retries at
-        start-up.
+        """Return the lenders asked, the one whose answer counts, and its answer.
 
-        When all nodes start together their buckets are empty, and the requests that were under way
-        before are retried at once, mostly as their client's last try.
+        A node that has just started asks again: when all nodes start together their buckets are
+        empty, and the requests that were under way before are retried at once, mostly as their
+        client's last try.
         """
         while True:
             asked = self.limits.choices(tenant.name)
--- a/postvalve/gateway/serving/zone_queue.py
+++ b/postvalve/gateway/serving/zone_queue.py
@@ -49,8 +49,7 @@
         ...
 
     def requests_ahead(self, service: str, number: int) -> int | None:
-        """Return how many requests of all nodes go before one queued here; None if that is
-        unknown."""
+        """Return how many requests of all nodes go before one; None if that is unknown."""
         ...
 
     def is_granted(self, service: str, number: int) -> bool:
@@ -83,8 +82,10 @@
 
 @dataclass(slots=True)
 class _LocalQueue:
-    """The requests queued here for one service, as last reported to the coordinator, and its
-    answers."""
+    """The requests queued here for one service.
+
+    It holds what was last reported to the coordinator, and the coordinator's answer.
+    """
 
     name: str
     waiting: tuple[int, ...] = ()
@@ -148,8 +149,7 @@
         return queue is not None and bool(queue.waiting) and not queue.silent and self._supported
 
     def requests_ahead(self, service: str, number: int) -> int | None:
-        """Return how many requests of all nodes go before one queued here; None if that is
-        unknown."""
+        """Return how many requests of all nodes go before one; None if that is unknown."""
         queue = self._queues.get(service_hash(service))
         if queue is None or queue.silent or number not in queue.ahead:
             return None
@@ -230,8 +230,7 @@
 
     @staticmethod
     def _clear(queue: _LocalQueue) -> None:
-        """Clear the queue of a service for which no request waits any more; no answer is
-        expected."""
+        """Clear a queue in which no request waits any more; no answer is expected."""
         queue.waiting = ()
         queue.ahead = {}
         if not queue.silent:
--- a/postvalve/gateway/status.py
+++ b/postvalve/gateway/status.py
@@ -1,5 +1,4 @@
-"""Rows of the status document, `GET /status` on the metrics server: what a node knows of the
-fleet."""
+"""Rows of the status document, `GET /status` on the metrics server."""
 
 from __future__ import annotations
 
@@ -28,8 +27,10 @@
 
 
 def _pace_fields(fleet: EngineFleet, entry: EngineEntry, now: float) -> dict[str, Any]:
-    """Return an engine's latencies relative to its service's mean: those measured, and its own
-    report."""
+    """Return an engine's latencies relative to its service's mean.
+
+    They are those measured by this node and its peers, and those that the engine reports.
+    """
     facts = fleet.paces.summary(entry.service, entry.life, now)
     return {
         "pace_first": round(facts.learnt.first, 2),
--- a/tests/test_gateway_online.py
+++ b/tests/test_gateway_online.py
@@ -286,8 +286,7 @@
         return [fields["topic"] for fields in self.fleet.events("n0", Event.STORE_LOST)]
 
     def take_store_away(self, node):
-        """Make the store unavailable until the node treats it as such; one failed read is not
-        enough."""
+        """Make the store unavailable; one failed read is not enough for that."""
         self.fleet.topics.down = True
         wait_until(lambda: DIRECTORY_TOPIC in self.lost_topics())
         wait_until(lambda: node._directory.store_unreachable)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -135,8 +135,7 @@
         self.assertTrue(self.coordinator.receive(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
 
     def test_numbers_of_another_keeper_stand_for_no_grants_of_this_one(self):
-        """Another coordinator, or this one before a restart, used higher numbers and answered
-        last."""
+        """Another coordinator, or an earlier run of this one, numbered higher and answered last."""
         self.coordinator.receive(state("a", [(1, 5.0)], 1, last_grant=5000), 0.0)
         self.coordinator.receive(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
@@ -500,8 +499,7 @@
         self.assertEqual(self.stand(self.first), [True])
 
     def test_a_keeper_that_starts_anew_leaves_no_zone_without_a_line(self):
-        """It becomes coordinator again once the shared queue is active there; until then another
-        node is."""
+        """It coordinates again once its shared queue is active; until then another node does."""
         network, coordinator = self.network, self.network.coordinator
         network.nodes[coordinator] = Node(network, coordinator)
         network.nodes[coordinator].incarnation = 2
--- a/tests/test_requests_that_end_engines.py
+++ b/tests/test_requests_that_end_engines.py
@@ -132,8 +132,7 @@
 
 
 class WaitingTest(unittest.TestCase):
-    """A request that waits for an engine to be listed, while other nodes learn that it crashes
-    engines."""
+    """A request waits for an engine while other nodes learn that it crashes engines."""
 
     def test_it_is_looked_at_again_before_it_is_sent(self):
         identity, quarantine = RequestIdentity(b"0123456789abcdef", 1), Quarantine("n0")
@@ -307,8 +306,7 @@
             self.assertEqual(node.status_document()["quarantine"], [])
 
     def test_engines_whose_connections_are_cut_and_that_live_hold_nobody_back(self):
-        """Each engine answers other requests as soon as the node uses it again, one second
-        later."""
+        """Each engine answers others as soon as the node uses it again, a second later."""
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=-1)]
         self.fleet.request("n0", STREAM_PATH + "x", body=b"cut")
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -1,5 +1,4 @@
-"""Clients that read slowly must not hold up engines, harm other clients or use up the node's
-memory."""
+"""Clients that read slowly must not hold up engines, harm others or exhaust the memory."""
 
 import socket as sockets
 import time
@@ -113,8 +112,7 @@
         wait_until(lambda: self.held() == 0)
 
     def test_an_answer_that_is_taken_as_it_comes_counts_for_nothing(self):
-        """The response is larger than the socket buffers, so that a write has to wait for any
-        client."""
+        """The response is larger than the socket buffers: a write has to wait for any client."""
         self.node.slow_clients.budget.limit = SIZE // 2
         self.answer_with(events=EVENTS, padding=PADDING, content_type="text/plain")
         for number in range(3):
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -158,8 +158,10 @@
 
 
 class SilentLenderTest(CreditCase):
-    """A lender is silent but not yet declared dead; its tenants' clients have time for one
-    retry."""
+    """A lender is silent but not yet declared dead.
+
+    Its tenants' clients have time for one more try.
+    """
 
     def refuse(self):
         """Send to a node that hears its peers but gets no answer from any of them."""
@@ -188,8 +190,7 @@
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_one_whose_lender_is_not_silent_but_sends_elsewhere_comes_back_at_once(self):
-        """Another node lends, since others heard its report first; this node will hear it in a
-        moment."""
+        """Another node lends, and this one will hear of it in a moment."""
         self.refuse()
         self.credit._unresponsive_until.clear()
         elsewhere = gateway.CreditReply(lending=CreditOutcome.NOT_OWNER.value)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -162,8 +162,7 @@
 
 class CutOffTest(TenantCase):
     def test_a_node_that_may_have_missed_a_key_does_not_call_it_unknown(self):
-        """Guards against 401, which is final, from a node that is cut off and has not seen a new
-        key yet."""
+        """Guards against a final 401 for a new key that a node, being cut off, has not seen."""
         self.fleet.node_topics["n0"].silent = self.fleet.node_topics["n1"].silent = True
         wait_until(
             lambda: (
