--- a/postvalve/gateway/serving/admission_queue.py
+++ b/postvalve/gateway/serving/admission_queue.py
@@ -147,7 +147,7 @@
             rank: Its priority, see `Caller.rank`.
             arrived_at: Monotonic seconds.
             deadline: Monotonic seconds.
-            gone: Tells whether the client has disconnected.
+            disconnected: Tells whether the client has disconnected.
             tenant: The tenant that sent it; empty for anonymous requests.
             tag: Its start tag; None where tenants have no shares.
 
--- a/postvalve/gateway/serving/application.py
+++ b/postvalve/gateway/serving/application.py
@@ -280,11 +280,11 @@
         )
         environ[ON_LAG_KEY] = ahead.on_client_lag
 
-        def client_gone() -> None:
-            run.client_gone()
-            ahead.client_gone()
+        def on_disconnect() -> None:
+            run.on_disconnect()
+            ahead.on_disconnect()
 
-        watch = DisconnectWatcher(connection, client_gone)
+        watch = DisconnectWatcher(connection, on_disconnect)
         try:
             answer = run.start()
             # A retried attempt has response headers of its own; the client gets those of the first
@@ -311,7 +311,7 @@
     def abandon(self) -> None:
         """Abort every request under way."""
         for run in list(self._runs):
-            run.client_gone()
+            run.on_disconnect()
 
     @staticmethod
     def _rest_of_stream(events: Iterator[bytes]) -> Iterator[bytes]:
--- a/postvalve/gateway/serving/fair_shares.py
+++ b/postvalve/gateway/serving/fair_shares.py
@@ -89,7 +89,7 @@
         Args:
             tenant: The tenant that sent it; requests without a tenant share one account.
             work: Cost and correction that were sent to the lender.
-            told: The start tag that the lender assigned; 0 if none did.
+            lender_tag: The start tag that the lender assigned; 0 if none did.
         """
         if not self.enabled:
             return None
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -242,7 +242,7 @@
         self._buffer_changed.set()
         reset_connection(self._connection)
 
-    def client_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """Drop what is held for a client that has disconnected."""
         if self._holding is not None:
             reset_connection(self._connection)
--- a/postvalve/gateway/serving/routed_run.py
+++ b/postvalve/gateway/serving/routed_run.py
@@ -129,7 +129,7 @@
         """What the request costs its tenant; None where tenants have no shares."""
         self._placement: Placement | None = None
         self._answer: EngineAnswer | None = None
-        self._client_gone = False
+        self._client_disconnected = False
         self._finished = False
         self._pace = PaceObserver(
             services.fleet,
@@ -170,7 +170,7 @@
                 request.caller.rank(request.route),
                 request.arrived_at,
                 request.deadline,
-                lambda: self._client_gone,
+                lambda: self._client_disconnected,
                 request.caller.name,
                 tag,
             )
@@ -188,13 +188,13 @@
         cost = self._fleet.pace(self._request.service).slot_time
         work = limits.shares.work(caller.name, cost)
         try:
-            told = limits.admit(
+            lender_tag = limits.admit(
                 caller, self._request.terms.request_id, work, self._request.deadline
             )
         except PostvalveError:
             limits.shares.record_end(caller.name, work.correction)
             raise
-        self._share = limits.shares.open(caller.name, work, told)
+        self._share = limits.shares.open(caller.name, work, lender_tag)
         return self._share.tag if self._share else None
 
     def _attempt_until_answered(self) -> EngineAnswer:
@@ -225,7 +225,7 @@
         return any(one.life not in self._progress.tried for one in engines)
 
     def _check_time(self) -> None:
-        if self._client_gone:
+        if self._client_disconnected:
             raise ClientGoneError("the client left")
         if self._clock.monotonic() >= self._request.deadline:
             raise self._deadline_error()
@@ -368,10 +368,10 @@
             self._progress.runs += 1
             self._progress.broke_off = True
         judged = answer is not None and answer.status > 0 and error.verdict is Verdict.NOT_RUN
-        over = self._client_gone or self._clock.monotonic() >= self._request.deadline
+        ended = self._client_disconnected or self._clock.monotonic() >= self._request.deadline
         if judged:
             self._progress.tries -= 1
-        if life is not None and not judged and not over:
+        if life is not None and not judged and not ended:
             self._fleet.record_failure(life, error.message)
         self._guard.record_failure(error)
         self._services.events.emit(
@@ -392,7 +392,7 @@
 
     def _may_retry(self, verdict: Verdict) -> bool:
         progress, route = self._progress, self._request.route
-        if self._client_gone or self._clock.monotonic() >= self._request.deadline:
+        if self._client_disconnected or self._clock.monotonic() >= self._request.deadline:
             return False
         if progress.tries >= MAX_TRIES or progress.runs >= route.max_attempts:
             return False
@@ -426,7 +426,7 @@
         return max(timeout, self._request.deadline - self._clock.monotonic())
 
     def _final_error(self, error: AttemptError) -> PostvalveError:
-        if self._client_gone:
+        if self._client_disconnected:
             return ClientGoneError("the client left")
         if self._clock.monotonic() >= self._request.deadline:
             return self._deadline_error()
@@ -535,12 +535,12 @@
         self.finish("completed")
         return body
 
-    def client_gone(self) -> None:
+    def on_disconnect(self) -> None:
         """Abort the current attempt, since the client has disconnected.
 
         Called from another greenlet.
         """
-        self._client_gone = True
+        self._client_disconnected = True
         if self._answer is not None:
             self._answer.abort()
 
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -70,7 +70,7 @@
 """Seconds over which retries are spread when clients wait for other nodes to lend, since these
 begin with empty buckets."""
 
-_LENDINGS = frozenset(one.value for one in CreditOutcome)
+_OUTCOMES = frozenset(one.value for one in CreditOutcome)
 
 
 class TenantCredit:
@@ -183,7 +183,7 @@
         """
         first = self._peers.get(asked[0]) if asked else None
         now = self._clock.monotonic()
-        if first is None or not self._unanswered_lately(first.node_id, now):
+        if first is None or not self._unanswered_recently(first.node_id, now):
             return UNKNOWN_RETRY_AFTER
         if not self._hears_zone_peers():
             return UNKNOWN_RETRY_AFTER
@@ -203,11 +203,11 @@
         over its limit.
         """
         if not choices or choices[0] == self._node_id:
-            first, patience = self._node_id, None
+            first, timeout = self._node_id, None
         else:
-            first, patience = choices[0], self.primary_timeout
+            first, timeout = choices[0], self.primary_timeout
         asked = gevent.spawn(self._request_credit, first, tenant, work)
-        asked.join(patience)
+        asked.join(timeout)
         decision = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
         if decision.outcome is CreditOutcome.GRANTED or (
             decision.outcome is CreditOutcome.OVER_LIMIT and decision.share >= 1.0
@@ -219,7 +219,7 @@
                 return second, secondary_decision
         return first, asked.get()
 
-    def _unanswered_lately(self, node_id: str, now: float) -> bool:
+    def _unanswered_recently(self, node_id: str, now: float) -> bool:
         """Whether a node did not answer, and only the secondary lender was asked since.
 
         A node that answers but does not lend knows of another lender, and this node soon will too.
@@ -267,7 +267,7 @@
         reply = self._call(node_id, peer.report.peer_address, ask)
         if reply is None:
             self._unresponsive_until[node_id] = self._clock.monotonic() + UNRESPONSIVE_TIME
-        if not isinstance(reply, gateway.CreditReply) or reply.lending not in _LENDINGS:
+        if not isinstance(reply, gateway.CreditReply) or reply.lending not in _OUTCOMES:
             return CreditDecision(CreditOutcome.NOT_OWNER)
         return CreditDecision(CreditOutcome(reply.lending), reply.wait, reply.share, reply.tag)
 
