--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -55,7 +55,7 @@
 
 
 class EndTest(unittest.TestCase):
-    def test_each_error_has_its_end(self):
+    def test_each_error_maps_to_an_outcome(self):
         cut = TruncatedAnswer("cut")
         cut.__cause__ = ClientGoneError("the client left")
         for error, end in (
@@ -118,7 +118,7 @@
             self.assertEqual((total.sent, round(total.waited, 3)), (1, 0.1))
             self.assertAlmostEqual(total.online_seconds, 1.9)
 
-    def test_an_attempt_that_did_not_run_held_no_engine(self):
+    def test_refused_attempt_counts_no_engine_time(self):
         with contextlib.suppress(RefusedError), self.open() as account:
             account.attempt_started(10.0)
             self.at(11.0)
@@ -128,7 +128,7 @@
         self.assertEqual(self.total().online_seconds, 0.0)
         self.assertEqual(self.accounts.holders(1), {})
 
-    def test_a_request_that_no_engine_got_waited_until_its_end(self):
+    def test_request_without_an_engine_waits_until_its_end(self):
         with contextlib.suppress(RefusedError), self.open():
             self.at(10.2)
             raise RefusedError("x")
@@ -136,30 +136,30 @@
         self.assertEqual((total.sent, total.ends), (0, {End.NO_ROOM: 1}))
         self.assertAlmostEqual(total.worst_wait, 0.2)
 
-    def test_what_was_told_first_counts(self):
+    def test_first_recorded_outcome_counts(self):
         with contextlib.suppress(GeneratorExit), self.open() as account:
             account.completed()
             raise GeneratorExit
         self.assertEqual(self.total().ends, {End.IN_TIME: 1})
 
-    def test_an_answer_that_is_neither_whole_nor_failed_counts_as_failed(self):
+    def test_request_without_an_outcome_counts_as_failed(self):
         with self.open():
             pass
         self.assertEqual(self.total().ends, {End.FAILED: 1})
 
-    def test_whatever_happens_nobody_is_left_at_an_engine(self):
+    def test_unexpected_error_leaves_no_running_request(self):
         with contextlib.suppress(RuntimeError), self.open() as account:
             account.attempt_started(10.0)
             raise RuntimeError
         self.assertEqual(self.accounts.holders(1), {})
 
-    def test_calls_that_ask_engines_for_nothing_are_not_counted(self):
+    def test_excluded_calls_are_not_counted(self):
         with self.open() as account:
             account.exclude()
         self.assertEqual(len(self.accounts), 0)
 
 
-class LineTest(unittest.TestCase):
+class SummaryTest(unittest.TestCase):
     def setUp(self):
         self.clock = mock.Mock(**{"monotonic.return_value": 0.0})
         self.log = RecordingEventLog()
@@ -172,18 +172,18 @@
         self.callers.log_summary()
         return [fields for _, fields in self.log.written]
 
-    def test_one_line_in_a_while_and_only_after_something_was_counted(self):
+    def test_summary_is_periodic_and_only_after_new_counts(self):
         self.callers.accounts.record_request("ann", End.IN_TIME, 0.0)
         self.assertEqual(self.tell(SUMMARY_INTERVAL - 0.1), [])
         (line,) = self.tell(SUMMARY_INTERVAL)
         self.assertEqual(line["worst"], [{"tenant": "ann", "asked": 1, "in_time": 1}])
         self.assertEqual(self.tell(2 * SUMMARY_INTERVAL), [])
 
-    def test_no_line_where_nobody_has_a_name(self):
+    def test_no_summary_without_named_tenants(self):
         self.callers.accounts.record_request("", End.NO_ROOM, 0.0)
         self.assertEqual(self.tell(SUMMARY_INTERVAL), [])
 
-    def test_a_line_is_bounded(self):
+    def test_summary_size_is_bounded(self):
         for number in range(500):
             self.callers.accounts.record_request(f"t{number}", End.IN_TIME, 0.0)
         for _ in range(9):
@@ -235,7 +235,7 @@
         )
         gevent.sleep(0)
 
-    def test_who_waits_behind_whom(self):
+    def test_rows_name_the_request_ahead(self):
         self.enter(1, rank=(1, 0))
         self.enter(2)
         self.enter(3, tenant="bob")
@@ -248,7 +248,7 @@
         ahead = {fields["request"]: fields["ahead"] for _, fields in self.log.written}
         self.assertEqual(ahead, {"r1": [], "r2": [], "r3": ["r2"], "r4": []})
 
-    def test_rows_and_lines_are_bounded(self):
+    def test_rows_and_log_fields_are_bounded(self):
         for number in range(MAX_ROWS + 10):
             self.enter(number)
         self.assertEqual(len(self.room.rows()), MAX_ROWS)
@@ -257,12 +257,12 @@
         self.assertEqual(len(last["ahead"]), MAX_LOGGED_AHEAD)
         self.assertEqual(last["ahead"][-1], f"r{MAX_ROWS + 8}")
 
-    def test_lines_name_who_runs(self):
+    def test_log_fields_name_running_tenants(self):
         self.room.holders = lambda: {"bob": 4}
         self.enter(1)
         self.assertEqual(self.log.written[-1][1]["holders"], {"bob": 4})
 
-    def test_callers_without_names_are_not_told_of(self):
+    def test_anonymous_callers_have_no_tenant_fields(self):
         self.enter(1, tenant="")
         self.enter(2, tenant="")
         for _, fields in self.log.written:
@@ -303,7 +303,7 @@
         self.assertEqual(rows[""]["key_unknown"], 1)
         self.assertEqual(rows["bob"]["asked"], 1)
 
-    def test_an_engine_that_refuses_was_not_held(self):
+    def test_refusing_engine_counts_no_engine_time(self):
         self.engine.usual = Behaviour(refuse=True, thinks=0.1)
         headers = [("Api-Key", "ann-key"), ("Deadline-Ms", "800")]
         answer = self.fleet.request("n0", STREAM_PATH + "x", headers=headers, body=b"b")
@@ -313,7 +313,7 @@
         self.assertEqual((row["sent"], row["no_room"] + row["time_over"]), (1, 1))
         self.assertEqual(row["online_seconds"], 0.0)
 
-    def test_a_client_that_leaves(self):
+    def test_disconnecting_client(self):
         self.engine.usual = Behaviour(pause=0.3, events=50)
         headers = [("Api-Key", "ann-key")]
         connection = self.fleet.open("n0", STREAM_PATH + "x", headers=headers)
@@ -330,7 +330,7 @@
         self.assertEqual((row["asked"], row["in_time"] + row["late"]), (1, 1))
         self.assertGreater(row["item_seconds"], 0)
 
-    def test_an_engine_that_refuses_items_was_not_held(self):
+    def test_engine_refusing_items_counts_no_engine_time(self):
         self.engine.usual = Behaviour(refuse=True, thinks=0.1)
         headers = [("Api-Key", "ann-key")]
         self.fleet.request("n0", BATCH_PATH + "x", headers=headers, body=job_body("j"))
@@ -338,7 +338,7 @@
         wait_until(lambda: len(self.fleet.events("n0", failed)) >= 6)
         self.assertEqual(self.rows()["ann"]["item_seconds"], 0.0)
 
-    def test_calls_about_jobs_are_no_requests(self):
+    def test_job_calls_are_not_counted_as_requests(self):
         headers = [("Api-Key", "ann-key")]
         self.fleet.request("n0", "/api/lots/j?watchAfter=0", method="GET", headers=headers)
         self.send("ann")
@@ -353,23 +353,23 @@
         self.assertIn(line, text.splitlines())
 
     @mock.patch.object(caller_accounts, "SUMMARY_INTERVAL", 0.0)
-    def test_a_node_writes_lines_by_itself(self):
+    def test_node_logs_summaries(self):
         self.send("ann")
         wait_until(lambda: self.fleet.events("n0", Event.TENANTS_SERVED))
         (line, *_) = self.fleet.events("n0", Event.TENANTS_SERVED)
         self.assertEqual([one["tenant"] for one in line["largest"]], ["ann"])
 
     @mock.patch.object(caller_accounts, "SUMMARY_INTERVAL", 0.0)
-    def test_no_line_names_a_tenant_of_a_fleet_without_any(self):
+    def test_no_summary_where_no_tenants_are_configured(self):
         self.fleet.configure()
         wait_until(lambda: self.fleet.nodes["n0"].configuration.revision == 4)
         self.send("ann")
         wait_until(lambda: "" in self.rows())
         self.assertEqual(self.rows()[""]["asked"], 1)
-        looked = mock.patch.object(
+        patched = mock.patch.object(
             CallerAccounts, "log_summary", autospec=True, side_effect=CallerAccounts.log_summary
         )
-        with looked as tell:
+        with patched as tell:
             wait_until(lambda: tell.call_count == 2)
         self.assertEqual(self.fleet.events("n0", Event.TENANTS_SERVED), [])
 
@@ -412,7 +412,7 @@
             code = main(["status", *named, *arguments])
         return code, output.getvalue(), errors.getvalue()
 
-    def test_rows_of_nodes_are_added_up_the_worst_served_first(self):
+    def test_rows_are_summed_over_nodes_worst_served_first(self):
         code, text, _ = self.status(self.node(1, 4), self.node(2, 6))
         self.assertEqual(code, 0)
         table = text[text.index("TENANT") :].splitlines()
@@ -430,7 +430,7 @@
         self.assertEqual(summed["tenants"][0]["total"]["no_room"], 10)
         self.assertEqual([one["node_id"] for one in summed["documents"]], ["n1", "n2"])
 
-    def test_a_node_that_does_not_answer_is_told_and_the_others_are_shown(self):
+    def test_unreachable_node_is_reported_and_others_are_shown(self):
         silent = f"http://127.0.0.1:{free_port()}"
         code, text, errors = self.status(silent, self.node(1, 4))
         self.assertEqual(code, 0)
@@ -438,7 +438,7 @@
         self.assertIn("bob", text)
         self.assertNotEqual(self.status(silent, silent)[0], 0)
 
-    def test_odd_answers_are_told_and_the_others_are_shown(self):
+    def test_invalid_answers_are_reported_and_others_are_shown(self):
         for status, text in (("401 -", b""), ("200 OK", b"<html>"), ("200 OK", b"[]")):
             odd = self.serve_text(status, text)
             code, shown, errors = self.status(odd, self.node(1, 4))
@@ -446,17 +446,17 @@
             self.assertIn(odd, errors)
             self.assertIn("bob", shown)
 
-    def test_a_node_that_is_named_twice_counts_once(self):
+    def test_node_named_twice_counts_once(self):
         node = self.node(1, 4)
         _, text, _ = self.status(node, self.node(2, 1), node, arguments=("--output", "json"))
         self.assertEqual(json.loads(text)["tenants"][0]["total"]["no_room"], 5)
 
-    def test_who_waits_at_which_node(self):
+    def test_waiting_requests_are_shown_by_node(self):
         row = {"request": "r9", "service": "s", "tenant": "ann", "rank": [0, 0], "waited": 0.1}
         _, text, _ = self.status(self.node(1, 1, [{**row, "behind": "r8"}]), self.node(2, 1))
         self.assertRegex(text, r"n1 +s +r9 +ann +\[0, 0\] +0.1 +r8")
 
-    def test_a_node_of_a_build_that_tells_no_tenants(self):
+    def test_node_of_a_build_without_tenant_counts(self):
         code, text, _ = self.status(self.serve({"node_id": "old", "nodes": []}), self.node(1, 4))
         self.assertEqual(code, 0)
         self.assertIn("bob", text)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -17,10 +17,10 @@
         headers = [("X-One", header)] if header else ()
         return self.fleet.request("n0", STREAM_PATH + "x", headers=headers, body=body)
 
-    def test_what_is_within_is_served(self):
+    def test_requests_within_the_limits_are_served(self):
         self.assertEqual(self.send(b"b" * 1_000, "h" * 400).status, 200)
 
-    def test_what_is_larger_is_refused_and_reaches_no_engine(self):
+    def test_larger_requests_are_refused_and_reach_no_engine(self):
         for status, sent in ((413, {"body": b"b" * 1_001}), (431, {"header": "h" * 600})):
             answer = self.send(**sent)
             self.assertEqual(answer.status, status)
@@ -28,13 +28,13 @@
         (engine,) = self.fleet.engines
         self.assertEqual(engine.runs, [])
 
-    def test_a_long_target_within_is_no_large_header(self):
+    def test_long_target_does_not_count_as_header(self):
         answer = self.fleet.request("n0", STREAM_PATH + "x" * 500, headers=[("X-One", "h" * 300)])
         self.assertEqual(answer.status, 200)
 
 
 class HeaderBytesTest(unittest.TestCase):
-    def test_never_more_than_came_however_lines_are_written(self):
+    def test_header_size_is_never_overestimated(self):
         """Whitespace around values may be absent, and lines may end with a newline only."""
         headers = [("Host", "h"), ("X-One", ""), ("X-Two", "\xe9")]
         call = HttpCall("GET", "/" + "x" * 500, "h", headers, b"")
--- a/tests/test_gateway_online.py
+++ b/tests/test_gateway_online.py
@@ -59,23 +59,23 @@
         bodies = [one.bodies.get("r1") for one in self.fleet.engines]
         self.assertIn(b"\x00body", bodies)
 
-    def test_events_in_pieces_pass_whole(self):
+    def test_fragmented_events_are_forwarded_whole(self):
         self.plan(Behaviour(piecewise=True))
         self.assertEqual(self.fleet.request("n0", STREAM_PATH).body, whole_stream())
 
-    def test_failure_of_the_engine_passes_where_it_may_not_be_repeated(self):
+    def test_engine_failure_is_forwarded_where_no_retry_is_allowed(self):
         self.plan(Behaviour(status=500))
         answer = self.fleet.request("n0", ONCE_PATH)
         self.assertEqual(answer.status, 500)
         self.assertIn("response-seal", answer.headers)
         self.assertEqual(len(self.runs()), 1)
 
-    def test_connections_are_kept_for_the_next_request(self):
+    def test_connections_are_reused(self):
         for number in range(5):
             self.fleet.request("n0", STREAM_PATH, request_id=f"r{number}")
         self.assertLessEqual(sum(one.connections for one in self.fleet.engines), 2)
 
-    def test_connection_with_bytes_after_an_answer_is_not_used_again(self):
+    def test_connection_with_bytes_after_a_response_is_not_reused(self):
         extra = b"HTTP/1.1 200 OK\r\nRequest-Id: x\r\nContent-Length: 1\r\n\r\nX"
         for engine in self.fleet.engines:
             engine.usual = Behaviour(surplus=extra)
@@ -84,7 +84,7 @@
             self.assertEqual(answer.body, whole_stream(f"r{number}"))
         self.assertEqual(sum(one.connections for one in self.fleet.engines), 4)
 
-    def test_connection_on_which_bytes_came_while_it_rested_is_not_used_again(self):
+    def test_connection_that_received_bytes_while_idle_is_not_reused(self):
         extra = b"HTTP/1.1 200 OK\r\nRequest-Id: x\r\nContent-Length: 1\r\n\r\nX"
         for engine in self.fleet.engines:
             engine.usual = Behaviour(late_surplus=extra)
@@ -95,7 +95,7 @@
         self.assertEqual(sum(one.connections for one in self.fleet.engines), 4)
         self.assertEqual(self.fleet.events("n0", Event.ROUTED_ATTEMPT_FAILED), [])
 
-    def test_answer_to_another_request_is_not_passed_on(self):
+    def test_response_to_another_request_is_not_forwarded(self):
         self.plan(Behaviour(foreign=True))
         answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
@@ -103,30 +103,30 @@
 
 
 class AttemptTest(OnlineCase):
-    def test_refused_request_goes_elsewhere(self):
+    def test_refused_request_is_sent_to_another_engine(self):
         self.plan(Behaviour(refuse=True))
         self.assertEqual(self.fleet.request("n0", ONCE_PATH).status, 200)
         self.assertEqual(len(self.runs()), 1)
 
-    def test_cut_stream_goes_on_after_its_last_whole_event(self):
+    def test_truncated_stream_resumes_after_its_last_complete_event(self):
         self.plan(Behaviour(cut_after=2))
         answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.body, answer.whole), (whole_stream(), True))
         self.assertEqual(sorted(str(run[1]) for run in self.runs()), ["2", "None"])
         self.assertEqual(len(self.fleet.events("n0", Event.ROUTED_STREAM_RESUMED)), 1)
 
-    def test_clients_own_position_counts(self):
+    def test_client_may_resume_from_its_own_position(self):
         answer = self.fleet.request("n0", STREAM_PATH, headers=[("Last-Event-Id", "2")])
         self.assertEqual(answer.body, whole_stream().partition(b"part 2\n\n")[2])
 
-    def test_cut_stream_that_may_not_go_on_looks_cut(self):
+    def test_truncated_stream_that_may_not_resume_looks_truncated(self):
         self.plan(Behaviour(cut_after=2))
         answer = self.fleet.request("n0", ONCE_PATH)
         self.assertFalse(answer.whole)
         self.assertEqual(answer.body, whole_stream(events=2))
         self.assertEqual(len(self.runs()), 1)
 
-    def test_request_that_may_have_run_is_not_repeated_where_it_runs_once(self):
+    def test_request_that_may_have_run_is_not_retried_on_a_once_route(self):
         self.plan(Behaviour(cut_after=-1))
         answer = self.fleet.request("n0", ONCE_PATH)
         self.assertEqual((answer.status, len(self.runs())), (502, 1))
@@ -137,7 +137,7 @@
         answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, len(self.runs())), (502, 3))
 
-    def test_engine_replaced_at_its_address_gets_nothing_more(self):
+    def test_replaced_engine_gets_no_more_requests(self):
         self.first.expected_id = "another"
         for number in range(4):
             answer = self.fleet.request("n0", ONCE_PATH, request_id=f"r{number}")
@@ -156,12 +156,12 @@
             self.fleet.request("n0", STREAM_PATH, request_id=f"r{number}")
         self.assertEqual(self.first.runs, [])
 
-    def test_refused_request_waits_for_room(self):
+    def test_refused_request_waits_for_capacity(self):
         self.plan(*[Behaviour(refuse=True)] * 9)
         answer = self.fleet.request("n0", ONCE_PATH)
         self.assertEqual((answer.status, len(self.runs())), (200, 1))
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_has_retry_after(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(refuse=True)
         answer = self.fleet.request("n0", ONCE_PATH, headers=[("Deadline-Ms", "400")])
@@ -172,20 +172,20 @@
 
 
 class TimeTest(OnlineCase):
-    def test_request_whose_time_is_over_is_answered(self):
+    def test_request_past_its_deadline_gets_a_response(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(silent=True)
         answer = self.fleet.request("n0", ONCE_PATH, headers=[("Deadline-Ms", "300")])
         self.assertEqual(answer.status, 504)
 
-    def test_a_slow_engine_is_waited_for_where_nobody_else_may_run_the_request(self):
+    def test_slow_engine_is_waited_for_where_no_retry_is_allowed(self):
         self.plan(Behaviour(thinks=0.6))
         with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 0.1):
             answer = self.fleet.request("n0", ONCE_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
         self.assertEqual(len(self.runs()), 1)
 
-    def test_a_late_first_event_is_told_with_what_the_node_believed(self):
+    def test_late_first_event_is_logged_with_the_counts_at_placement(self):
         # Longer than a process on a busy machine is suspended, which would make any request late.
         self.fleet.configure(targetLatencyMs=600)
         holder = self.fleet.nodes["n0"].configuration
@@ -200,14 +200,14 @@
         use = self.fleet.nodes["n0"]._fleet.use
         self.assertEqual([use.total(one.engine_id).unread for one in self.fleet.engines], [0, 0])
 
-    def test_a_silent_engine_is_given_up_where_another_may_go_on(self):
+    def test_silent_engine_is_given_up_where_a_retry_is_allowed(self):
         self.plan(Behaviour(thinks=3.0))
         with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 0.1):
             answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
         self.assertEqual(len(self.runs()), 2)
 
-    def test_client_that_leaves_ends_its_attempt(self):
+    def test_disconnecting_client_ends_its_attempt(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(pause=0.05, events=200)
         connection = self.fleet.open("n0", STREAM_PATH)
@@ -215,7 +215,7 @@
         connection.close()
         wait_until(lambda: sum(one.cut_by_peer for one in self.fleet.engines) == 1)
 
-    def test_client_that_leaves_a_thinking_engine_ends_its_attempt(self):
+    def test_client_disconnecting_before_the_first_event_ends_its_attempt(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(silent=True)
         # Neither the engine's time-out nor the route's (5 s) ends the attempt earlier.
@@ -261,7 +261,7 @@
         node.configuration.adopt(former, "test")
         self.assertEqual(node.configuration.revision, 9)
 
-    def test_unreadable_revision_leaves_the_former_in_force(self):
+    def test_unreadable_revision_leaves_the_previous_one_in_force(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         fleet.nodes["n0"].configuration.adopt(b'{"routes": 5}', "test")
@@ -285,7 +285,7 @@
     def lost_topics(self):
         return [fields["topic"] for fields in self.fleet.events("n0", Event.STORE_LOST)]
 
-    def take_store_away(self, node):
+    def make_store_unavailable(self, node):
         """Make the store unavailable; one failed read is not enough for that."""
         self.fleet.topics.down = True
         wait_until(lambda: DIRECTORY_TOPIC in self.lost_topics())
@@ -302,7 +302,7 @@
         self.fleet.list_engine(self.engine)
         self.assertEqual(asked.get().status, 200)
 
-    def test_it_waits_where_only_other_services_are_listed_yet(self):
+    def test_it_waits_if_only_other_services_are_listed(self):
         other = json.dumps(self.engine.entry() | {"service": "other"}).encode()
         self.fleet.topics.append(DIRECTORY_TOPIC, 0, [KeyedRecord("e8", other)])
         node = self.fleet.start_node("n0")
@@ -312,7 +312,7 @@
         self.fleet.list_engine(self.engine)
         self.assertEqual(asked.get().status, 200)
 
-    def test_it_waits_for_half_of_its_time_at_the_most(self):
+    def test_it_waits_for_at_most_half_of_its_time(self):
         self.fleet.start_node("n0")
         started = time.monotonic()
         answer = self.ask(600)
@@ -326,7 +326,7 @@
         wait_until(lambda: node.ready)
         # The engine's entry expires while the store is unavailable. It is kept for a while, and
         # then dropped since the engine does not register again.
-        self.take_store_away(node)
+        self.make_store_unavailable(node)
         self.unlist()
         wait_until(lambda: self.fleet.events("n0", Event.ENGINES_LAPSED))
         self.assertEqual(self.ask(4000).status, 200)
@@ -339,12 +339,12 @@
         self.fleet.list_engine(self.engine)
         node = self.fleet.start_node("n0", clock=SlowClock(0.9))
         wait_until(lambda: node.ready)
-        self.take_store_away(node)
+        self.make_store_unavailable(node)
         self.unlist()
         wait_until(lambda: self.fleet.events("n0", Event.ENGINES_LAPSED))
         wait_until(lambda: not node._fleet.listed_engines(), patience=6.0)
 
-    def test_a_request_is_refused_at_once_where_the_last_engine_has_gone(self):
+    def test_request_is_refused_at_once_if_the_last_engine_has_gone(self):
         self.fleet.list_engine(self.engine)
         node = self.fleet.start_node("n0")
         wait_until(lambda: node.ready)
@@ -355,7 +355,7 @@
         self.assertEqual(self.ask(8000).status, 503)
         self.assertLess(time.monotonic() - started, 1.0)
 
-    def test_an_entry_that_cannot_be_read_is_told(self):
+    def test_unreadable_entry_is_logged(self):
         record = KeyedRecord("e9", b"{")
         self.fleet.topics.append(DIRECTORY_TOPIC, 0, [record])
         self.fleet.start_node("n0")
@@ -363,7 +363,7 @@
 
 
 class StopTest(unittest.TestCase):
-    def test_planned_stop_finishes_what_runs(self):
+    def test_drain_finishes_running_requests(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         fleet.engines[0].usual = Behaviour(pause=0.05, events=12)
@@ -379,7 +379,7 @@
         node.wait()
         self.assertTrue(fleet.events("n0", Event.DRAIN_FINISHED))
 
-    def test_requests_near_the_end_are_refused_and_not_cut(self):
+    def test_requests_late_in_a_drain_are_refused(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         fleet.engines[0].usual = Behaviour(pause=0.05, events=60)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -22,7 +22,7 @@
         self.handler(connection)
         connection.setsockopt.assert_called_with(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def test_silent_clients_are_ended(self):
+    def test_idle_time_out_is_set(self):
         connection = mock.Mock()
         self.handler(connection)
         connection.settimeout.assert_called_with(7.0)
@@ -41,7 +41,7 @@
         self.assertEqual(b"".join(sent), b"0123456789")
         self.assertEqual(handler.response_length, 10)
 
-    def test_a_client_that_does_not_read_ends_the_answer(self):
+    def test_client_that_does_not_read_ends_the_response(self):
         connection = mock.Mock()
         connection.send.side_effect = TimeoutError("timed out")
         handler = self.handler(connection)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -73,22 +73,22 @@
 
 class MessageTest(unittest.TestCase):
     @given(STATES)
-    def test_states_come_as_they_were_sent(self, sent):
+    def test_reports_are_decoded_as_sent(self, sent):
         self.assertEqual(unpack_state(sent.pack()), sent)
 
     @given(GRANTS)
-    def test_grants_come_as_they_were_sent(self, sent):
+    def test_grants_are_decoded_as_sent(self, sent):
         self.assertEqual(unpack_grant(sent.pack()), sent)
 
     @given(st.binary(max_size=100), STATES, st.integers(1, 40))
-    def test_other_bytes_raise_nothing_else(self, data, sent, missing):
+    def test_malformed_bytes_raise_only_a_message_error(self, data, sent, missing):
         for unpack in (unpack_state, unpack_grant):
             with contextlib.suppress(QueueMessageError):
                 unpack(data)
         with self.assertRaises(QueueMessageError):
             unpack_state(sent.pack()[:-missing])
 
-    def test_bytes_of_both_stay_small(self):
+    def test_messages_stay_small(self):
         waiting = tuple(WaitingRequest(n, QueuePosition((0, 0), 1.0)) for n in range(20))
         packed = QueueState(SERVICE, "node-0000-zone-a", 1, 1, 1, waiting).pack()
         self.assertLessEqual(len(packed), 160)
@@ -104,13 +104,13 @@
         nodes = self.coordinator.grant(free, now)
         return {node: one.granted for node, one in self.coordinator.answers(nodes).items()}
 
-    def test_free_places_go_to_the_first_of_all_nodes(self):
+    def test_free_slots_go_to_the_first_requests_of_all_nodes(self):
         self.coordinator.receive(state("a", [(1, 5.0), (2, 9.0)]), 0.0)
         self.coordinator.receive(state("b", [(1, 3.0), (2, 7.0)]), 0.0)
         self.assertEqual(self.granted(3), {"a": (1,), "b": (1, 2)})
         self.assertEqual(self.coordinator.answers(["a"])["a"].ahead, ((2, 0),))
 
-    def test_a_grant_counts_until_its_node_has_taken_it_in_or_its_time_is_over(self):
+    def test_grant_is_outstanding_until_acknowledged_or_expired(self):
         self.coordinator.receive(state("a", [(1, 5.0)]), 0.0)
         self.coordinator.receive(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
@@ -121,20 +121,20 @@
         self.coordinator.expire(GRANT_TIME + 0.01, 3)
         self.assertEqual(self.coordinator.outstanding, 0)
 
-    def test_a_lost_grant_is_told_again_with_the_next_state(self):
+    def test_lost_grant_is_repeated_with_the_next_answer(self):
         self.coordinator.receive(state("a", [(1, 5.0)]), 0.0)
         first = self.granted(1)
         self.coordinator.receive(state("a", [(1, 5.0)], 2), 0.05)
         self.assertEqual({"a": self.coordinator.answers(["a"])["a"].granted}, first)
 
-    def test_doubled_and_old_states_change_nothing(self):
+    def test_duplicate_and_old_reports_change_nothing(self):
         self.coordinator.receive(state("a", [], 5), 0.0)
         for number in (5, 4):
             self.assertFalse(self.coordinator.receive(state("a", [(1, 1.0)], number), 0.1))
         self.assertFalse(self.coordinator.has_waiting)
         self.assertTrue(self.coordinator.receive(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
 
-    def test_numbers_of_another_keeper_stand_for_no_grants_of_this_one(self):
+    def test_grant_numbers_of_another_coordinator_acknowledge_nothing(self):
         """Another coordinator, or an earlier run of this one, numbered higher and answered last."""
         self.coordinator.receive(state("a", [(1, 5.0)], 1, last_grant=5000), 0.0)
         self.coordinator.receive(state("b", [(1, 6.0)]), 0.0)
@@ -145,12 +145,12 @@
         self.coordinator.receive(state("a", [], 3, last_grant=told.number), 0.02)
         self.assertEqual(self.coordinator.outstanding, 0)
 
-    def test_no_number_that_a_node_tells_makes_a_grant_too_large_to_send(self):
+    def test_no_reported_number_makes_a_grant_too_large_to_send(self):
         self.coordinator.receive(state("a", [(1, 5.0)], 1, last_grant=2**32 - 1), 0.0)
         self.coordinator.grant(1, 0.0)
         self.assertEqual(unpack_grant(self.coordinator.answers(["a"])["a"].pack()).granted, (1,))
 
-    def test_a_node_that_is_gone_loses_its_place_only(self):
+    def test_dead_node_loses_only_its_own_place(self):
         self.coordinator.receive(state("a", [(1, 1.0)]), 0.0)
         self.coordinator.receive(state("b", [(1, 2.0)]), STATE_TIME)
         self.coordinator.expire(STATE_TIME + 0.01, 3)
@@ -158,7 +158,7 @@
 
     @settings(max_examples=200, deadline=None)
     @given(st.integers(0, 2**32), st.integers(1, 6))
-    def test_no_more_is_outstanding_than_there_is_room_and_nobody_is_passed(self, seed, free):
+    def test_grants_never_exceed_capacity_or_change_the_order(self, seed, free):
         draw, now, numbers = random.Random(seed), 0.0, {}
         coordinator = QueueCoordinator(SERVICE, 100)
         for _ in range(60):
@@ -182,11 +182,11 @@
     def setUp(self):
         self.new = NewNodes(0.0)
 
-    def test_who_is_heard_at_the_start_was_there_before(self):
+    def test_nodes_heard_during_start_are_not_new(self):
         self.new.record("a", 1, LISTEN_TIME / 2)
         self.assertFalse(self.new.includes("a", LISTEN_TIME))
 
-    def test_a_node_that_starts_is_new_until_it_uses_what_takes_all_nodes(self):
+    def test_started_node_is_new_until_its_features_are_active(self):
         self.new.record("a", 1, 0.0)
         for node, incarnation in (("a", 2), ("b", 1)):
             for at in (20.0, 25.0):
@@ -194,12 +194,12 @@
             self.assertTrue(self.new.includes(node, 20.0 + SETTLE_TIME - 0.01))
             self.assertFalse(self.new.includes(node, 20.0 + SETTLE_TIME))
 
-    def test_one_that_was_not_heard_for_a_while_is_not_new(self):
+    def test_node_silent_for_a_while_is_not_new(self):
         self.new.record("a", 1, 20.0)
         self.new.record("a", 1, 500.0)
         self.assertFalse(self.new.includes("a", 500.0))
 
-    def test_no_more_are_remembered_than_a_fleet_has(self):
+    def test_number_of_tracked_nodes_is_bounded(self):
         for number in range(3 * MAX_TRACKED_NODES):
             self.new.record(f"n{number}", 1, 20.0)
         known = [
@@ -280,7 +280,7 @@
         self.states = {}
         self.frozen, self.lost = set(), lambda source, target: False
         self.nodes = {f"n{number}": Node(self, f"n{number}") for number in range(count)}
-        self.hear_all()
+        self.exchange_reports()
         self.now += LISTEN_TIME + ZONE_COUNT_MAX_AGE
         self.settle()
 
@@ -291,7 +291,7 @@
             for one in self.nodes.values():
                 one.peers.gate.update(one.peers.common_features(), self.now)
 
-    def hear_all(self):
+    def exchange_reports(self):
         for one in self.nodes.values():
             report = one.report()
             for other in self.nodes.values():
@@ -334,7 +334,7 @@
         self.network = Network()
         self.first, self.second, self.third = self.network.others()
 
-    def stand(self, *nodes):
+    def coordinated(self, *nodes):
         return [one.line.is_coordinated("s") for one in nodes]
 
     def test_slots_go_to_the_first_in_order_over_all_nodes(self):
@@ -350,22 +350,22 @@
         names = (self.second.name, self.network.coordinator, self.second.name, self.first.name)
         self.assertEqual(self.network.order, list(zip(names, (1, 5, 2, 1), strict=True)))
 
-    def test_nodes_hear_how_many_go_before(self):
+    def test_nodes_learn_how_many_requests_are_ahead(self):
         self.first.ask(1, 9.0)
         self.second.ask(1, 3.0)
         self.network.play(0.2)
         self.assertEqual(self.first.line.requests_ahead("s", 1), 1)
         self.assertEqual(self.second.line.requests_ahead("s", 1), 0)
 
-    def test_without_a_keeper_that_answers_nodes_go_by_their_own_order(self):
+    def test_without_an_answer_nodes_use_their_own_order(self):
         """The coordinator has died, and no node has noticed yet."""
         dead = self.network.coordinator
         self.network.frozen.add(dead)
         self.first.ask(1, 1.0)
         self.network.play(COORDINATOR_TIMEOUT - 0.03)
-        self.assertEqual(self.stand(self.first), [True])
+        self.assertEqual(self.coordinated(self.first), [True])
         self.network.play(0.06)
-        self.assertEqual(self.stand(self.first), [False])
+        self.assertEqual(self.coordinated(self.first), [False])
         self.assertEqual(len(self.first.log.written), 1)
         self.assertIs(self.first.log.written[0][0], Event.LINE_SILENT)
         # Its reports stop: another node becomes coordinator.
@@ -377,7 +377,7 @@
         self.network.play(0.1)
         self.assertEqual(len(self.network.order), 1)
 
-    def test_a_keeper_that_stood_still_grants_by_new_states_only(self):
+    def test_suspended_coordinator_grants_by_new_reports_only(self):
         coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
         self.network.play(0.1)
@@ -390,7 +390,7 @@
         self.network.play(0.2)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
-    def test_two_keepers_grant_each_request_once(self):
+    def test_two_coordinators_grant_each_request_once(self):
         """The third node does not hear the coordinator, and takes itself or another node for it."""
         self.third.peers.drop(self.network.coordinator)
         for number, one in enumerate((self.first, self.second, self.third)):
@@ -401,7 +401,7 @@
         started = [(one.name, 1) for one in (self.first, self.second, self.third)]
         self.assertEqual(sorted(self.network.order), sorted(started))
 
-    def test_a_lost_grant_is_used_later_and_delays_the_others_by_its_time_only(self):
+    def test_lost_grant_delays_others_only_until_it_is_repeated(self):
         coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
@@ -416,7 +416,7 @@
         self.network.play(0.1)
         self.assertEqual(self.network.order, [(self.first.name, 1)])
 
-    def test_a_node_that_dies_with_a_grant_delays_the_others_by_its_time_only(self):
+    def test_node_dying_with_a_grant_delays_others_only_until_it_expires(self):
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
         self.network.play(0.1)
@@ -425,7 +425,7 @@
         self.network.play(STATE_TIME + 0.1)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
-    def test_a_new_keeper_that_numbers_its_grants_lower_counts_them(self):
+    def test_grants_of_a_new_coordinator_with_lower_numbers_count(self):
         """Grants received from a previous coordinator must not acknowledge those of the new one."""
         former = self.network.coordinator
         self.first.ask(1, 1.0)
@@ -450,7 +450,7 @@
         self.network.play(0.15)
         self.assertEqual(member.given, given)
 
-    def test_engines_that_failed_a_moment_ago_count_only_where_all_did(self):
+    def test_engines_that_just_failed_count_only_if_all_did(self):
         line = self.first.line
         entry = SimpleNamespace(life="f", slots=4, zone="z", service="s")
         dark = SimpleNamespace(life="d", slots=4, zone="z", service="s")
@@ -461,7 +461,7 @@
         self.network.states = {"d": "suspect", "f": "suspect"}
         self.assertEqual(line._free_slots("s"), 2 * (2 + MAX_ENGINE_QUEUE))
 
-    def test_a_grant_for_nobody_is_handed_back(self):
+    def test_unused_grant_is_returned(self):
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
         self.network.play(0.1)
@@ -470,7 +470,7 @@
         self.network.play(0.1)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
-    def test_with_a_third_of_all_datagrams_lost_everybody_is_served(self):
+    def test_all_requests_are_served_with_a_third_of_datagrams_lost(self):
         for seed in range(5):
             draw = random.Random(seed)
             network = Network()
@@ -483,65 +483,65 @@
                 network.play(0.4)
             self.assertEqual(len(network.order), 8)
 
-    def test_a_keeper_that_has_just_started_or_leaves_grants_nothing(self):
+    def test_coordinator_that_starts_or_drains_grants_nothing(self):
         coordinator = self.network.nodes[self.network.coordinator].line
         coordinator._started_at = self.network.now
         self.first.ask(1, 1.0)
         self.network.play(0.2)
-        self.assertEqual(self.stand(self.first), [False])
+        self.assertEqual(self.coordinated(self.first), [False])
         coordinator._started_at, coordinator.leaving = 0.0, True
         self.network.play(0.2)
-        self.assertEqual(self.stand(self.first), [False])
+        self.assertEqual(self.coordinated(self.first), [False])
         report = self.network.nodes[self.network.coordinator].report(leaving=True)
         for one in self.network.others():
             one.peers.observe(report, self.network.now)
         self.network.play(0.2)
-        self.assertEqual(self.stand(self.first), [True])
+        self.assertEqual(self.coordinated(self.first), [True])
 
-    def test_a_keeper_that_starts_anew_leaves_no_zone_without_a_line(self):
+    def test_restarted_coordinator_leaves_no_zone_without_a_queue(self):
         """It coordinates again once its shared queue is active; until then another node does."""
         network, coordinator = self.network, self.network.coordinator
         network.nodes[coordinator] = Node(network, coordinator)
         network.nodes[coordinator].incarnation = 2
-        network.hear_all()
+        network.exchange_reports()
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
         for _ in range(3):
             network.play(1.0)
-            self.assertEqual(self.stand(self.first, self.second), [True, True])
+            self.assertEqual(self.coordinated(self.first, self.second), [True, True])
         network.online -= 1
         network.play(0.2)
         self.assertEqual(network.order, [(self.first.name, 1)])
         network.settle()
         network.play(0.2)
         self.assertEqual(self.second.line._queues[SERVICE].coordinator, coordinator)
-        self.assertEqual(self.stand(self.second), [True])
+        self.assertEqual(self.coordinated(self.second), [True])
 
-    def test_one_node_that_cannot_turns_it_off_for_all_that_hear_it(self):
+    def test_one_node_without_the_feature_disables_it_for_all(self):
         self.third.features = Feature.NONE
-        self.network.hear_all()
+        self.network.exchange_reports()
         self.first.ask(1, 1.0)
         self.network.play(0.2)
-        self.assertEqual((self.stand(self.first), self.network.sent), ([False], 0))
+        self.assertEqual((self.coordinated(self.first), self.network.sent), ([False], 0))
         self.third.features = Feature.LINE
-        self.network.hear_all()
+        self.network.exchange_reports()
         self.network.settle()
         self.network.play(0.2)
-        self.assertEqual(self.stand(self.first), [True])
+        self.assertEqual(self.coordinated(self.first), [True])
 
-    def test_nothing_is_sent_from_the_moment_on_that_one_is_heard_that_cannot(self):
+    def test_nothing_is_sent_once_a_node_without_the_feature_is_heard(self):
         """An older build does not know these messages, and may have replaced a node of the zone."""
         self.first.ask(1, 1.0)
         self.network.play(0.2)
         self.third.features = Feature.NONE
-        self.network.hear_all()
+        self.network.exchange_reports()
         self.network.queue.clear()
         self.network.sent = 0
         self.network.online -= 1
         self.network.play(0.3)
-        self.assertEqual((self.stand(self.first), self.network.sent), ([False], 0))
+        self.assertEqual((self.coordinated(self.first), self.network.sent), ([False], 0))
 
-    def test_a_keeper_that_leaves_grants_nothing_to_those_that_it_knows(self):
+    def test_draining_coordinator_grants_nothing_by_earlier_reports(self):
         """From its last report on, other nodes coordinate the queue and grant the same slots."""
         coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
@@ -551,7 +551,7 @@
         self.network.play(0.3)
         self.assertEqual(self.network.order, [])
 
-    def test_a_single_free_slot_of_another_zone_goes_to_who_has_no_engine_near(self):
+    def test_single_free_slot_elsewhere_is_granted_without_local_engines(self):
         line = self.first.line
         far = SimpleNamespace(life="f", slots=4, zone="y", service="s")
         line._fleet.engines = lambda service: [far]
@@ -562,11 +562,11 @@
         line._zone_count = 2
         self.assertEqual(line._free_slots("s"), 2)
 
-    def test_nothing_is_sent_while_nobody_waits(self):
+    def test_nothing_is_sent_while_no_request_waits(self):
         self.network.play(1.0)
         self.assertEqual(self.network.sent, 0)
 
-    def test_operators_see_the_line(self):
+    def test_status_shows_the_queue(self):
         self.first.ask(1, 1.0)
         self.network.play(0.1)
         kept = self.network.nodes[self.network.coordinator].line.fields()["kept"]
@@ -578,14 +578,14 @@
     MESSAGE_TIME = 75e-6
     """Upper bound of the seconds of a core for reading and answering one report."""
 
-    def test_a_keeper_reads_no_more_than_its_part_of_a_core_allows(self):
+    def test_coordinator_stays_within_its_share_of_a_core(self):
         for nodes in (5, 22, 65, 127):
             rate = nodes / state_interval(nodes)
             self.assertLessEqual(rate, STATES_PER_SECOND + 1e-6)
             self.assertLessEqual(rate * self.MESSAGE_TIME * 2, self.CORE_SHARE)
         self.assertEqual(state_interval(1), MIN_STATE_INTERVAL)
 
-    def test_states_of_a_zone_come_no_more_often_than_planned(self):
+    def test_reports_of_a_zone_stay_within_the_planned_rate(self):
         network = Network(count=8)
         for one in network.nodes.values():
             for number in range(20):
--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -68,7 +68,7 @@
 
 class StoreTest(unittest.TestCase):
     @given(STEPS)
-    def test_bytes_come_out_once_in_order_and_within_the_budget(self, steps):
+    def test_bytes_are_delivered_once_in_order_within_the_budget(self, steps):
         budget = MemoryBudget(ROOM)
         streams = [Stream(budget, number) for number in range(STREAMS)]
         now = 0.0
@@ -109,7 +109,7 @@
                 self.assertEqual(one.holding.size, 0)
                 self.assertEqual(one.store.first(), b"")
 
-    def test_a_store_that_stays_full_is_given_up(self):
+    def test_buffer_that_stays_full_is_given_up(self):
         budget = MemoryBudget(LIMIT)
         holding = BufferAccount("t")
         store = EventBuffer(budget, holding)
@@ -120,7 +120,7 @@
         self.assertIs(holding.cause, CutCause.STORE_FULL)
         self.assertEqual(budget.held, 0)
 
-    def test_waits_for_room_count_together(self):
+    def test_waits_for_space_add_up(self):
         budget = MemoryBudget(LIMIT)
         store = EventBuffer(budget, BufferAccount("t"))
         full = b"x" * (budget.stream_limit - EVENT_OVERHEAD)
@@ -131,7 +131,7 @@
         store.put(full, 10.0)
         self.assertAlmostEqual(store.max_wait(10, 10.0), MAX_BACKPRESSURE - 1.5)
 
-    def test_an_event_larger_than_a_store_passes_alone(self):
+    def test_event_larger_than_a_buffer_is_accepted_alone(self):
         budget = MemoryBudget(LIMIT)
         store = EventBuffer(budget, BufferAccount("t"))
         size = budget.stream_limit - EVENT_OVERHEAD + 1
@@ -163,36 +163,36 @@
         self.assertEqual(self.budget.take(holding, size, now), [])
         return holding
 
-    def test_who_holds_most_for_longest_is_cut_first(self):
+    def test_largest_and_oldest_is_given_up_first(self):
         old_and_small, old = self.hold("a", 50, 0.0), self.hold("a", 150, 0.0)
         new = self.hold("a", 160, 9.0)
         self.assertEqual(self.budget.take(new, 50, 10.0), [old])
         self.assertIs(old.cause, CutCause.MEMORY_SHORT)
         self.assertEqual((old_and_small.cause, new.cause), (None, None))
 
-    def test_the_tenant_that_holds_most_pays(self):
+    def test_tenant_holding_most_is_given_up_first(self):
         one = self.hold("a", 100, 0.0)
         several = [self.hold("b", 70, 5.0) for _ in range(4)]
         self.assertEqual(self.budget.take(one, 50, 6.0), several[:1])
 
-    def test_who_asks_for_more_than_its_share_does_not_push_others_out(self):
+    def test_client_over_its_share_does_not_evict_others(self):
         other = self.hold("a", 150, 0.0)
         asking = self.hold("b", 200, 5.0)
         self.assertEqual(self.budget.take(asking, 100, 6.0), [asking])
         self.assertIsNone(other.cause)
 
-    def test_who_has_caught_up_is_as_new(self):
+    def test_client_that_caught_up_counts_as_new(self):
         first, second = self.hold("a", 150, 0.0), self.hold("a", 100, 90.0)
         self.budget.give(first, 150, 100.0)
         self.budget.take(first, 200, 100.0)
         self.assertEqual(self.budget.take(first, 150, 100.5), [second])
 
-    def test_more_than_the_budget_costs_nobody_else(self):
+    def test_request_beyond_the_budget_evicts_nobody_else(self):
         other, asking = self.hold("a", 100, 0.0), BufferAccount("b")
         self.assertEqual(self.budget.take(asking, LIMIT + 1, 1.0), [asking])
         self.assertIsNone(other.cause)
 
-    def test_a_share_of_the_machine(self):
+    def test_budget_is_a_share_of_the_machine(self):
         self.assertEqual(slow_client_bytes(160), 10_000_000)
         self.assertEqual(slow_client_bytes(None), 16_000_000)
 
@@ -200,18 +200,18 @@
 RATE = 4_096
 
 
-class TransferPaceTest(unittest.TestCase):
+class MinTransferRateTest(unittest.TestCase):
     def test_a_body_may_fall_behind_for_a_while(self):
         pace = MinTransferRate(RATE, 3.0, 10.0)
         self.assertEqual(pace.seconds_left(10.0), 3.0)
         self.assertEqual(pace.seconds_left(13.0), 0.0)
 
-    def test_what_came_early_is_no_credit(self):
+    def test_early_bytes_are_no_credit(self):
         pace = MinTransferRate(RATE, 3.0, 0.0)
         pace.record(4_000_000, 0.0)
         self.assertEqual(pace.seconds_left(0.0), 3.0)
 
-    def test_the_slowest_pace_goes_on_forever(self):
+    def test_transfer_at_the_minimum_rate_never_fails(self):
         pace = MinTransferRate(RATE, 3.0, 0.0)
         for second in range(1, 100):
             pace.record(RATE, float(second))
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -40,7 +40,7 @@
     def events(self, event):
         return self.fleet.events("n0", event)
 
-    def assert_too_slow(self, connection, within=2.0):
+    def assert_rejected_as_slow(self, connection, within=2.0):
         started = time.monotonic()
         answer = read_answer(connection)
         self.assertLess(time.monotonic() - started, within)
@@ -52,16 +52,16 @@
 
 
 class SlowBodyTest(BodyCase):
-    def test_a_body_that_stops_is_told_so(self):
+    def test_stalled_body_gets_408(self):
         connection = self.begin("Content-Length: 1000")
         connection.sendall(b"some")
-        answer = self.assert_too_slow(connection)
+        answer = self.assert_rejected_as_slow(connection)
         self.assertEqual(answer.document["error"]["verdict"], "not_run")
         self.assertEqual(answer.document["error"]["code"], "body_too_slow")
         (told,) = self.events(Event.BODY_TOO_SLOW)
         self.assertEqual((told["request"], told["size"]), ("r1", 4))
 
-    def test_a_body_that_trickles_is_told_so(self):
+    def test_trickling_body_gets_408(self):
         for headers in (
             ("Content-Length: 1000",),
             ("Transfer-Encoding: chunked",),
@@ -87,11 +87,11 @@
                 connection.sendall(piece)
                 gevent.sleep(0.05)
 
-    def test_a_job_that_trickles_is_told_so(self):
+    def test_trickling_job_gets_408(self):
         connection = self.begin("Content-Length: 1000", path=BATCH_PATH)
-        self.assert_too_slow(connection)
+        self.assert_rejected_as_slow(connection)
 
-    def test_a_body_at_a_bearable_pace_is_served(self):
+    def test_body_above_the_minimum_rate_is_served(self):
         connection = self.begin("Content-Length: 8000")
         for _ in range(8):
             connection.sendall(b"x" * 1_000)
@@ -148,7 +148,7 @@
     patience_ms = 3_000
     """Longer than a body may lag before it counts as held memory."""
 
-    def test_bodies_that_keep_up_are_read_whatever_they_hold(self):
+    def test_bodies_that_keep_up_are_read_beyond_the_budget(self):
         budget = self.node.slow_clients.budget
         budget.limit = 5_000
         for framing in ("Content-Length: 6000", "Transfer-Encoding: chunked"):
@@ -166,7 +166,7 @@
                 self.assertEqual(self.engine.bodies["r1"], b"x" * 6_000)
         self.assertEqual(self.events(Event.SLOW_CLIENT_CUT), [])
 
-    def test_a_node_that_stood_still_counts_no_body_for_it(self):
+    def test_suspended_node_counts_no_body_as_lagging(self):
         budget = self.node.slow_clients.budget
         budget.limit = 5_000
         connections = [self.begin("Content-Length: 6000") for _ in range(3)]
@@ -182,7 +182,7 @@
         self.assertEqual([read_answer(connection).status for connection in connections], [200] * 3)
         self.assertEqual(self.events(Event.SLOW_CLIENT_CUT), [])
 
-    def test_a_node_that_is_busy_counts_no_body_for_it(self):
+    def test_busy_node_counts_no_body_as_lagging(self):
         budget = self.node.slow_clients.budget
         budget.limit = 5_000
         connections = [self.begin("Content-Length: 6000") for _ in range(3)]
@@ -196,7 +196,7 @@
         self.assertEqual([read_answer(connection).status for connection in connections], [200] * 3)
         self.assertEqual(self.events(Event.SLOW_CLIENT_CUT), [])
 
-    def test_one_that_lags_gives_way_and_those_that_keep_up_do_not(self):
+    def test_lagging_body_is_given_up_before_those_that_keep_up(self):
         budget = self.node.slow_clients.budget
         budget.limit = 5_000
         slow = self.begin("Content-Length: 10000")
@@ -210,7 +210,7 @@
         self.assertEqual(self.events(Event.SLOW_CLIENT_CUT), [])
         slow.sendall(b"x" * 2_500)
         self.engine.runs.clear()
-        self.assert_too_slow(slow)
+        self.assert_rejected_as_slow(slow)
 
     def test_bodies_that_come_slowly_count_in_the_budget(self):
         budget = self.node.slow_clients.budget
@@ -220,13 +220,13 @@
         wait_until(lambda: budget.held == 3_000)
         second = self.begin("Content-Length: 10000")
         second.sendall(b"x" * 2_500)
-        self.assert_too_slow(first)
+        self.assert_rejected_as_slow(first)
         (told,) = self.events(Event.SLOW_CLIENT_CUT)
         self.assertEqual(told["cause"], "memory_short")
 
 
 class SlowHeadTest(BodyCase):
-    def test_a_head_that_stops_or_trickles_is_told_so(self):
+    def test_stalled_or_trickling_headers_get_408(self):
         for begin in (b"P", b"POST /once/ HTTP/1.1\r\nHost: h"):
             with self.subTest(begin):
                 connection = self.fleet.connect("n0")
@@ -234,9 +234,9 @@
                 connection.sendall(begin)
                 gevent.sleep(0.1)
                 connection.sendall(begin[-1:])
-                self.assert_too_slow(connection)
+                self.assert_rejected_as_slow(connection)
 
-    def test_a_head_in_pieces_is_served(self):
+    def test_headers_in_pieces_are_served(self):
         connection = self.fleet.connect("n0")
         self.addCleanup(connection.close)
         head = f"POST {ONCE_PATH} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r1\r\n"
@@ -249,7 +249,7 @@
         answer = read_answer(connection)
         self.assertEqual((answer.status, answer.whole), (200, True))
 
-    def test_a_connection_may_rest_longer_than_a_head_takes(self):
+    def test_connection_may_be_idle_longer_than_the_header_timeout(self):
         connection = self.begin("Content-Length: 0", keep=True)
         wait_until(lambda: self.engine.runs)
         gevent.sleep(3 * PATIENCE_MS / 1000)
@@ -263,7 +263,7 @@
         self.assertEqual(data.count(b"HTTP/1.1 200"), 2)
 
 
-class StandstillTest(BodyCase):
+class SuspendedNodeTest(BodyCase):
     """A node that was suspended for longer than a client may lag must not blame its clients."""
 
     REST = {
@@ -271,27 +271,27 @@
         "Transfer-Encoding: chunked": (b"4\r\nsome\r\n", b"4\r\nbody\r\n0\r\n\r\n"),
     }
 
-    def stand_still_before_the_rest(self, connection, rest):
+    def suspend_before_the_rest(self, connection, rest):
         """Send the rest while the node is suspended."""
         gevent.sleep(0.05)
         connection.sendall(rest)
         time.sleep(2 * PATIENCE_MS / 1000)
 
-    def test_a_body_that_came_meanwhile_is_served(self):
+    def test_body_received_meanwhile_is_served(self):
         for framing, (first, rest) in self.REST.items():
             with self.subTest(framing):
                 connection = self.begin(framing)
                 connection.sendall(first)
-                self.stand_still_before_the_rest(connection, rest)
+                self.suspend_before_the_rest(connection, rest)
                 self.assertEqual(read_answer(connection).status, 200)
                 self.assertEqual(self.engine.bodies["r1"], b"somebody")
 
-    def test_a_head_that_came_meanwhile_is_served(self):
+    def test_headers_received_meanwhile_are_served(self):
         connection = self.fleet.connect("n0")
         self.addCleanup(connection.close)
         connection.sendall(f"POST {ONCE_PATH} HTTP/1.1\r\nHost: ".encode())
         rest = f"{HOST}\r\nRequest-Id: r1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-        self.stand_still_before_the_rest(connection, rest.encode())
+        self.suspend_before_the_rest(connection, rest.encode())
         self.assertEqual(read_answer(connection).status, 200)
 
 
@@ -323,8 +323,8 @@
         return sum(row["online"] for row in self.node.status_document()["engines"])
 
     def test_a_request_goes_on_elsewhere_where_it_may(self):
-        deaf = self.fleet.engines[0]
-        deaf.reads = False
+        stalled = self.fleet.engines[0]
+        stalled.reads = False
         for number in range(2):
             request_id = f"r{number}"
             started = time.monotonic()
@@ -342,7 +342,7 @@
         self.assertGreater(time.monotonic() - started, 2.5)
         self.assertEqual((answer.status, answer.whole), (200, True))
 
-    def test_one_that_may_run_once_ends_as_may_have_run(self):
+    def test_request_on_a_once_route_ends_as_may_have_run(self):
         for engine in self.fleet.engines:
             engine.reads = False
         answer = self.fleet.request("n0", ONCE_PATH, body=self.BODY)
--- a/tests/test_requests_that_end_engines.py
+++ b/tests/test_requests_that_end_engines.py
@@ -39,7 +39,7 @@
 from tests.waiting import wait_until
 
 FATAL = b"the body under which engines end"
-ENOUGH_ENDS = 3
+MAX_CRASHES = 3
 """Engines that may crash before a request is quarantined."""
 
 
@@ -66,7 +66,7 @@
         known = self.fleet.nodes[node].status_document()["quarantine"]
         return {one["digest"]: one["ends"] for one in known if one["ends"]}
 
-    def wait_for_news(self):
+    def wait_until_shared(self):
         """Wait until all nodes know the same; how soon they do is tested under virtual time."""
 
         def alike():
@@ -82,14 +82,14 @@
 
 
 class OnlineTest(FatalRequestCase):
-    def test_a_request_that_comes_again_and_again_ends_few_engines(self):
+    def test_repeated_request_crashes_few_engines(self):
         answers = []
         for number in range(12):
             answers.append(self.send_fatal(f"n{number % self.nodes}", number))
-            self.wait_for_news()
-        self.assertLessEqual(len(self.ended()), ENOUGH_ENDS, [one.status for one in answers])
+            self.wait_until_shared()
+        self.assertLessEqual(len(self.ended()), MAX_CRASHES, [one.status for one in answers])
 
-    def test_it_is_known_from_whatever_address_and_with_whatever_headers_it_comes(self):
+    def test_it_is_recognised_with_any_address_and_headers(self):
         """It came from one address in each zone; its headers may change as well."""
         for number in range(12):
             self.send_fatal(
@@ -98,8 +98,8 @@
                 caller=f"127.0.0.{1 + number % 5}",
                 headers=[("Length-Hint", str(number))],
             )
-            self.wait_for_news()
-        self.assertLessEqual(len(self.ended()), ENOUGH_ENDS + HOLD_ALL_VARIANTS_AFTER - 1)
+            self.wait_until_shared()
+        self.assertLessEqual(len(self.ended()), MAX_CRASHES + HOLD_ALL_VARIANTS_AFTER - 1)
 
 
 class FailureTest(FatalRequestCase):
@@ -114,17 +114,17 @@
 
     def test_a_failure_does_not_clear_it(self):
         self.send_fatal("n0", 0)
-        self.wait_for_news()
+        self.wait_until_shared()
         self.assertEqual(len(self.ended()), 2)
-        self.fail_it(True)
+        self.set_failing(True)
         self.assertIn(self.send_fatal("n1", 1).status, (500, 502))
-        self.fail_it(False)
+        self.set_failing(False)
         for number in range(2, 12):
             self.send_fatal(f"n{number % self.nodes}", number)
-            self.wait_for_news()
-        self.assertLessEqual(len(self.ended()), ENOUGH_ENDS)
+            self.wait_until_shared()
+        self.assertLessEqual(len(self.ended()), MAX_CRASHES)
 
-    def fail_it(self, fails):
+    def set_failing(self, fails):
         """Make engines answer with a failure, or crash under the request again."""
         for engine in self.fleet.engines:
             engine.usual = Behaviour(status=500 if fails else 200)
@@ -134,11 +134,11 @@
 class WaitingTest(unittest.TestCase):
     """A request waits for an engine while other nodes learn that it crashes engines."""
 
-    def test_it_is_looked_at_again_before_it_is_sent(self):
+    def test_quarantine_is_checked_again_before_sending(self):
         identity, quarantine = RequestIdentity(b"0123456789abcdef", 1), Quarantine("n0")
 
         def await_engines(service, patience):
-            for number in range(ENOUGH_ENDS):
+            for number in range(MAX_CRASHES):
                 quarantine.record_end(identity, f"e{number}", 0.0, 0.0)
             return True
 
@@ -166,7 +166,7 @@
 
 
 class BatchItemTest(FatalRequestCase):
-    def test_an_item_ends_few_engines(self):
+    def test_item_crashes_few_engines(self):
         item = {
             "id": "i1",
             "path": f"{BATCH_PATH}1/x",
@@ -179,15 +179,15 @@
         self.assertEqual(accepted.status, 202)
         gevent.sleep(4.0)
         self.assertGreaterEqual(len(self.ended()), 1)
-        self.assertLessEqual(len(self.ended()), ENOUGH_ENDS)
+        self.assertLessEqual(len(self.ended()), MAX_CRASHES)
 
 
 class KnowledgeTest(FatalRequestCase):
-    def hold_back(self):
+    def send_until_quarantined(self):
         """Send the request until it is quarantined; returns the number of its next id."""
         for number in range(12):
             answer = self.send_fatal(f"n{number % self.nodes}", number)
-            self.wait_for_news()
+            self.wait_until_shared()
             if b"request_quarantined" in answer.body:
                 return number + 1
         raise AssertionError("it is not held back")
@@ -195,13 +195,13 @@
     def serve(self, node, **changes):
         return self.fleet.request(node, STREAM_PATH + "x", **changes)
 
-    def spare_engines(self):
+    def stop_crashes(self):
         """Make no engine crash any more."""
         for engine in self.fleet.engines:
             engine.fatal_bodies.clear()
 
-    def test_its_caller_hears_at_once_and_is_not_called_back(self):
-        number = self.hold_back()
+    def test_its_caller_gets_a_final_error_at_once(self):
+        number = self.send_until_quarantined()
         answer = self.send_fatal("n0", number)
         self.assertEqual(answer.status, 502)
         self.assertNotIn("retry-after", answer.headers)
@@ -209,8 +209,8 @@
         self.assertTrue(self.fleet.events("n0", Event.REQUEST_QUARANTINED))
 
     def test_others_are_served_meanwhile(self):
-        self.hold_back()
-        self.spare_engines()
+        self.send_until_quarantined()
+        self.stop_crashes()
         wait_until(lambda: self.serve("n0").status == 200)
         self.assertEqual(self.serve("n1", body=b"other").status, 200)
         other_caller = [("Authorization", "Bearer somebody")]
@@ -218,16 +218,16 @@
         self.assertEqual(self.serve("n1", body=FATAL).status, 502)
         self.assertEqual(self.fleet.request("n1", STREAM_PATH + "y", body=FATAL).status, 200)
 
-    def test_a_node_that_starts_learns_before_it_serves(self):
-        number = self.hold_back()
+    def test_starting_node_learns_before_it_serves(self):
+        number = self.send_until_quarantined()
         ended = len(self.ended())
         self.fleet.start_node("n9")
         wait_until(lambda: self.fleet.nodes["n9"].ready)
         self.assertIn(b"request_quarantined", self.send_fatal("n9", number).body)
         self.assertEqual(len(self.ended()), ended)
 
-    def test_a_fleet_that_was_lost_as_a_whole_knows_from_the_store(self):
-        number = self.hold_back()
+    def test_restarted_fleet_learns_from_the_store(self):
+        number = self.send_until_quarantined()
         ended = len(self.ended())
         wait_until(lambda: self.fleet.topics.newest("quarantine", 0)[0].records)
         for name in list(self.fleet.nodes):
@@ -237,8 +237,8 @@
         self.assertIn(b"request_quarantined", self.send_fatal("m0", number).body)
         self.assertEqual(len(self.ended()), ended)
 
-    def test_a_node_that_hears_nobody_any_more_asks_the_store(self):
-        number = self.hold_back()
+    def test_isolated_node_asks_the_store(self):
+        number = self.send_until_quarantined()
         wait_until(lambda: self.fleet.topics.newest("quarantine", 0)[0].records)
         self.fleet.start_node("n9")
         node = self.fleet.nodes["n9"]
@@ -249,8 +249,8 @@
         wait_until(lambda: node.status_document()["quarantine"])
         self.assertIn(b"request_quarantined", self.send_fatal("n9", number).body)
 
-    def test_a_node_that_stood_still_asks(self):
-        number = self.hold_back()
+    def test_suspended_node_asks(self):
+        number = self.send_until_quarantined()
         stalled = SuspendedClock()
         self.fleet.start_node("n9", clock=stalled)
         node = self.fleet.nodes["n9"]
@@ -263,8 +263,8 @@
         self.assertIn(b"request_quarantined", self.send_fatal("n9", number).body)
 
     def test_an_answer_clears_it_at_all_nodes(self):
-        self.hold_back()
-        self.spare_engines()
+        self.send_until_quarantined()
+        self.stop_crashes()
         for node in self.fleet.nodes.values():
             entry = node._quarantine.entry(node._quarantine.digests()[0])
             for failure in entry.failures.values():
@@ -276,7 +276,7 @@
 
 
 class InnocentTest(FatalRequestCase):
-    def test_requests_beside_it_go_on_and_are_cleared(self):
+    def test_concurrent_requests_continue_and_are_cleared(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(events=4, pause=0.05)
         bystanders = [
@@ -291,7 +291,7 @@
         answers = [one.get() for one in bystanders]
         self.assertGreaterEqual(sum(one.status == 200 for one in answers), 9)
 
-    def test_one_that_engines_ran_for_long_is_not_held_back_when_they_end(self):
+    def test_long_running_request_is_not_quarantined_by_engine_crashes(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(events=40, pause=0.05)
         clients = [
@@ -305,7 +305,7 @@
         for node in self.fleet.nodes.values():
             self.assertEqual(node.status_document()["quarantine"], [])
 
-    def test_engines_whose_connections_are_cut_and_that_live_hold_nobody_back(self):
+    def test_connection_failures_of_running_engines_quarantine_nothing(self):
         """Each engine answers others as soon as the node uses it again, a second later."""
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=-1)]
@@ -329,7 +329,7 @@
     three runs allowed, two nodes ran the item five times.
     """
 
-    def test_its_runs_count_over_the_nodes_that_work_on_its_job(self):
+    def test_runs_are_counted_across_nodes(self):
         fleet = GatewayFleet(nodes=2, engines=2)
         self.addCleanup(fleet.stop)
         wait_until(lambda: all(len(one.peers.all()) == 1 for one in fleet.nodes.values()))
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -66,7 +66,7 @@
 
 
 class ReadAheadTest(SlowClientCase):
-    def test_a_client_that_stalls_keeps_no_engine(self):
+    def test_stalled_client_occupies_no_engine(self):
         connection = self.send("r1")
         wait_until(lambda: any(engine.runs for engine in self.fleet.engines))
         wait_until(lambda: self.placed() == 0, 5.0)
@@ -80,7 +80,7 @@
         self.assertEqual(self.node.status_document()["readers"], [])
         self.assertEqual(len(self.events(Event.CLIENT_LAGS)), 1)
 
-    def test_events_stay_apart(self):
+    def test_events_stay_separate_chunks(self):
         connection = self.send("r1")
         wait_until(lambda: self.held() > SIZE / 2)
         connection.settimeout(10.0)
@@ -96,13 +96,13 @@
         events = whole_stream("r1").split(b"\n\n")[:-1]
         self.assertEqual(sizes, [len(one) + 2 for one in events] + [0])
 
-    def test_a_client_that_keeps_up_is_no_slow_one(self):
+    def test_client_that_keeps_up_does_not_count_as_slow(self):
         self.answer_with(events=3, padding=10)
         answer = read_answer(self.send("r1"))
         self.assertEqual(answer.body, whole_stream("r1", 3, 10))
         self.assertEqual(self.events(Event.CLIENT_LAGS), [])
 
-    def test_an_answer_that_is_no_stream_counts_too(self):
+    def test_response_that_is_not_a_stream_counts_too(self):
         self.answer_with(events=EVENTS, padding=PADDING, content_type="text/plain")
         connection = self.send("r1")
         wait_until(lambda: self.held() >= SIZE)
@@ -111,7 +111,7 @@
         self.assertEqual((answer.body, answer.whole), (whole_stream("r1"), True))
         wait_until(lambda: self.held() == 0)
 
-    def test_an_answer_that_is_taken_as_it_comes_counts_for_nothing(self):
+    def test_response_read_at_full_speed_does_not_count(self):
         """The response is larger than the socket buffers: a write has to wait for any client."""
         self.node.slow_clients.budget.limit = SIZE // 2
         self.answer_with(events=EVENTS, padding=PADDING, content_type="text/plain")
@@ -122,7 +122,7 @@
         wait_until(lambda: not self.node.application.in_progress)
         self.assertEqual((self.held(), self.node.status_document()["readers"]), (0, []))
 
-    def test_a_slow_stream_goes_on_at_another_engine(self):
+    def test_slow_stream_resumes_at_another_engine(self):
         plan = [Behaviour(events=EVENTS, padding=PADDING, cut_after=120)]
         for engine in self.fleet.engines:
             engine.plan = plan
@@ -133,7 +133,7 @@
         answer = read_answer(connection)
         self.assertEqual((answer.body, answer.whole), (whole_stream("r1"), True))
 
-    def test_an_answer_that_was_cut_looks_cut(self):
+    def test_truncated_response_looks_truncated(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(events=EVENTS, padding=PADDING, cut_after=120)
         connection = self.send("r1", ONCE_PATH)
@@ -152,7 +152,7 @@
         wait_until(lambda: self.held() == 0 and not self.node.application.in_progress)
         self.assertEqual(self.node.status_document()["readers"], [])
 
-    def test_a_client_that_leaves_a_whole_answer_frees_it(self):
+    def test_client_disconnecting_from_a_complete_response_frees_it(self):
         connection = self.send("r1")
         wait_until(lambda: self.held() > 0 and self.placed() == 0)
         connection.shutdown(sockets.SHUT_WR)
@@ -170,7 +170,7 @@
 
 
 class ManyClientsTest(SlowClientCase):
-    def test_quick_clients_are_served_beside_many_that_stall(self):
+    def test_fast_clients_are_served_beside_many_stalled_ones(self):
         stalled = [self.send(f"slow-{number}") for number in range(24)]
         wait_until(lambda: len(self.events(Event.CLIENT_LAGS)) == 24)
         for number in range(8):
@@ -215,7 +215,7 @@
         self.addCleanup(greenlet.kill)
         return most
 
-    def test_who_holds_most_for_longest_is_cut(self):
+    def test_largest_and_oldest_is_disconnected(self):
         self.budget.limit = 3 * (SIZE + EVENTS * EVENT_OVERHEAD)
         # Lets one buffer hold a complete response here.
         self.budget.stream_share = 1.0
@@ -236,7 +236,7 @@
         wait_until(lambda: not self.node.application.in_progress)
         self.assertEqual(self.budget.held, 0)
 
-    def test_a_full_store_ends_its_stream_and_frees_its_engine(self):
+    def test_full_buffer_ends_its_stream_and_frees_its_engine(self):
         self.budget.limit = SIZE
         connection = self.send("r1")
         wait_until(lambda: self.held() > SIZE / 8)
@@ -248,7 +248,7 @@
         self.assertFalse(read_answer(connection).whole)
         wait_until(lambda: not self.node.application.in_progress)
 
-    def test_a_cut_stream_that_still_runs_leaves_its_engine(self):
+    def test_given_up_stream_frees_its_engine_while_running(self):
         self.answer_with(events=EVENTS, padding=PADDING, pause=0.01)
         connection = self.send("r1")
         wait_until(lambda: self.held() > 10 * PADDING)
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -26,13 +26,13 @@
     {"name": "cid", "apiKeys": ["cid-key"], "ratePerS": 0, "burst": 0},
     {"name": "dan", "apiKeys": ["dan-key"], "ratePerS": 40.0, "burst": 40.0},
 ]
-FILLED_AFTER = 4.0
+FILL_TIME = 4.0
 """Seconds after which the secondary lender has credit as well."""
-LATE = 0.15
+ANSWER_DELAY = 0.15
 """Seconds until a lender answers: later than the secondary lender is asked, but within the
 time-out."""
 WINDOW = 5.0
-ALLOWED = (RATE * WINDOW + BURST) * 1.1 + 20
+MAX_ADMITTED = (RATE * WINDOW + BURST) * 1.1 + 20
 
 
 class CreditCase(unittest.TestCase):
@@ -45,7 +45,7 @@
         wait_until(lambda: all(len(one.peers.all()) == self.nodes - 1 for one in nodes))
         self.sent = 0
         # Buckets are empty at first, since no node knows what was lent before.
-        gevent.sleep(FILLED_AFTER)
+        gevent.sleep(FILL_TIME)
 
     def send(self, node, tenant="ann"):
         self.sent += 1
@@ -74,11 +74,11 @@
         for node in self.fleet.nodes.values():
             node._limits.primary_timeout = node._limits.call_timeout = PATIENCE
 
-    def test_a_flood_at_all_nodes_is_held_to_one_limit(self):
+    def test_flood_at_all_nodes_stays_within_one_limit(self):
         answers = self.flood(["n0", "n1", "n2"], 90)
         refused = [one for one in answers if one.status == 429]
         self.assertEqual(len(refused) + self.runs(), 90)
-        self.assertLessEqual(self.runs(), ALLOWED)
+        self.assertLessEqual(self.runs(), MAX_ADMITTED)
         self.assertGreater(self.runs(), BURST)
         for answer in refused:
             self.assertEqual(answer.document["error"]["verdict"], "not_run")
@@ -86,11 +86,11 @@
         told = [self.fleet.events(name, Event.TENANT_OVER_LIMIT) for name in self.fleet.nodes]
         self.assertLessEqual({one["lender"] for one in itertools.chain(*told)}, set(self.choices()))
 
-    def test_no_value_and_zero_mean_no_limit_and_nobody_is_asked(self):
+    def test_absent_or_zero_rate_means_no_limit(self):
         for tenant in ("bob", "cid"):
             self.assertEqual({one.status for one in self.flood(["n0", "n1"], 60, tenant)}, {200})
 
-    def test_a_hot_tenant_takes_nothing_from_others(self):
+    def test_tenant_over_its_limit_does_not_affect_others(self):
         self.flood(["n0", "n1", "n2"], 60)
         self.assertEqual({one.status for one in self.flood(["n0"], 5, "bob")}, {200})
 
@@ -104,19 +104,19 @@
     after `no reply in 0.1 s` (event 228) from nodes that were alive.
     """
 
-    def test_what_it_lends_late_is_taken(self):
+    def test_late_credit_is_accepted(self):
         first, second = self.choices()
         (other,) = {"n0", "n1", "n2"} - {first, second}
         limits = self.fleet.nodes[first]._limits.limits
         lend = limits.try_acquire
 
         def lend_late(*arguments):
-            gevent.sleep(LATE)
+            gevent.sleep(ANSWER_DELAY)
             return lend(*arguments)
 
         limits.try_acquire = lend_late
         # A busy machine makes any answer of this single process late.
-        self.assertGreater(CALL_TIMEOUT, 2 * LATE)
+        self.assertGreater(CALL_TIMEOUT, 2 * ANSWER_DELAY)
         self.fleet.nodes[other]._limits.call_timeout = PATIENCE
         # The bucket holds enough credit for all of these, that of the secondary lender does not.
         self.assertEqual({one.status for one in self.flood([other], 10)}, {200})
@@ -124,7 +124,7 @@
 
 
 class LenderGoneTest(CreditCase):
-    def test_the_second_choice_lends_at_once_and_soon_all_of_it(self):
+    def test_secondary_lender_lends_at_once_and_soon_everything(self):
         first, second = self.choices()
         (other,) = {"n0", "n1", "n2"} - {first, second}
         self.fleet.kill(first)
@@ -140,14 +140,14 @@
         told = {credit.reply(ask).lending for _ in range(20)}
         self.assertEqual(told, {CreditOutcome.GRANTED.value, CreditOutcome.NOT_OWNER.value})
 
-    def test_a_leaving_node_lends_no_more(self):
+    def test_draining_node_lends_no_more(self):
         first = self.choices()[0]
         rest = [name for name in self.fleet.nodes if name != first]
         self.fleet.nodes[first].request_drain()
         views = [self.fleet.nodes[name]._limits.limits for name in rest]
         wait_until(lambda: all(one.choices("ann")[0] != first for one in views))
 
-    def test_a_node_that_reaches_nobody_says_so_and_runs_nothing(self):
+    def test_isolated_node_answers_503_and_runs_nothing(self):
         alone = next(name for name in self.fleet.nodes if name not in self.choices())
         credit = self.fleet.nodes[alone]._limits
         credit._call = lambda node_id, address, ask: None
@@ -170,7 +170,7 @@
         self.credit._call = lambda node_id, address, ask: None
         return self.send(self.node)
 
-    def test_a_client_comes_back_when_another_lends(self):
+    def test_client_retries_when_another_node_lends(self):
         answer = self.refuse()
         self.assertEqual(answer.status, 503)
         # No other node can lend earlier: a client that retries at once would be refused again.
@@ -178,18 +178,18 @@
         told = self.fleet.events(self.node, Event.LIMIT_UNKNOWN)[-1]
         self.assertEqual(told["known_in"], float(answer.headers["retry-after"]))
 
-    def test_one_with_too_little_time_for_that_comes_back_at_once(self):
+    def test_client_with_too_little_time_retries_at_once(self):
         self.refuse()
         headers = [("Api-Key", "ann-key"), ("Deadline-Ms", "1500")]
         answer = self.fleet.request(self.node, STREAM_PATH + "x", headers=headers, body=b"b")
         self.assertLess(float(answer.headers["retry-after"]), 0.2)
 
-    def test_one_that_hears_nobody_sends_it_to_others_at_once(self):
+    def test_node_that_hears_no_peers_sends_clients_away_at_once(self):
         self.refuse()
         self.credit._hears_zone_peers = lambda: False
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
-    def test_one_whose_lender_is_not_silent_but_sends_elsewhere_comes_back_at_once(self):
+    def test_client_retries_at_once_if_the_lender_is_not_silent(self):
         """Another node lends, and this one will hear of it in a moment."""
         self.refuse()
         self.credit._unresponsive_until.clear()
@@ -197,7 +197,7 @@
         self.credit._call = lambda node_id, address, ask: elsewhere
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
-    def test_what_a_second_choice_has_not_left_is_no_limit_reached(self):
+    def test_empty_secondary_bucket_does_not_mean_over_the_limit(self):
         self.refuse()
         over = CreditDecision(CreditOutcome.OVER_LIMIT, 3.0, 0.25)
         self.credit._request_credit = lambda node_id, tenant, work: (
@@ -221,10 +221,10 @@
         self.assertEqual({one.status for one in self.flood(["n0", "n1"], 2)}, {200})
         self.assertLess(gevent.get_hub().loop.now() - started, SETTLE_TIME)
 
-    def test_a_flood_is_told_to_come_back(self):
+    def test_flood_at_start_is_refused_with_429(self):
         self.start_anew()
         statuses = [one.status for one in self.flood(["n0", "n1"], 60)]
-        self.assertGreater(statuses.count(429), 60 - ALLOWED)
+        self.assertGreater(statuses.count(429), 60 - MAX_ADMITTED)
 
 
 class TakeoverTest(CreditCase):
@@ -239,7 +239,7 @@
         lender._limits.limits._forget(lender._clock.monotonic())
         return lender._limits
 
-    def test_one_far_below_its_limit_is_let_in(self):
+    def test_tenant_far_below_its_limit_is_admitted(self):
         for name in self.fleet.nodes:
             self.take_over("dan")
             self.assertEqual(self.send(name, "dan").status, 200)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -67,7 +67,7 @@
             self.assertNotIn("api-key", headers)
             self.assertNotIn(sent, str(headers))
 
-    def test_what_a_client_says_of_its_tenant_counts_for_nothing(self):
+    def test_client_cannot_claim_a_tenant(self):
         claims = (
             [("Tenant", "bob")],
             [("tEnAnT", "bob"), ("TENANT", "bob")],
@@ -84,7 +84,7 @@
                 told = [value for name, value in headers.items() if name.strip() == "tenant"]
                 self.assertEqual(told, ["ann"], claim)
 
-    def test_no_line_of_the_log_and_no_page_for_operators_tells_a_key(self):
+    def test_no_log_event_or_status_document_contains_a_key(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(cut_after=-1)
         self.send(key(KEY))
@@ -96,7 +96,7 @@
             self.assertNotIn(KEY, line)
             self.assertNotIn("nobody's", line)
 
-    def test_a_stream_that_goes_on_elsewhere_carries_its_tenant(self):
+    def test_resumed_stream_keeps_its_tenant(self):
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(cut_after=1)]
         self.assertTrue(self.send(key(KEY)).whole)
@@ -112,7 +112,7 @@
         self.assertEqual(self.send([("Tenant", "ann")]).status, 200)
         self.assertNotIn("tenant", self.heads()[0])
 
-    def test_a_key_that_is_sent_all_the_same_must_be_valid(self):
+    def test_optional_key_must_be_valid(self):
         self.assertEqual(self.send(key("nobody's")).status, 401)
         self.assertEqual(self.send(key(KEY)).status, 200)
         self.assertEqual(self.heads()[0]["tenant"], "ann")
@@ -126,13 +126,13 @@
         self.assertEqual(self.send(key(OTHER_KEY)).status, 401)
         self.assertEqual(self.send(key(SECOND_KEY)).status, 200)
 
-    def test_a_key_may_be_passed_on(self):
+    def test_key_may_move_to_another_tenant(self):
         self.fleet.configure(tenants=[{"name": "bob", "apiKeys": [KEY]}])
         self.in_force(4)
         self.assertEqual(self.send(key(KEY)).status, 200)
         self.assertEqual(self.heads()[0]["tenant"], "bob")
 
-    def test_a_stream_under_way_goes_on_when_its_key_goes(self):
+    def test_running_stream_continues_when_its_key_is_removed(self):
         """The request was allowed when it was sent; a change applies to later requests only."""
         for engine in self.fleet.engines:
             engine.plan = [Behaviour(pause=0.3, cut_after=2)]
@@ -146,7 +146,7 @@
         wait_until(lambda: len(self.heads()) == 2)
         self.assertEqual({headers["tenant"] for headers in self.heads()}, {"ann"})
 
-    def test_an_empty_list_of_tenants_lets_nobody_in(self):
+    def test_empty_tenant_list_rejects_all_requests(self):
         self.fleet.configure(tenants=[])
         self.in_force(4)
         self.assertEqual(self.send(key(KEY)).status, 401)
@@ -161,7 +161,7 @@
 
 
 class CutOffTest(TenantCase):
-    def test_a_node_that_may_have_missed_a_key_does_not_call_it_unknown(self):
+    def test_isolated_node_does_not_reject_an_unknown_key(self):
         """Guards against a final 401 for a new key that a node, being cut off, has not seen."""
         self.fleet.node_topics["n0"].silent = self.fleet.node_topics["n1"].silent = True
         wait_until(
@@ -209,7 +209,7 @@
             page = self.look("/api/lots/j?watchAfter=0", sent).document
             self.assertEqual(page["total"], total)
 
-    def test_taking_a_key_away_ends_no_job(self):
+    def test_removing_a_key_ends_no_job(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(pause=0.1)
         self.submit(KEY)
@@ -219,7 +219,7 @@
         self.assertEqual(self.look(path, KEY).status, 401)
         wait_until(lambda: len(self.look(path, SECOND_KEY).document["results"]) == 3)
 
-    def test_nothing_that_the_store_keeps_of_it_holds_the_key(self):
+    def test_no_stored_record_contains_the_key(self):
         document = json.loads(job_body("j"))
         for item in document["items"]:
             item["headers"]["Api-Key"] = KEY
