--- a/postvalve/gateway/serving/admission_queue.py
+++ b/postvalve/gateway/serving/admission_queue.py
@@ -154,12 +154,12 @@
         Raises:
             RefusedError: no engine has capacity in time, and the client can retry.
         """
-        held = PendingRequest(
+        pending = PendingRequest(
             arrived_at,
             route.target_latency,
             deadline,
             terms.own_tokens,
-            self._may_return(route, terms, deadline - arrived_at),
+            self._may_retry(route, terms, deadline - arrived_at),
         )
         place = QueuePosition(rank, arrived_at if tag is None else tag, deadline)
         if self._fleet.has_room(service) and (tag is None or self._is_first(service, place)):
@@ -168,7 +168,7 @@
         number = next(self._numbers)
         shared = tag is not None
         entry = _QueuedRequest(
-            terms.request_id, service, place, shared, number, held, disconnected, tenant
+            terms.request_id, service, place, shared, number, pending, disconnected, tenant
         )
         action, occupancies = self._decide_on_arrival(entry)
         if action is AdmissionAction.HOLD:
@@ -237,7 +237,7 @@
         # node.
         return own + _peers_ahead(heads, entry.place) * max(1, own)
 
-    def _may_return(self, route: RouteSpec, terms: RequestTerms, left: float) -> bool:
+    def _may_retry(self, route: RouteSpec, terms: RequestTerms, left: float) -> bool:
         """Whether a refused client would retry: its time left suggests that this is a first try."""
         if terms.allowed is None or terms.last_event_id is not None:
             return False
