--- a/postvalve/gateway/__init__.py
+++ b/postvalve/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Routed traffic: requests that pass through unchanged, and batch jobs of such requests."""
+"""Routed traffic: requests forwarded unchanged, and batch jobs made up of such requests."""
--- a/postvalve/gateway/serving/application.py
+++ b/postvalve/gateway/serving/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application for clients: routes, limits, answers and how they end."""
+"""The WSGI application that clients talk to: routing, request limits, responses and errors."""
 
 from __future__ import annotations
 
@@ -38,19 +38,21 @@
 from postvalve.gateway.serving.routed_run import RoutedRequest, RoutedRun, RunServices
 from postvalve.settings.routes import EdgeLimits, RouteSpec
 
-START_PATIENCE = 2.5
-"""Seconds that a request waits at a node that has just started, for its configuration and engines.
-A start takes less than one; entries of engines that lapsed with the store are back after two."""
-START_SHARE = 0.5
-"""Share of a request's time that it waits there; with the rest its client can be served
-elsewhere."""
-LEAVING_RETRY_AFTER = 0.1
-"""Seconds told to a client of a node that is about to end; others serve it at once."""
+STARTUP_WAIT = 2.5
+"""Seconds that a request waits at a node that has just started, until it has a configuration and
+engines. A start takes less than one second; directory entries that expired while the store was
+unavailable are back after two."""
+STARTUP_WAIT_SHARE = 0.5
+"""Fraction of a request's time that it may spend waiting for a node to start; the rest is left for
+the client to be served by another node."""
+DRAINING_RETRY_AFTER = 0.1
+"""Retry-After in seconds from a node that is draining; other nodes can serve the client at once."""
 NOT_READY_RETRY_AFTER = 0.5
-"""Seconds told to a client of a node that has no configuration yet."""
+"""Retry-After in seconds from a node that has no configuration yet."""
 DEADLINE_MARGIN = 0.02
-"""Seconds before the route's timeout at which a request is given up, to answer in time."""
-HOP_HEADERS = frozenset(
+"""Seconds before the route's timeout at which a request is given up, so that the error response
+still reaches the client in time."""
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -61,35 +63,35 @@
         "proxy-connection",
     )
 )
-"""Headers that concern one connection only."""
+"""Hop-by-hop headers, which apply to a single connection and are not forwarded."""
 
 StartResponse = Callable[..., Any]
 
 
 class GatewayApplication:
-    """Serves clients."""
+    """WSGI application of the client-facing server."""
 
     def __init__(
         self,
         services: RunServices,
         jobs: JobCalls,
         table: Callable[[], RouteTable | None],
-        started: GeventEvent,
+        usable: GeventEvent,
         generator: RandomSource,
         accounts: CallerAccounts,
         slow_clients: SlowClients,
     ) -> None:
         self._services = services
-        self._slow = slow_clients
+        self._slow_clients = slow_clients
         self._clock: Clock = services.clock
         self._events: EventLog = services.events
         self._jobs = jobs
         self._table = table
-        self._started = started
+        self._usable = usable
         self._random = generator
         self._accounts = accounts
         self.draining = False
-        """Whether connections end after their answers."""
+        """Whether responses carry `Connection: close`."""
         self.refusing = False
         """Whether new requests are refused."""
         self._runs: set[RoutedRun] = set()
@@ -98,7 +100,7 @@
         self.key_policy = KeyPolicy()
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one request and count it under its tenant."""
         self.in_progress += 1
         arrived_at = self._clock.monotonic()
         try:
@@ -118,8 +120,8 @@
         try:
             call = self._read_call(environ)
             if self.refusing:
-                raise DrainingError("this node is leaving", retry_after=LEAVING_RETRY_AFTER)
-            table = self._usable_table(call)
+                raise DrainingError("this node is leaving", retry_after=DRAINING_RETRY_AFTER)
+            table = self._wait_for_table(call)
             if self._jobs.matches(call):
                 caller = self._caller(call, table, needs_key=_needs_key(call, table))
                 account.exclude()
@@ -140,11 +142,11 @@
             yield from self._relay(request, environ, start_response)
         except PostvalveError as error:
             account.failed(error)
-            self._note_failure(request_id, error, arrived_at)
+            self._log_failure(request_id, error, arrived_at)
             yield from self._send(start_response, self._error_reply(error))
         except (GeneratorExit, TruncatedAnswer):
             raise
-        except Exception as error:  # every failure is answered, and the process goes on
+        except Exception as error:  # any failure gets a response, and the process keeps running
             account.failed(error)
             self._events.emit(Event.REQUEST_ERROR, request=request_id, error=repr(error))
             failure = PostvalveError("unexpected error")
@@ -158,7 +160,7 @@
             retry = [*retry, ("Connection", "close")]
         return error_reply(error, retry)
 
-    def _note_failure(self, request_id: str, error: PostvalveError, arrived_at: float) -> None:
+    def _log_failure(self, request_id: str, error: PostvalveError, arrived_at: float) -> None:
         if not request_id and error.http_status < 500:
             return
         self._events.emit(
@@ -179,7 +181,7 @@
             environ,
             limits.body_bytes if table else None,
             limits.header_timeout,
-            self._slow,
+            self._slow_clients,
             lambda: self._services.dialect.read_terms(headers).request_id,
         )
         call = HttpCall(
@@ -194,9 +196,9 @@
             raise HeadTooLargeError("the request's headers are too large")
         return call
 
-    def _usable_table(self, call: HttpCall) -> RouteTable:
-        """The configuration in force, alike for all that is decided of a request."""
-        self._await_start(call)
+    def _wait_for_table(self, call: HttpCall) -> RouteTable:
+        """Return the configuration in force, which is used for all decisions about this request."""
+        self._wait_until_usable(call)
         table = self._table()
         if table is None:
             raise NotReadyError(
@@ -205,14 +207,14 @@
         return table
 
     def _caller(self, call: HttpCall, table: RouteTable, *, needs_key: bool) -> Caller:
-        knowledge, key = self.state_age(), None
+        state_age, key = self.state_age(), None
         try:
             key = self._services.dialect.api_key(call.headers)
             return identify_caller(
                 table,
                 key,
                 needs_key=needs_key,
-                age=knowledge.revision_age,
+                age=state_age.revision_age,
                 policy=self.key_policy,
             )
         except AuthenticationError as exc:
@@ -221,18 +223,20 @@
                 request=self._services.dialect.read_terms(call.headers).request_id,
                 status=exc.http_status,
                 key=key is not None,
-                **knowledge.fields(),
+                **state_age.fields(),
                 error=exc.message,
             )
             raise
 
-    def _await_start(self, call: HttpCall) -> None:
-        """Wait for what this node needs to serve, within the request's time."""
-        if self._started.is_set():
+    def _wait_until_usable(self, call: HttpCall) -> None:
+        """Wait until this node can serve, within the time that the client allows."""
+        if self._usable.is_set():
             return
         allowed = self._services.dialect.read_terms(call.headers).allowed
-        patience = START_PATIENCE if allowed is None else min(START_PATIENCE, allowed * START_SHARE)
-        self._started.wait(patience)
+        max_wait = (
+            STARTUP_WAIT if allowed is None else min(STARTUP_WAIT, allowed * STARTUP_WAIT_SHARE)
+        )
+        self._usable.wait(max_wait)
 
     def _routed_request(
         self,
@@ -268,18 +272,23 @@
         run, connection = RoutedRun(self._services, request), environ[CONNECTION_KEY]
         self._runs.add(run)
         ahead = ReadAhead(
-            self._slow, run.events(), request.caller.name, request.terms.request_id, connection
+            self._slow_clients,
+            run.events(),
+            request.caller.name,
+            request.terms.request_id,
+            connection,
         )
         environ[ON_LAG_KEY] = ahead.on_client_lag
 
-        def client_gone() -> None:
-            run.client_gone()
-            ahead.client_gone()
+        def on_disconnect() -> None:
+            run.on_disconnect()
+            ahead.on_disconnect()
 
-        watch = DisconnectWatcher(connection, client_gone)
+        watch = DisconnectWatcher(connection, on_disconnect)
         try:
             answer = run.start()
-            # A later attempt has another head; the client sees that of the first.
+            # A retried attempt has response headers of its own; the client gets those of the first
+            # one.
             status, headers = f"{answer.status} {answer.reason}", self._answer_headers(answer)
             if not _is_stream(answer):
                 body = ahead.body(run.body())
@@ -287,7 +296,8 @@
                 yield body
                 return
             events = ahead.events()
-            # The head waits for the first event, so that a failure until then has a status.
+            # The headers are sent with the first event, so that a failure before it can still set
+            # the status.
             first = next(events, b"")
             start_response(status, headers)
             yield first
@@ -299,9 +309,9 @@
             self._runs.discard(run)
 
     def abandon(self) -> None:
-        """End every attempt under way."""
+        """Abort every request under way."""
         for run in list(self._runs):
-            run.client_gone()
+            run.on_disconnect()
 
     @staticmethod
     def _rest_of_stream(events: Iterator[bytes]) -> Iterator[bytes]:
@@ -312,7 +322,9 @@
 
     def _answer_headers(self, answer: EngineAnswer) -> list[tuple[str, str]]:
         headers = [
-            (name, value) for name, value in answer.headers if name.lower() not in HOP_HEADERS
+            (name, value)
+            for name, value in answer.headers
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         return [*headers, *self._connection_headers()]
 
@@ -331,7 +343,10 @@
 
 
 def _needs_key(call: HttpCall, table: RouteTable) -> bool:
-    """Whether a call about jobs needs a key: those of the host's open routes may have none."""
+    """Whether a call about jobs needs an API key.
+
+    It does not where the host has a batch route that allows anonymous requests.
+    """
     routes = table.routes_of_host(call.host)
     return not any(route.batch is not None and route.anonymous for route in routes)
 
--- a/postvalve/gateway/serving/caller_accounts.py
+++ b/postvalve/gateway/serving/caller_accounts.py
@@ -1,4 +1,4 @@
-"""What callers of this node got: how requests end, put into the accounts and told to operators."""
+"""Counts how requests at this node end, by tenant, for metrics, the status document and the log."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 from postvalve.gateway.serving.http_server import TruncatedAnswer
 
 SUMMARY_INTERVAL = 10.0
-"""Seconds between lines about what tenants got."""
-HOLDERS = 3
-"""Tenants that are named as those who hold engines."""
+"""Seconds between two log events that summarise what tenants got."""
+MAX_HOLDERS = 3
+"""Number of tenants named as those with the most requests at engines."""
 TENANTS_PER_LIST = 5
-"""Tenants of each order in such a line."""
+"""Number of tenants in each list of a summary event."""
 
-ENDS: dict[type[BaseException], End] = {
+END_BY_ERROR: dict[type[BaseException], End] = {
     AuthenticationError: End.KEY_UNKNOWN,
     KeyUnknownError: End.KEY_UNKNOWN,
     InvalidRequestError: End.INVALID,
@@ -59,50 +59,53 @@
     ClientGoneError: End.LEFT,
     GeneratorExit: End.LEFT,
 }
-"""How requests end by an error; the nearest class of an error counts."""
+"""The outcome that each error stands for; of an error's base classes the nearest one decides."""
 
 
 def end_of(error: BaseException) -> End:
-    """How a request ended that raised `error`."""
+    """Return the outcome of a request that raised `error`."""
     if isinstance(error, TruncatedAnswer) and error.__cause__ is not None:
         return end_of(error.__cause__)
     for kind in type(error).__mro__:
-        if kind in ENDS:
-            return ENDS[kind]
+        if kind in END_BY_ERROR:
+            return END_BY_ERROR[kind]
     not_run = isinstance(error, PostvalveError) and error.verdict is Verdict.NOT_RUN
     return End.REFUSED_ELSE if not_run else End.FAILED
 
 
 class RequestAccount:
-    """One request, from its arrival to its end; a context that ends it whatever happens."""
+    """Outcome and times of one request.
+
+    As a context manager it records the request on exit, whatever happened.
+    """
 
     __slots__ = (
+        "_accounts",
         "_arrived_at",
-        "_book",
         "_clock",
         "_counted",
         "_end",
-        "_first_at",
+        "_engine_seconds",
+        "_first_event_at",
         "_placed_at",
-        "_seconds",
         "_target_latency",
         "_tenant",
         "_waited",
     )
 
     def __init__(self, accounts: Accounts, clock: Clock, arrived_at: float) -> None:
-        self._book = accounts
+        self._accounts = accounts
         self._counted = True
         self._clock = clock
         self._arrived_at = arrived_at
         self._tenant = ""
         self._target_latency = 0.0
         self._waited: float | None = None
-        """Seconds until its first engine got it; None before."""
+        """Seconds until the first attempt at an engine began; None before that."""
         self._placed_at: float | None = None
-        """When the attempt under way began."""
-        self._first_at: float | None = None
-        self._seconds = 0.0
+        """When the current attempt began; None between attempts."""
+        self._first_event_at: float | None = None
+        self._engine_seconds = 0.0
         self._end: End | None = None
 
     def __enter__(self) -> RequestAccount:
@@ -120,115 +123,120 @@
         if not self._counted:
             return
         now = self._clock.monotonic()
-        self._book.record_request(
+        self._accounts.record_request(
             self._tenant,
             self._end or End.FAILED,
             now,
             waited=now - self._arrived_at if self._waited is None else self._waited,
             sent=self._waited is not None,
-            engine_seconds=self._seconds,
+            engine_seconds=self._engine_seconds,
         )
 
     def exclude(self) -> None:
-        """Do not count it: it asks for nothing that an engine does."""
+        """Leave this call out of the counts, since it asks for no work of an engine."""
         self._counted = False
 
     def identify(self, tenant: str, target_latency: float) -> None:
-        """Tell whose it is, and the seconds after which its first event is late."""
+        """Set the request's tenant, and the seconds after which its first event counts as late."""
         self._tenant = tenant
         self._target_latency = target_latency
 
     def attempt_started(self, now: float) -> None:
-        """An attempt at an engine begins."""
+        """Record that an attempt at an engine begins."""
         self._placed_at = now
-        self._book.record_start(self._tenant)
+        self._accounts.record_start(self._tenant)
         if self._waited is None:
             self._waited = now - self._arrived_at
 
     def attempt_refused(self) -> None:
-        """The engine did not take the attempt under way."""
-        self._take_back()
+        """Record that the engine refused the current attempt; its time is not engine time."""
+        self._end_attempt()
 
     def attempt_ended(self) -> None:
-        """The engine is done with the attempt under way, if there is one."""
-        placed_at = self._take_back()
+        """Record that the engine is done with the current attempt, if there is one."""
+        placed_at = self._end_attempt()
         if placed_at is not None:
-            self._seconds += self._clock.monotonic() - placed_at
+            self._engine_seconds += self._clock.monotonic() - placed_at
 
-    def _take_back(self) -> float | None:
-        """End the attempt under way; returns when it began, None where there is none."""
+    def _end_attempt(self) -> float | None:
+        """End the current attempt; returns when it began, or None if there is none."""
         placed_at, self._placed_at = self._placed_at, None
         if placed_at is not None:
-            self._book.record_stop(self._tenant)
+            self._accounts.record_stop(self._tenant)
         return placed_at
 
     def first_event(self) -> None:
-        """The first event of its answer came."""
-        self._first_at = self._clock.monotonic()
+        """Record that the first event of the response has arrived."""
+        self._first_event_at = self._clock.monotonic()
 
     def completed(self) -> None:
-        """Its answer is whole."""
-        first_at = self._clock.monotonic() if self._first_at is None else self._first_at
-        in_time = first_at - self._arrived_at <= self._target_latency
+        """Record that the response is complete."""
+        first_event_at = (
+            self._clock.monotonic() if self._first_event_at is None else self._first_event_at
+        )
+        in_time = first_event_at - self._arrived_at <= self._target_latency
         self._end = self._end or (End.IN_TIME if in_time else End.LATE)
 
     def failed(self, error: BaseException) -> None:
-        """It ended by an error; what was told first counts."""
+        """Record that the request failed with `error`; an outcome recorded earlier stands."""
         self._end = self._end or end_of(error)
 
 
 class CallerAccounts:
-    """The accounts of this node, for its parts and its operators."""
+    """Request counts of this node by tenant."""
 
     def __init__(self, clock: Clock, events: EventLog) -> None:
         self._clock = clock
         self._events = events
         self.accounts = Accounts()
-        self._told_at = clock.monotonic()
-        self._told = 0
-        """What was counted until the last line."""
+        self._logged_at = clock.monotonic()
+        self._logged_count = 0
+        """Number of records counted up to the last summary event."""
 
     def open(self, arrived_at: float) -> RequestAccount:
-        """An account for a request that arrived; nobody's until it is told whose it is."""
+        """Return an account for a request that has arrived; its tenant is set later."""
         return RequestAccount(self.accounts, self._clock, arrived_at)
 
     def rows(self) -> list[Row]:
-        """See `Accounts.rows`."""
+        """Return one row for each tenant, see `Accounts.rows`."""
         return self.accounts.rows(self._clock.monotonic())
 
     def documents(self) -> list[dict[str, Any]]:
-        """The rows, for the status document."""
+        """Return the rows as JSON objects for the status document."""
         return [row.fields() for row in self.rows()]
 
     def holders(self) -> dict[str, int]:
-        """Tenants with the most online requests of this node at engines now, and how many."""
-        return self.accounts.holders(HOLDERS)
+        """Return the tenants with the most online requests at engines now, with their numbers."""
+        return self.accounts.holders(MAX_HOLDERS)
 
     def log_summary(self) -> None:
-        """Write a line once in a while, if tenants got anything since the last one."""
+        """Emit a summary event if it is due and anything was counted since the last one."""
         now = self._clock.monotonic()
-        if now - self._told_at < SUMMARY_INTERVAL or self._told == self.accounts.change_count:
+        if (
+            now - self._logged_at < SUMMARY_INTERVAL
+            or self._logged_count == self.accounts.change_count
+        ):
             return
-        self._told_at, self._told = now, self.accounts.change_count
-        lately = {row.tenant: row.recent for row in self.rows() if row.tenant not in ("", OTHERS)}
-        lately = {tenant: counts for tenant, counts in lately.items() if counts != Counts()}
-        if not lately:
+        self._logged_at, self._logged_count = now, self.accounts.change_count
+        recent = {row.tenant: row.recent for row in self.rows() if row.tenant not in ("", OTHERS)}
+        recent = {tenant: counts for tenant, counts in recent.items() if counts != Counts()}
+        if not recent:
             return
         self._events.emit(
             Event.TENANTS_SERVED,
-            tenants=len(lately),
+            tenants=len(recent),
             largest=[
-                _summary(one, lately[one])
-                for one in top_tenants(lately, by_asked, TENANTS_PER_LIST)
+                _summary(one, recent[one])
+                for one in top_tenants(recent, by_asked, TENANTS_PER_LIST)
             ],
             worst=[
-                _summary(one, lately[one])
-                for one in top_tenants(lately, by_in_time_score, TENANTS_PER_LIST)
+                _summary(one, recent[one])
+                for one in top_tenants(recent, by_in_time_score, TENANTS_PER_LIST)
             ],
         )
 
 
 def _summary(tenant: str, counts: Counts) -> dict[str, Any]:
-    """The counts of a line that are not 0."""
-    told = {name: value for name, value in counts.fields().items() if value}
-    return {"tenant": tenant, **told}
+    """Return the non-zero counts of a tenant."""
+    nonzero = {name: value for name, value in counts.fields().items() if value}
+    return {"tenant": tenant, **nonzero}
--- a/postvalve/gateway/serving/fair_shares.py
+++ b/postvalve/gateway/serving/fair_shares.py
@@ -1,4 +1,4 @@
-"""This node's part in the fair shares: it stamps for tenants, and tells what it knows."""
+"""Start-time fair queueing at this node: assigns start tags and exchanges clocks with peers."""
 
 from __future__ import annotations
 
@@ -17,105 +17,117 @@
 from postvalve.core.scheduling.queue_order import QueuePosition, ShareUpdate, unpack_share_update
 from postvalve.core.scheduling.weights import tenant_weights
 
-LEAST_TENANTS = 2
-"""Tenants of the configuration from which there is something to share."""
-UNKNOWN_COST = 1.0
-"""Slot seconds of a request while nobody knows what one takes: without any cost all would get the
-same tag. What it took corrects the account."""
-ROWS_TOLD = 20
-"""Tenants whose tags `status` shows, those furthest beyond their shares first."""
+MIN_TENANTS = 2
+"""Number of configured tenants from which fair queueing is enabled."""
+DEFAULT_COST = 1.0
+"""Cost in slot seconds of a request of a service whose slot time is not known yet. With a cost of 0
+all requests would get the same tag. The account is corrected when the request ends."""
+MAX_ROWS = 20
+"""Number of tenants whose tags the status document lists, those furthest ahead of the clock
+first."""
 
 
 class FairShares:
-    """Tags of this node; off where the configuration names fewer than two tenants."""
+    """Start tags and corrections of tenants.
+
+    Fair queueing is disabled where the configuration names fewer than `MIN_TENANTS` tenants.
+    """
 
     def __init__(self, table: Callable[[], RouteTable | None]) -> None:
-        """Know nothing yet; `table` gives the routes in force."""
+        """Begin without any account; `table` returns the routes in force."""
         self._table = table
-        self._seen: RouteTable | None = None
+        self._last_table: RouteTable | None = None
         self._weights: dict[str, float] = {}
         self.clock = ShareClock()
-        self._lent = TagAssigner(self.clock)
-        """Of tenants that this node lends to, or stamps for because nobody else does."""
-        self._untold: dict[str, float] = {}
-        """Corrections by tenant that its lender has not heard, in slot seconds."""
+        self._tags = TagAssigner(self.clock)
+        """Finish tags of the tenants for which this node is the lender, or for which no lender
+        assigned a tag."""
+        self._pending: dict[str, float] = {}
+        """Corrections by tenant, in slot seconds, that were not sent to its lender yet."""
         self.first_waiting: Callable[[], dict[int, QueuePosition]] = dict
-        """Gives the first that waits here, by the hash of its service."""
+        """Returns the first request queued here for each service, by the hash of the service."""
 
     @property
     def enabled(self) -> bool:
-        """Whether tenants have shares."""
-        self._look()
-        return len(self._weights) >= LEAST_TENANTS
+        """Whether tenants have fair shares."""
+        self._refresh_weights()
+        return len(self._weights) >= MIN_TENANTS
 
-    def _look(self) -> None:
+    def _refresh_weights(self) -> None:
         table = self._table()
-        if table is self._seen:
+        if table is self._last_table:
             return
-        self._seen = table
+        self._last_table = table
         tenants = (table.configuration.tenants if table else None) or ()
         self._weights = normalized_weights(tenant_weights(tenants))
-        self._lent.retain(self._weights)
-        self._untold = {one: told for one, told in self._untold.items() if one in self._weights}
+        self._tags.retain(self._weights)
+        self._pending = {
+            one: lender_tag for one, lender_tag in self._pending.items() if one in self._weights
+        }
 
     def work(self, tenant: str, cost: float) -> Work:
-        """What a tenant's next request tells its lender; corrections are told once.
+        """Return cost and correction to send to the lender with a tenant's next request.
+
+        A correction is returned once, and is then no longer pending.
 
         Args:
-            tenant: Who sends it.
-            cost: Slot seconds that it may take; 0 while nobody knows.
+            tenant: The tenant that sends the request.
+            cost: Slot seconds that the request is expected to take; 0 if unknown.
         """
         if not self.enabled:
             return Work(0.0)
-        untold = self._untold.pop(tenant, 0.0)
-        correction = max(-MAX_COST, min(MAX_COST, untold))
-        if untold != correction:
-            # Many ended since the last one: no lender takes more at once.
-            self._untold[tenant] = untold - correction
-        return Work(min(MAX_COST, cost or UNKNOWN_COST), correction)
+        pending = self._pending.pop(tenant, 0.0)
+        correction = max(-MAX_COST, min(MAX_COST, pending))
+        if pending != correction:
+            # Lenders accept no larger correction at once; the rest goes with the next request.
+            self._pending[tenant] = pending - correction
+        return Work(min(MAX_COST, cost or DEFAULT_COST), correction)
 
-    def open(self, tenant: str, work: Work, told: float) -> RequestShare | None:
-        """Count a request in; None where there are no shares.
+    def open(self, tenant: str, work: Work, lender_tag: float) -> RequestShare | None:
+        """Open the account of one request; returns None where tenants have no shares.
 
         Args:
-            tenant: Who sends it; requests without a tenant share one account.
-            work: What was told of it.
-            told: The start tag that its lender gave; 0 where nobody did.
+            tenant: The tenant that sent it; requests without a tenant share one account.
+            work: Cost and correction that were sent to the lender.
+            lender_tag: The start tag that the lender assigned; 0 if none did.
         """
         if not self.enabled:
             return None
-        return RequestShare(self, tenant, work.cost, told or self.assign_tag(tenant, work))
+        return RequestShare(self, tenant, work.cost, lender_tag or self.assign_tag(tenant, work))
 
     def assign_tag(self, tenant: str, work: Work) -> float:
-        """The start tag of a request."""
-        self._look()
-        return self._lent.assign_tag(tenant, self._weights.get(tenant, 1.0), work)
+        """Assign the start tag of a tenant's next request."""
+        self._refresh_weights()
+        return self._tags.assign_tag(tenant, self._weights.get(tenant, 1.0), work)
 
     def record_end(self, tenant: str, correction: float) -> None:
-        """A request took so many slot seconds beyond what was told; fewer where negative."""
+        """Add a correction in slot seconds: what a request took beyond its estimated cost.
+
+        It is negative if the request took less.
+        """
         if tenant in self._weights or not tenant:
-            self._untold[tenant] = self._untold.get(tenant, 0.0) + correction
+            self._pending[tenant] = self._pending.get(tenant, 0.0) + correction
 
     def reset(self) -> None:
-        """This node stood still, and others stamped meanwhile."""
-        self._lent.reset()
+        """Drop all finish tags, since other nodes assigned tags while this one was suspended."""
+        self._tags.reset()
 
     def pack(self) -> bytes:
-        """What reports tell; nothing where there are no shares."""
+        """Encode clock and queue heads for load reports; empty where tenants have no shares."""
         if not self.enabled:
             return b""
         return ShareUpdate(self.clock.now, self.first_waiting()).pack()
 
     def receive(self, data: bytes) -> ShareUpdate | None:
-        """Take in what a peer tells."""
-        news = unpack_share_update(data)
-        if news is not None:
-            self.clock.merge(news.clock)
-        return news
+        """Decode what a peer reported and merge its clock; returns None if it can't be decoded."""
+        update = unpack_share_update(data)
+        if update is not None:
+            self.clock.merge(update.clock)
+        return update
 
     def fields(self) -> dict[str, Any]:
-        """What this node stamps by, for operators."""
-        last = sorted(self._lent.finish_tags().items(), key=lambda one: -one[1])[:ROWS_TOLD]
+        """Return the clock and the tags that this node assigned, for the status document."""
+        last = sorted(self._tags.finish_tags().items(), key=lambda one: -one[1])[:MAX_ROWS]
         now = self.clock.now
         rows = [{"tenant": name, "ahead_s": round(at - now, 3)} for name, at in last]
         return {"enabled": self.enabled, "clock_s": round(now, 3), "tags": rows}
@@ -123,26 +135,26 @@
 
 @dataclass(slots=True)
 class RequestShare:
-    """What one request costs its tenant."""
+    """What one request costs its tenant, in slot seconds."""
 
     shares: FairShares
     tenant: str
     estimate: float
-    """Slot seconds that were told of it."""
+    """Slot seconds that were estimated for it in advance."""
     tag: float
-    _took: float = 0.0
-    _since: float | None = field(default=None)
+    _elapsed: float = 0.0
+    _started_at: float | None = field(default=None)
 
     def attempt_started(self, now: float) -> None:
-        """An engine gets it."""
-        self._since = now
+        """Record that an engine gets the request."""
+        self._started_at = now
 
     def attempt_ended(self, now: float) -> None:
-        """That engine has ended with it."""
-        if self._since is not None:
-            self._took += now - self._since
-            self._since = None
+        """Record that the engine is done with the request."""
+        if self._started_at is not None:
+            self._elapsed += now - self._started_at
+            self._started_at = None
 
     def settle(self) -> None:
-        """Correct the account: whoever was refused gets back what it was told to cost."""
-        self.shares.record_end(self.tenant, min(MAX_COST, self._took) - self.estimate)
+        """Correct the tenant's account: a request that was refused gets its estimated cost back."""
+        self.shares.record_end(self.tenant, min(MAX_COST, self._elapsed) - self.estimate)
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -1,7 +1,7 @@
-"""Answers to slow clients: read on ahead of them, so that they keep no engine waiting.
+"""Buffers responses to slow clients, so that they do not hold up engines.
 
-A client that keeps up gets each event straight from its engine. From the first write that its
-connection doesn't take at once, a greenlet reads the rest of the answer into a store.
+A client that keeps up gets each event directly from its engine. From the first write that its
+socket does not accept at once, a greenlet reads the rest of the response into a buffer.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from postvalve.gateway.metrics import GatewayMetrics
 from postvalve.gateway.serving.lag import await_lag
 
-CLOSE_AT_ONCE = struct.pack("ii", 1, 0)
-"""Linger option of a connection that keeps nothing for its client when it is closed."""
+LINGER_DISCARD = struct.pack("ii", 1, 0)
+"""SO_LINGER value that discards unsent data when a connection is closed."""
 
 
 class ReaderCutError(PostvalveError):
-    """The client was too slow for what could be held for it."""
+    """The client read too slowly for the memory that its response may take."""
 
     code = "reader_too_slow"
     http_status = 408
@@ -37,45 +37,51 @@
 
 
 @dataclass(slots=True)
-class _Slow:
-    """One client for which something is held, or was."""
+class _SlowClient:
+    """A client for which data is or was held."""
 
     holding: BufferAccount
     request_id: str
     since: float
-    """Monotonic seconds."""
+    """Monotonic seconds at which the client began to lag."""
     on_cut: Callable[[], None]
 
 
 @dataclass(slots=True)
 class SlowClients:
-    """Those for whom this node holds something; their budget."""
+    """The clients for which this node holds data, and the memory budget that they share."""
 
     budget: MemoryBudget
     clock: Clock
     events: EventLog
     metrics: GatewayMetrics
-    _slow: dict[BufferAccount, _Slow] = field(default_factory=dict)
+    _clients: dict[BufferAccount, _SlowClient] = field(default_factory=dict)
 
     def register(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> BufferAccount:
-        """Begin to hold something for a client; `on_cut` is called if it is given up."""
+        """Register a client for which data will be held.
+
+        If the budget gives the client up, `on_cut` is called.
+        """
         holding, now = BufferAccount(tenant), self.clock.monotonic()
-        self._slow[holding] = _Slow(holding, request_id, now, on_cut)
+        self._clients[holding] = _SlowClient(holding, request_id, now, on_cut)
         return holding
 
     def unregister(self, holding: BufferAccount) -> None:
-        """Hold nothing for it any more."""
+        """Release the memory held for a client."""
         self.budget.release(holding)
-        self._slow.pop(holding, None)
+        self._clients.pop(holding, None)
 
     def hold(self, holding: BufferAccount, size: int) -> None:
-        """Hold `size` bytes more, whoever must be given up for it."""
+        """Hold `size` more bytes for a client.
+
+        If that exceeds the budget, clients are disconnected: this one or others.
+        """
         self.disconnect(self.budget.take(holding, size, self.clock.monotonic()))
 
     def disconnect(self, holdings: list[BufferAccount]) -> None:
-        """End the connections of clients that the budget has given up."""
+        """Disconnect the clients that the budget has given up."""
         for holding in holdings:
-            one = self._slow.pop(holding, None)
+            one = self._clients.pop(holding, None)
             if one is None or holding.cause is None:
                 continue
             self.metrics.slow_clients.labels(holding.cause.value).inc()
@@ -91,9 +97,9 @@
             one.on_cut()
 
     def rows(self) -> list[dict[str, Any]]:
-        """Whom something is held for, most bytes first."""
+        """Return the clients for which data is held, most bytes first, for the status document."""
         now = self.clock.monotonic()
-        slow = sorted(self._slow.values(), key=lambda one: -one.holding.size)
+        slow = sorted(self._clients.values(), key=lambda one: -one.holding.size)
         return [
             {
                 "request": one.request_id,
@@ -105,11 +111,11 @@
         ]
 
     def __len__(self) -> int:
-        return len(self._slow)
+        return len(self._clients)
 
 
 class ReadAhead:
-    """One answer on its way to one client."""
+    """One response on its way to one client."""
 
     def __init__(
         self,
@@ -119,46 +125,49 @@
         request_id: str,
         connection: Any,
     ) -> None:
-        """Nothing is read yet; `source` gives the answer's events."""
-        self._slow = slow
+        """Begin without reading anything; `source` yields the events of the response."""
+        self._slow_clients = slow
         self._clock = slow.clock
         self._source = source
         self._tenant = tenant
         self._request_id = request_id
         self._connection = connection
-        self._whole: bytes | None = None
+        self._body: bytes | None = None
         self._reader: gevent.Greenlet | None = None
-        self._counter: gevent.Greenlet | None = None
+        self._lag_watch: gevent.Greenlet | None = None
         self._holding: BufferAccount | None = None
-        self._store: EventBuffer | None = None
-        self._came = GeventEvent()
-        """Set when an event or the end was stored."""
-        self._room = GeventEvent()
-        """Set when the client took an event."""
+        self._buffer: EventBuffer | None = None
+        self._buffer_changed = GeventEvent()
+        """Set when an event, or the end of the response, was stored."""
+        self._space_freed = GeventEvent()
+        """Set when the client has taken an event."""
 
     def events(self) -> Iterator[bytes]:
-        """Yield the events in order, whoever reads them from the engine.
+        """Yield the events in order, from the engine or from the buffer.
 
         Raises:
-            PostvalveError: as the answer's own; or the client was given up.
+            PostvalveError: the response failed, or the client was given up.
         """
         for event in self._source:
             yield event
-            if self._store is not None:
-                yield from self._stored_events(self._store)
+            if self._buffer is not None:
+                yield from self._buffered_events(self._buffer)
                 return
 
     def body(self, body: bytes) -> bytes:
-        """An answer that is no stream, and is here whole."""
-        self._whole = body
+        """Pass on a complete response body that is not a stream."""
+        self._body = body
         return body
 
     def on_client_lag(self) -> None:
-        """A write waits for the client. Called while it waits, between two events."""
+        """Begin to buffer, since a write waits for the client.
+
+        Called during that write, between two events.
+        """
         if self._holding is not None or getgeneratorstate(self._source) == GEN_CLOSED:
             return
-        slow = self._slow
-        self._holding = slow.register(self._tenant, self._request_id, self._cut)
+        slow = self._slow_clients
+        self._holding = slow.register(self._tenant, self._request_id, self._abort)
         slow.metrics.slow_clients.labels("lagged").inc()
         slow.events.emit(
             Event.CLIENT_LAGS,
@@ -167,88 +176,91 @@
             held=slow.budget.held,
             lagging=len(slow),
         )
-        if self._whole is not None:
-            self._counter = gevent.spawn(self._count_when_late, self._holding, len(self._whole))
+        if self._body is not None:
+            self._lag_watch = gevent.spawn(self._hold_when_lagging, self._holding, len(self._body))
             return
-        self._store = EventBuffer(slow.budget, self._holding)
-        self._reader = gevent.spawn(self._read_on, self._store)
+        self._buffer = EventBuffer(slow.budget, self._holding)
+        self._reader = gevent.spawn(self._read_rest, self._buffer)
 
-    def _count_when_late(self, holding: BufferAccount, size: int) -> None:
-        """Hold a whole answer for a client that doesn't take it as it goes out."""
+    def _hold_when_lagging(self, holding: BufferAccount, size: int) -> None:
+        """Count a complete body as held memory once the client has lagged for some time."""
         await_lag(self._connection, select.POLLOUT)
-        self._slow.hold(holding, size)
+        self._slow_clients.hold(holding, size)
 
-    def _read_on(self, store: EventBuffer) -> None:
-        # Unless it comes to its end, it must look cut.
+    def _read_rest(self, buffer: EventBuffer) -> None:
+        # Unless the source is read to its end, the client must see the response as truncated.
         error: PostvalveError | None = ReaderCutError("the answer was not read to its end")
         try:
             for event in self._source:
-                self._await_room(store, len(event))
-                self._slow.disconnect(store.put(event, self._clock.monotonic()))
-                if store.holding.cause is not None:
+                self._await_space(buffer, len(event))
+                self._slow_clients.disconnect(buffer.put(event, self._clock.monotonic()))
+                if buffer.holding.cause is not None:
                     return
-                self._came.set()
+                self._buffer_changed.set()
             error = None
         except PostvalveError as exc:
             error = exc
         finally:
-            # Where it ends midway, the attempt under way ends with it.
+            # If reading stopped early, closing the source ends the current attempt.
             self._source.close()
-            store.end(error)
-            self._came.set()
-
-    def _await_room(self, store: EventBuffer, size: int) -> None:
-        """Let the engine wait while the store is full, which it may be for a short time only."""
-        while (patience := store.max_wait(size, self._clock.monotonic())) > 0:
-            self._room.clear()
-            self._room.wait(patience)
-        if store.holding.cause is CutCause.STORE_FULL:
-            self._slow.disconnect([store.holding])
-
-    def _stored_events(self, store: EventBuffer) -> Iterator[bytes]:
+            buffer.end(error)
+            self._buffer_changed.set()
+
+    def _await_space(self, buffer: EventBuffer, size: int) -> None:
+        """Wait while the buffer is full; the engine may be held up for a short time only."""
+        while (max_wait := buffer.max_wait(size, self._clock.monotonic())) > 0:
+            self._space_freed.clear()
+            self._space_freed.wait(max_wait)
+        if buffer.holding.cause is CutCause.STORE_FULL:
+            self._slow_clients.disconnect([buffer.holding])
+
+    def _buffered_events(self, buffer: EventBuffer) -> Iterator[bytes]:
         while True:
-            if store.holding.cause is not None:
-                raise ReaderCutError(f"the client is too slow: {store.holding.cause.value}")
-            event = store.first()
+            if buffer.holding.cause is not None:
+                raise ReaderCutError(f"the client is too slow: {buffer.holding.cause.value}")
+            event = buffer.first()
             if event:
                 yield event
-                # Until now the connection had not taken it.
-                store.pop_first(self._clock.monotonic())
-                self._room.set()
-            elif store.ended:
-                if store.error is not None:
-                    raise store.error
+                # Until now the socket had not accepted the event.
+                buffer.pop_first(self._clock.monotonic())
+                self._space_freed.set()
+            elif buffer.ended:
+                if buffer.error is not None:
+                    raise buffer.error
                 return
             else:
-                self._came.clear()
-                self._came.wait()
+                self._buffer_changed.clear()
+                self._buffer_changed.wait()
 
-    def _cut(self) -> None:
-        """End the connection, and the attempt under way with it. Called by whoever needs room."""
+    def _abort(self) -> None:
+        """Close the connection and end the current attempt.
+
+        Called from the greenlet of whichever client needs the memory.
+        """
         if self._reader is not None and self._reader is not gevent.getcurrent():
             self._reader.kill(block=False)
-        self._came.set()
-        drop_connection(self._connection)
+        self._buffer_changed.set()
+        reset_connection(self._connection)
 
-    def client_gone(self) -> None:
-        """The client left: nothing is kept for it any more."""
+    def on_disconnect(self) -> None:
+        """Drop what is held for a client that has disconnected."""
         if self._holding is not None:
-            drop_connection(self._connection)
+            reset_connection(self._connection)
 
     def close(self) -> None:
-        """Nothing more goes to the client; an attempt under way ends."""
-        for greenlet in (self._reader, self._counter):
+        """Stop reading and sending; the current attempt ends."""
+        for greenlet in (self._reader, self._lag_watch):
             if greenlet is not None:
                 greenlet.kill()
         self._source.close()
         if self._holding is not None:
-            self._slow.unregister(self._holding)
+            self._slow_clients.unregister(self._holding)
 
 
-def drop_connection(connection: Any) -> None:
-    """End a connection, and let go of what its socket still keeps; who waits for it goes on."""
+def reset_connection(connection: Any) -> None:
+    """Reset a connection and discard its unsent data; a write that waits for it returns."""
     try:
-        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, CLOSE_AT_ONCE)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_DISCARD)
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        return  # it has ended already
+        return  # already closed
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -1,4 +1,8 @@
-"""Asks the node that keeps a tenant's count before a request of it is let in, and is asked."""
+"""Rate limits of tenants over all nodes.
+
+A node asks the lender, which owns a tenant's token bucket, for the credit of each request, and
+answers such calls of its peers.
+"""
 
 from __future__ import annotations
 
@@ -28,47 +32,49 @@
 from postvalve.node.peer_link import Channel
 from postvalve.settings.routes import RoutedTenant
 
-FIRST_PATIENCE = 0.08
-"""Seconds after which the second choice is asked beside the first one, some twenty times what an
-ask takes between zones."""
+PRIMARY_TIMEOUT = 0.08
+"""Seconds after which the secondary lender is asked in addition to the primary one; some twenty
+times what a call between zones takes."""
 CALL_TIMEOUT = 0.4
-"""Seconds that an ask may take: a busy machine stands still for some tenths of a second, and who is
-refused by the second choice waits longer than that."""
-SHORT_WAIT = 0.05
-"""Seconds in all for which an ask is kept until there is credit: a bucket that was taken over is
-empty for a moment, and who asks would be refused below its limit. Less than `FIRST_PATIENCE`, after
-which the second choice is asked."""
-SHORT_PAUSE = 0.005
-"""Seconds between two looks for credit meanwhile, at the least."""
-SILENT_TIME = 0.5
+"""Seconds that a call to a lender may take: a busy machine may be suspended for some tenths of a
+second, and a client that the secondary lender refuses waits longer than that."""
+MAX_CREDIT_WAIT = 0.05
+"""Seconds in total for which a call is held until there is credit: a bucket is empty for a moment
+after another node has taken it over, and a request would be refused below its tenant's limit. Less
+than `PRIMARY_TIMEOUT`, after which the secondary lender is asked."""
+CREDIT_POLL_INTERVAL = 0.005
+"""Least seconds between two checks for credit while a call is held."""
+UNRESPONSIVE_TIME = 0.5
 """Seconds for which a node that did not answer is not asked again: all requests of its tenants
 would wait for it."""
 LENDER_TIMEOUT = 2.5
-"""Seconds without a word of a node after which others lend in its place. Other zones are taken for
-gone later, but a zone that is cut off would have no lenders until then. It is longer than it takes
-until another node tells of a zone whose reporter is lost."""
+"""Seconds without a report after which other nodes lend in a node's place. Other zones are declared
+dead later than this, but a zone that is cut off would have no lenders until then. It is longer than
+another node needs to take over the digests of a zone whose reporter is lost."""
 LENDER_SUSPECT_AFTER = LENDER_TIMEOUT - MAX_DIGEST_INTERVAL
-"""Seconds without a word of a node after which this one lends nothing for its part: those that it
-does not hear may have heard it last a report earlier, and lend for themselves so much sooner."""
-LOOK_TIME = 0.5
-"""Seconds between two looks at who is alive, about."""
+"""Seconds without a report of a node after which it no longer counts in the share of the fleet by
+which this node lends. A node that this one does not hear may have received the last report one
+report earlier, and begins to lend itself that much sooner."""
+VIEW_UPDATE_INTERVAL = 0.5
+"""Approximate seconds between two updates of the live nodes."""
 UNKNOWN_RETRY_AFTER = 0.1
-"""Seconds told to a caller whose tenant's count nobody told where other nodes can tell."""
-START_PAUSE = 0.1
-"""Seconds after which a node that starts asks again who told nothing."""
-START_SHARE = 0.3
-"""Of a client's time, that it waits there each time at the most."""
+"""Retry-After in seconds when no lender answered and other nodes can reach one."""
+STARTUP_RETRY_INTERVAL = 0.1
+"""Seconds after which a starting node asks again if no lender answered."""
+STARTUP_WAIT_SHARE = 0.3
+"""Fraction of a client's time left that each such wait may take."""
 RETRY_AFTER_SHARE = 0.7
-"""Of a client's time, after which it is not told to come back: it must be served in the rest."""
+"""Fraction of a client's time left that Retry-After may take: the request must be served in the
+rest."""
 RETRY_JITTER = 1.0
-"""Seconds over which those come back that are told when other nodes will lend: these begin with
-nothing."""
+"""Seconds over which retries are spread when clients wait for other nodes to lend, since these
+begin with empty buckets."""
 
-_LENDINGS = frozenset(one.value for one in CreditOutcome)
+_OUTCOMES = frozenset(one.value for one in CreditOutcome)
 
 
 class TenantCredit:
-    """This node's asks and answers."""
+    """Acquires and lends credit of tenants' token buckets at this node."""
 
     def __init__(
         self,
@@ -77,7 +83,7 @@
         bounds: LimitBounds,
         shares: FairShares,
     ) -> None:
-        """Count nothing yet; `revision` gives that of the configuration in force."""
+        """Begin with empty buckets; `revision` returns that of the configuration in force."""
         self.shares = shares
         self._services = services
         self._clock = services.clock
@@ -85,17 +91,17 @@
         self._peers = services.peers
         self._node_id = services.identity.node_id
         self._revision = revision
-        self._silent_until: dict[str, float] = {}
-        self.primary_timeout = FIRST_PATIENCE
-        """Seconds; see there."""
+        self._unresponsive_until: dict[str, float] = {}
+        self.primary_timeout = PRIMARY_TIMEOUT
+        """Seconds, see `PRIMARY_TIMEOUT`."""
         self.call_timeout = CALL_TIMEOUT
-        """Seconds; see there."""
+        """Seconds, see `CALL_TIMEOUT`."""
         self.leaving = False
-        """Whether this node is about to end, and lends nothing any more."""
+        """Whether this node is draining, and lends no more."""
         self.limits = FleetLimits(self._node_id, services.clock.monotonic(), bounds)
 
     def update_view(self) -> None:
-        """Take in who is alive."""
+        """Update the set of live nodes that may lend."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         heard = [
             one
@@ -113,25 +119,31 @@
     def admit(
         self, caller: Caller, request_id: str, work: Work, deadline: float = math.inf
     ) -> float:
-        """Return when a request is within its tenant's limit; its time ends at `deadline`.
+        """Return once a request is within its tenant's rate limit.
+
+        Args:
+            caller: The authenticated caller.
+            request_id: Id of the request, for the log.
+            work: Cost and correction for the tenant's fair share.
+            deadline: Monotonic seconds at which the request's time ends.
 
         Returns:
-            Its start tag; 0 where nobody told one.
+            The start tag of the request; 0 if no lender assigned one.
 
         Raises:
-            RateLimitedError: it is over.
-            LimitUnknownError: nobody could tell.
+            RateLimitedError: the tenant is over its limit.
+            LimitUnknownError: no lender answered.
         """
         tenant = caller.tenant
         if tenant is None or not tenant.rate:
             return 0.0
-        asked, node_id, loan = self._borrow_patiently(tenant, work, deadline)
-        if loan.outcome is CreditOutcome.GRANTED:
-            return loan.tag
-        if loan.outcome is CreditOutcome.OVER_LIMIT:
-            self._note_over(tenant, request_id, node_id, loan)
-            raise RateLimitedError("the tenant is over its limit", retry_after=loan.wait)
-        known_in = round(self._known_in(asked, deadline), 3)
+        asked, node_id, decision = self._acquire_with_retry(tenant, work, deadline)
+        if decision.outcome is CreditOutcome.GRANTED:
+            return decision.tag
+        if decision.outcome is CreditOutcome.OVER_LIMIT:
+            self._log_over_limit(tenant, request_id, node_id, decision)
+            raise RateLimitedError("the tenant is over its limit", retry_after=decision.wait)
+        known_in = round(self._seconds_to_takeover(asked, deadline), 3)
         self._events.emit(
             Event.LIMIT_UNKNOWN,
             request=request_id,
@@ -143,82 +155,84 @@
         )
         raise LimitUnknownError("the tenant's count is not known", retry_after=known_in)
 
-    def _borrow_patiently(
+    def _acquire_with_retry(
         self, tenant: RoutedTenant, work: Work, deadline: float
     ) -> tuple[list[str], str, CreditDecision]:
-        """Whom it asked, whose answer counts, and that: a node that starts asks again.
+        """Return the lenders asked, the one whose answer counts, and its answer.
 
-        When all nodes start together their buckets begin empty, and what was under way before comes
-        back at once, its client's last try mostly.
+        A node that has just started asks again: when all nodes start together their buckets are
+        empty, and the requests that were under way before are retried at once, mostly as their
+        client's last try.
         """
         while True:
             asked = self.limits.choices(tenant.name)
-            node_id, loan = self._borrow(asked, tenant, work)
+            node_id, decision = self._acquire(asked, tenant, work)
             now = self._clock.monotonic()
-            wait = max(loan.wait, START_PAUSE)
-            if loan.outcome is CreditOutcome.GRANTED or not self.limits.is_starting(now + wait):
-                return asked, node_id, loan
-            if wait > (deadline - now) * START_SHARE:
-                return asked, node_id, loan
+            wait = max(decision.wait, STARTUP_RETRY_INTERVAL)
+            if decision.outcome is CreditOutcome.GRANTED or not self.limits.is_starting(now + wait):
+                return asked, node_id, decision
+            if wait > (deadline - now) * STARTUP_WAIT_SHARE:
+                return asked, node_id, decision
             gevent.sleep(wait)
 
-    def _known_in(self, asked: list[str], deadline: float) -> float:
-        """Seconds until somebody can tell a tenant's count, where the client has them.
+    def _seconds_to_takeover(self, asked: list[str], deadline: float) -> float:
+        """Return the seconds until another lender takes over, if the client has that much time.
 
-        Nodes that this one hears don't reach a silent lender either, and take another one for it
-        at the same time as this one.
+        The nodes that this one hears can't reach a silent lender either, and replace it at the same
+        time as this one.
         """
         first = self._peers.get(asked[0]) if asked else None
         now = self._clock.monotonic()
-        if first is None or not self._was_silent(first.node_id, now):
+        if first is None or not self._unanswered_recently(first.node_id, now):
             return UNKNOWN_RETRY_AFTER
-        if not self._hears_neighbours():
+        if not self._hears_zone_peers():
             return UNKNOWN_RETRY_AFTER
-        left = first.heard_at + LENDER_TIMEOUT + LOOK_TIME - now
+        left = first.heard_at + LENDER_TIMEOUT + VIEW_UPDATE_INTERVAL - now
         most = (deadline - now) * RETRY_AFTER_SHARE
         if not 0 < left <= most:
             return UNKNOWN_RETRY_AFTER
         return min(most, left + self._services.generator.uniform(0.0, RETRY_JITTER))
 
-    def _borrow(
+    def _acquire(
         self, choices: list[str], tenant: RoutedTenant, work: Work
     ) -> tuple[str, CreditDecision]:
-        """The answer that counts, and whose it is.
+        """Return the answer that counts, and the node that gave it.
 
-        The second choice is asked while the first one is late, or lends for a part of the fleet. It
-        lends little, which being used up says nothing of the tenant's limit.
+        The secondary lender is asked if the primary one is late, or has credit for a part of the
+        fleet only. It has little credit, and running out of it does not mean that the tenant is
+        over its limit.
         """
         if not choices or choices[0] == self._node_id:
-            first, patience = self._node_id, None
+            first, timeout = self._node_id, None
         else:
-            first, patience = choices[0], self.primary_timeout
-        asked = gevent.spawn(self._ask, first, tenant, work)
-        asked.join(patience)
-        loan = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
-        if loan.outcome is CreditOutcome.GRANTED or (
-            loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0
+            first, timeout = choices[0], self.primary_timeout
+        asked = gevent.spawn(self._request_credit, first, tenant, work)
+        asked.join(timeout)
+        decision = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
+        if decision.outcome is CreditOutcome.GRANTED or (
+            decision.outcome is CreditOutcome.OVER_LIMIT and decision.share >= 1.0
         ):
-            return first, loan
+            return first, decision
         for second in choices[1:]:
-            little = self._ask(second, tenant, work)
-            if little.outcome is CreditOutcome.GRANTED:
-                return second, little
+            secondary_decision = self._request_credit(second, tenant, work)
+            if secondary_decision.outcome is CreditOutcome.GRANTED:
+                return second, secondary_decision
         return first, asked.get()
 
-    def _was_silent(self, node_id: str, now: float) -> bool:
-        """Whether a node did not answer, and the second choice has been asked since at the most.
+    def _unanswered_recently(self, node_id: str, now: float) -> bool:
+        """Whether a node did not answer, and only the secondary lender was asked since.
 
-        One that answered and lends nothing knows of another lender, and this node will in a moment.
+        A node that answers but does not lend knows of another lender, and this node soon will too.
         """
-        return self._silent_until.get(node_id, 0.0) > now - self.call_timeout
+        return self._unresponsive_until.get(node_id, 0.0) > now - self.call_timeout
 
-    def _hears_neighbours(self) -> bool:
-        """Whether this node is not alone cut off, as far as it knows."""
+    def _hears_zone_peers(self) -> bool:
+        """Whether this node hears peers of its zone, and so is not the one that is cut off."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(now - one.heard_at <= HEARD_WITHIN for one in self._peers.neighbours(zone))
 
-    def _note_over(
-        self, tenant: RoutedTenant, request_id: str, lender: str, loan: CreditDecision
+    def _log_over_limit(
+        self, tenant: RoutedTenant, request_id: str, lender: str, decision: CreditDecision
     ) -> None:
         self._events.emit(
             Event.TENANT_OVER_LIMIT,
@@ -228,18 +242,18 @@
             rate=tenant.rate,
             burst=tenant.burst,
             revision=self._revision(),
-            share=round(loan.share, 3),
-            retry_after=round(loan.wait, 3),
+            share=round(decision.share, 3),
+            retry_after=round(decision.wait, 3),
         )
 
-    def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> CreditDecision:
-        """Ask one node; one that does not answer lends nothing."""
+    def _request_credit(self, node_id: str, tenant: RoutedTenant, work: Work) -> CreditDecision:
+        """Ask one node for credit; a node that does not answer lends none."""
         terms = LimitTerms(tenant.rate, tenant.burst, max(0, self._revision()))
         now = self._clock.monotonic()
         if node_id == self._node_id:
-            return self._lend(tenant.name, terms, work)
+            return self._lend_credit(tenant.name, terms, work)
         peer = self._peers.get(node_id)
-        if peer is None or self._silent_until.get(node_id, 0.0) > now:
+        if peer is None or self._unresponsive_until.get(node_id, 0.0) > now:
             return CreditDecision(CreditOutcome.NOT_OWNER)
         ask = gateway.CreditAsk(
             tenant=tenant.name,
@@ -252,31 +266,31 @@
         )
         reply = self._call(node_id, peer.report.peer_address, ask)
         if reply is None:
-            self._silent_until[node_id] = self._clock.monotonic() + SILENT_TIME
-        if not isinstance(reply, gateway.CreditReply) or reply.lending not in _LENDINGS:
+            self._unresponsive_until[node_id] = self._clock.monotonic() + UNRESPONSIVE_TIME
+        if not isinstance(reply, gateway.CreditReply) or reply.lending not in _OUTCOMES:
             return CreditDecision(CreditOutcome.NOT_OWNER)
         return CreditDecision(CreditOutcome(reply.lending), reply.wait, reply.share, reply.tag)
 
-    def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> CreditDecision:
-        """Lend this node's credit, with the place of the request among all tenants' ones.
+    def _lend_credit(self, tenant: str, terms: LimitTerms, work: Work) -> CreditDecision:
+        """Take credit from this node's bucket, and assign the request's start tag.
 
-        Credit that comes in a moment is waited for.
+        Credit that will be there in a moment is waited for.
         """
         asked_at = self._clock.monotonic()
-        loan = self.limits.try_acquire(tenant, terms, asked_at)
-        while loan.outcome is CreditOutcome.OVER_LIMIT:
-            wait = max(loan.wait, SHORT_PAUSE)
-            if self._clock.monotonic() + wait > asked_at + SHORT_WAIT:
+        decision = self.limits.try_acquire(tenant, terms, asked_at)
+        while decision.outcome is CreditOutcome.OVER_LIMIT:
+            wait = max(decision.wait, CREDIT_POLL_INTERVAL)
+            if self._clock.monotonic() + wait > asked_at + MAX_CREDIT_WAIT:
                 break
             gevent.sleep(wait)
-            loan = self.limits.try_acquire(tenant, terms, self._clock.monotonic())
-        if loan.outcome is not CreditOutcome.GRANTED or not self.shares.enabled:
-            return loan
-        return replace(loan, tag=self.shares.assign_tag(tenant, work))
+            decision = self.limits.try_acquire(tenant, terms, self._clock.monotonic())
+        if decision.outcome is not CreditOutcome.GRANTED or not self.shares.enabled:
+            return decision
+        return replace(decision, tag=self.shares.assign_tag(tenant, work))
 
     def _call(self, node_id: str, address: str, ask: gateway.CreditAsk) -> object:
         reply, error = None, "no answer in time"
-        # To open a connection may take longer than the caller has.
+        # Opening a connection may take longer than the caller has.
         with gevent.Timeout(self.call_timeout, exception=False):
             try:
                 transport = self._services.transport
@@ -288,7 +302,7 @@
         return reply
 
     def fields(self) -> dict[str, Any]:
-        """What it lends by, for operators."""
+        """Return what this node's lending is based on, for the status document."""
         limits = self.limits
         return {
             "heard": limits.live_nodes,
@@ -297,16 +311,20 @@
         }
 
     def reply(self, ask: gateway.CreditAsk) -> gateway.CreditReply:
-        """What a peer that asks gets."""
+        """Answer a peer's request for credit."""
         terms = LimitTerms(ask.rate, ask.burst, ask.revision)
         self.shares.clock.merge(ask.clock)
-        loan = self._lend(ask.tenant, terms, Work(ask.cost, ask.correction))
+        decision = self._lend_credit(ask.tenant, terms, Work(ask.cost, ask.correction))
         if (
-            loan.outcome is CreditOutcome.OVER_LIMIT
+            decision.outcome is CreditOutcome.OVER_LIMIT
             and self.limits.choices(ask.tenant)[0] != self._node_id
         ):
-            # Its part being used up says nothing of the limit, for which some builds take it.
-            loan = CreditDecision(CreditOutcome.NOT_OWNER)
+            # A secondary lender's empty bucket does not mean that the limit is reached, but some
+            # builds take it for that.
+            decision = CreditDecision(CreditOutcome.NOT_OWNER)
         return gateway.CreditReply(
-            lending=loan.outcome.value, wait=loan.wait, share=loan.share, tag=loan.tag
+            lending=decision.outcome.value,
+            wait=decision.wait,
+            share=decision.share,
+            tag=decision.tag,
         )
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Clients that read slowly: engines, other clients and the node's memory are safe from them."""
+"""Clients that read slowly must not hold up engines, harm others or exhaust the memory."""
 
 import socket as sockets
 import time
@@ -15,12 +15,12 @@
 from tests.waiting import wait_until
 
 SMALL_BUFFER = 4_096
-"""Bytes that the sockets between a node and a slow client are set to hold; the system doubles it
-and more."""
+"""Size set for the socket buffers between a node and a slow client; the system more than doubles
+it."""
 EVENTS = 200
 PADDING = 1_000
 SIZE = EVENTS * PADDING
-"""Bytes of an answer at least; far more than the sockets of a slow client hold."""
+"""Least size of a response in bytes; far more than the socket buffers of a slow client hold."""
 
 
 def whole_stream(request_id, events=EVENTS, padding=PADDING):
@@ -44,7 +44,7 @@
             engine.usual = Behaviour(**behaviour)
 
     def send(self, request_id, path=STREAM_PATH):
-        """Send a request whose answer isn't read yet; returns the connection."""
+        """Send a request and do not read its response yet; returns the connection."""
         host, port = self.fleet.settings["n0"].listen.split(":")
         connection = socket.socket()
         connection.setsockopt(sockets.SOL_SOCKET, sockets.SO_RCVBUF, SMALL_BUFFER)
@@ -55,7 +55,7 @@
         return connection
 
     def placed(self):
-        """Requests that hold a place at an engine, as the node counts them."""
+        """Return the number of requests at engines, as the node counts them."""
         return sum(row["online"] for row in self.node.status_document()["engines"])
 
     def held(self):
@@ -66,7 +66,7 @@
 
 
 class ReadAheadTest(SlowClientCase):
-    def test_a_client_that_stalls_keeps_no_engine(self):
+    def test_stalled_client_occupies_no_engine(self):
         connection = self.send("r1")
         wait_until(lambda: any(engine.runs for engine in self.fleet.engines))
         wait_until(lambda: self.placed() == 0, 5.0)
@@ -80,7 +80,7 @@
         self.assertEqual(self.node.status_document()["readers"], [])
         self.assertEqual(len(self.events(Event.CLIENT_LAGS)), 1)
 
-    def test_events_stay_apart(self):
+    def test_events_stay_separate_chunks(self):
         connection = self.send("r1")
         wait_until(lambda: self.held() > SIZE / 2)
         connection.settimeout(10.0)
@@ -96,13 +96,13 @@
         events = whole_stream("r1").split(b"\n\n")[:-1]
         self.assertEqual(sizes, [len(one) + 2 for one in events] + [0])
 
-    def test_a_client_that_keeps_up_is_no_slow_one(self):
+    def test_client_that_keeps_up_does_not_count_as_slow(self):
         self.answer_with(events=3, padding=10)
         answer = read_answer(self.send("r1"))
         self.assertEqual(answer.body, whole_stream("r1", 3, 10))
         self.assertEqual(self.events(Event.CLIENT_LAGS), [])
 
-    def test_an_answer_that_is_no_stream_counts_too(self):
+    def test_response_that_is_not_a_stream_counts_too(self):
         self.answer_with(events=EVENTS, padding=PADDING, content_type="text/plain")
         connection = self.send("r1")
         wait_until(lambda: self.held() >= SIZE)
@@ -111,8 +111,8 @@
         self.assertEqual((answer.body, answer.whole), (whole_stream("r1"), True))
         wait_until(lambda: self.held() == 0)
 
-    def test_an_answer_that_is_taken_as_it_comes_counts_for_nothing(self):
-        """It is larger than what sockets hold, so that a write must wait for any client."""
+    def test_response_read_at_full_speed_does_not_count(self):
+        """The response is larger than the socket buffers: a write has to wait for any client."""
         self.node.slow_clients.budget.limit = SIZE // 2
         self.answer_with(events=EVENTS, padding=PADDING, content_type="text/plain")
         for number in range(3):
@@ -122,7 +122,7 @@
         wait_until(lambda: not self.node.application.in_progress)
         self.assertEqual((self.held(), self.node.status_document()["readers"]), (0, []))
 
-    def test_a_slow_stream_goes_on_at_another_engine(self):
+    def test_slow_stream_resumes_at_another_engine(self):
         plan = [Behaviour(events=EVENTS, padding=PADDING, cut_after=120)]
         for engine in self.fleet.engines:
             engine.plan = plan
@@ -133,7 +133,7 @@
         answer = read_answer(connection)
         self.assertEqual((answer.body, answer.whole), (whole_stream("r1"), True))
 
-    def test_an_answer_that_was_cut_looks_cut(self):
+    def test_truncated_response_looks_truncated(self):
         for engine in self.fleet.engines:
             engine.usual = Behaviour(events=EVENTS, padding=PADDING, cut_after=120)
         connection = self.send("r1", ONCE_PATH)
@@ -152,7 +152,7 @@
         wait_until(lambda: self.held() == 0 and not self.node.application.in_progress)
         self.assertEqual(self.node.status_document()["readers"], [])
 
-    def test_a_client_that_leaves_a_whole_answer_frees_it(self):
+    def test_client_disconnecting_from_a_complete_response_frees_it(self):
         connection = self.send("r1")
         wait_until(lambda: self.held() > 0 and self.placed() == 0)
         connection.shutdown(sockets.SHUT_WR)
@@ -170,7 +170,7 @@
 
 
 class ManyClientsTest(SlowClientCase):
-    def test_quick_clients_are_served_beside_many_that_stall(self):
+    def test_fast_clients_are_served_beside_many_stalled_ones(self):
         stalled = [self.send(f"slow-{number}") for number in range(24)]
         wait_until(lambda: len(self.events(Event.CLIENT_LAGS)) == 24)
         for number in range(8):
@@ -203,7 +203,7 @@
         self.budget = self.node.slow_clients.budget
 
     def watch_budget(self):
-        """Returns the most that was held, told by the list's last entry."""
+        """Return a list whose last entry is the most that was held so far."""
         most = [0]
 
         def look():
@@ -215,9 +215,9 @@
         self.addCleanup(greenlet.kill)
         return most
 
-    def test_who_holds_most_for_longest_is_cut(self):
+    def test_largest_and_oldest_is_disconnected(self):
         self.budget.limit = 3 * (SIZE + EVENTS * EVENT_OVERHEAD)
-        # One store alone may hold an answer here.
+        # Lets one buffer hold a complete response here.
         self.budget.stream_share = 1.0
         most = self.watch_budget()
         connections = {}
@@ -236,7 +236,7 @@
         wait_until(lambda: not self.node.application.in_progress)
         self.assertEqual(self.budget.held, 0)
 
-    def test_a_full_store_ends_its_stream_and_frees_its_engine(self):
+    def test_full_buffer_ends_its_stream_and_frees_its_engine(self):
         self.budget.limit = SIZE
         connection = self.send("r1")
         wait_until(lambda: self.held() > SIZE / 8)
@@ -248,7 +248,7 @@
         self.assertFalse(read_answer(connection).whole)
         wait_until(lambda: not self.node.application.in_progress)
 
-    def test_a_cut_stream_that_still_runs_leaves_its_engine(self):
+    def test_given_up_stream_frees_its_engine_while_running(self):
         self.answer_with(events=EVENTS, padding=PADDING, pause=0.01)
         connection = self.send("r1")
         wait_until(lambda: self.held() > 10 * PADDING)
