--- a/postvalve/core/admission/__init__.py
+++ b/postvalve/core/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who may start: tenant limits, and the slots of an owned engine."""
+"""Admission control: tenant limits, request quarantine and engine slots."""
--- a/postvalve/core/admission/api_keys.py
+++ b/postvalve/core/admission/api_keys.py
@@ -1,4 +1,4 @@
-"""Who holds an API key. Keys are known by their digests only, at both interfaces."""
+"""Look-up of API keys. Both interfaces store only SHA-256 digests of keys, never the keys."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 
 def key_digest(key: str) -> str:
-    """The SHA-256 digest of a key, in hex."""
+    """Return the SHA-256 digest of a key, in hex."""
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def find_by_key(key: str, holders: Mapping[str, Holder]) -> Holder | None:
-    """Whose key it is.
+    """Return the holder of a key, or None.
 
     Args:
-        key: As the caller sent it.
-        holders: By digest; a look-up by digest takes a time that tells nothing of a key.
+        key: The key as the caller sent it.
+        holders: Holders by key digest. A look-up by digest leaks nothing about stored keys through
+            its timing.
     """
     return holders.get(key_digest(key))
 
 
 def same_key(key: str, digest: str) -> bool:
-    """Whether a key has a digest, compared in constant time."""
+    """Return whether a key has the given digest. The comparison takes constant time."""
     return hmac.compare_digest(key_digest(key), digest)
--- a/postvalve/core/admission/callers.py
+++ b/postvalve/core/admission/callers.py
@@ -1,4 +1,4 @@
-"""Who asks: the tenant of a request, by its API key and the configuration in force."""
+"""Authentication of callers: finds a request's tenant by its API key."""
 
 from __future__ import annotations
 
@@ -9,57 +9,62 @@
 from postvalve.settings.routes import RoutedTenant, RouteSpec
 
 KEY_DOUBT_AGE = 2.0
-"""Seconds of configuration that a node may have missed up to which a key that it does not know
-belongs to nobody. Beyond, its owner may hold it by a newer one: a 401 would be taken as final."""
+"""Age of the configuration, in seconds, up to which an unknown key is rejected with 401. Beyond it
+a newer revision may contain the key, and clients treat a 401 as final, so the answer is a retryable
+error."""
 KEY_RETRY_AFTER = 0.3
-"""Seconds told to a client whose key this node can't judge; others can at once."""
+"""Retry time in seconds when this node cannot judge a key. Other nodes can judge it at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who sends a request."""
+    """The authenticated sender of a request."""
 
     tenant: RoutedTenant | None = None
-    """None for somebody who shows no key where none is needed."""
+    """None for an anonymous caller on a route that needs no key."""
     named: bool = False
-    """Whether the configuration names tenants at all."""
+    """Whether the configuration defines any tenants."""
 
     @property
     def name(self) -> str:
-        """The tenant's name; empty for nobody in particular."""
+        """The tenant's name; empty for an anonymous caller."""
         return self.tenant.name if self.tenant else ""
 
     def rank(self, route: RouteSpec) -> tuple[int, int]:
-        """Urgency of a request, the least first: its tenant's priority goes before its route's."""
+        """Return the sort key of a request's urgency; lower sorts first.
+
+        The tenant's priority takes precedence over the route's.
+        """
         own = self.tenant.priority if self.tenant else None
         return (route.priority if own is None else own, route.priority)
 
 
 @dataclass(frozen=True, slots=True)
 class KeyPolicy:
-    """How long a node that hears of no configuration goes on by the last one it knows."""
+    """What a node does while its configuration is out of date."""
 
     fails_closed: bool = False
-    """Whether it refuses everybody who needs a key from `closes_after` on."""
+    """Whether requests that need a key are refused once the configuration is older than
+    `closes_after`."""
     closes_after: float = 5.0
-    """Seconds of configuration that it may have missed."""
+    """Age of the configuration, in seconds."""
 
 
 def identify_caller(
     table: RouteTable, key: str | None, *, needs_key: bool, age: float, policy: KeyPolicy
 ) -> Caller:
-    """Resolve who sends a request.
+    """Return the caller of a request.
 
     Args:
         table: The configuration in force.
-        key: The API key that came with the request.
-        needs_key: Whether there must be one.
-        age: Seconds of which this node does not know how the configuration changed.
-        policy: What a node does that has heard nothing for long.
+        key: The API key sent with the request, if any.
+        needs_key: Whether the route requires a key.
+        age: Seconds for which this node may have missed changes of the configuration.
+        policy: What to do when the configuration is out of date.
 
     Raises:
-        AuthenticationError: there is no key, or nobody holds it.
-        KeyUnknownError: this node can't tell.
+        AuthenticationError: The key is missing, or no tenant holds it.
+        KeyUnknownError: This node's configuration is too old to judge the key.
     """
     if not table.names_callers:
         return Caller()
--- a/postvalve/core/admission/connection_share.py
+++ b/postvalve/core/admission/connection_share.py
@@ -1,8 +1,9 @@
-"""How many connections a node may keep open to an engine that all nodes share.
+"""Limit on idle connections to an engine that all nodes share.
 
-An engine takes a bounded number of connections from all callers together and resets the rest.
-What rests at one node can't be opened by another, so only half of the bound may rest, in equal
-shares; the other half is for requests under way, of which slots bound the number.
+An engine accepts a limited number of connections from all callers together and resets any beyond
+it. A connection that is idle at one node cannot be opened by another one. So the nodes together may
+keep at most half of the limit idle, in equal shares. The other half is for requests in progress,
+whose number is bounded by the engine's slots.
 """
 
 from __future__ import annotations
@@ -10,17 +11,18 @@
 from collections.abc import Iterable
 
 MAX_RESTING = 24
-"""Connections to one engine that a node keeps at the most, whatever the bound."""
+"""Most idle connections to one engine at a node, whatever the engine's limit."""
 RESTING_SHARE = 0.5
-"""Share of an engine's connections that may rest at all nodes together."""
+"""Share of an engine's connections that may be idle at all nodes together."""
 
 
 def resting_limit(max_connections: Iterable[int], nodes: int) -> int:
-    """Connections to one engine that may rest at one node.
+    """Return how many connections to one engine may be idle at this node.
 
     Args:
-        max_connections: Bounds of the services' engines; 0 for none. The smallest counts.
-        nodes: Nodes of the fleet, this one included.
+        max_connections: Connection limits of the services' engines; 0 for no limit. The smallest
+            one applies.
+        nodes: Number of nodes in the fleet, including this one.
     """
     bound = min((one for one in max_connections if one > 0), default=0)
     if not bound:
--- a/postvalve/core/admission/engine_slots.py
+++ b/postvalve/core/admission/engine_slots.py
@@ -1,7 +1,7 @@
-"""Slots of one engine, kept by its owner, who alone admits work to it.
+"""Slots of one engine. Only the engine's owner admits work to it.
 
-Online work takes any slot, and batch work gives way for it at once. Batch work takes
-only slots beyond the headroom, which follows the observed bursts of online work.
+Online requests take any slot and preempt batch items at once. Batch items take only slots beyond
+the headroom, which follows the recently observed bursts of online requests.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 
 BURST_WINDOW = 30.0
-"""Seconds over which the peak of online work is remembered."""
+"""Seconds of the sliding window over which the peak online concurrency is taken."""
 MAX_HEADROOM_FRACTION = 0.5
-"""Share of the slots that headroom never exceeds."""
+"""Largest share of the slots kept as headroom."""
 ONLINE_MEMORY = 2.0
-"""Seconds after its last online work that an engine still counts as serving it."""
+"""Seconds after its last online request for which an engine counts as serving online work."""
 FULL_RETRY_AFTER = 0.5
-"""Seconds told to a gateway when every slot runs online work."""
+"""Retry time in seconds told to a gateway when online work fills every slot."""
 
 
 @dataclass(frozen=True, slots=True)
 class OnlineDecision:
-    """Answer to a request for an online slot."""
+    """Result of a request for an online slot."""
 
     granted: bool
     preempted: tuple[str, ...] = ()
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OnlineOccupant:
-    """An online attempt in a slot."""
+    """An online attempt that occupies a slot."""
 
     gateway_id: str
     admitted_at: float
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchOccupant:
-    """A batch item in a slot."""
+    """A batch item that occupies a slot."""
 
     attempt_id: str
     rank: int
@@ -47,21 +47,21 @@
 
 
 class BurstTracker:
-    """Peak of online concurrency over a sliding window."""
+    """Peak online concurrency over a sliding window."""
 
     def __init__(self, window: float = BURST_WINDOW) -> None:
         self._window = window
         self._samples: deque[tuple[float, int]] = deque()
 
     def record(self, concurrency: int, now: float) -> None:
-        """Note the concurrency at `now`."""
-        # Smaller samples before a larger one never are the peak again.
+        """Record the concurrency at `now`."""
+        # An earlier sample that is not larger can never be the peak again.
         while self._samples and self._samples[-1][1] <= concurrency:
             self._samples.pop()
         self._samples.append((now, concurrency))
 
     def peak(self, now: float) -> int:
-        """Largest concurrency in the window."""
+        """Return the largest concurrency in the window."""
         while len(self._samples) > 1 and self._samples[0][0] < now - self._window:
             self._samples.popleft()
         return self._samples[0][1] if self._samples else 0
@@ -69,17 +69,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotPolicy:
-    """How an engine's slots are shared, as its pool says."""
+    """How a pool shares an engine's slots between online and batch work."""
 
     minimum_headroom: int = 0
     batch_beside_online: int | None = None
-    """Batch items that may run beside online work; None for no bound."""
+    """Batch items that may run while the engine serves online work; None for no limit."""
     online_queue: int = 0
-    """Online attempts beyond the slots, which wait inside the engine, before all batch."""
+    """Online attempts admitted beyond the slots. They queue inside the engine, ahead of all batch
+    items."""
 
 
 class EngineSlots:
-    """Occupants of one engine's slots."""
+    """The occupants of one engine's slots."""
 
     def __init__(self, slots: int, policy: SlotPolicy) -> None:
         self.slots = slots
@@ -91,16 +92,16 @@
 
     @property
     def online_count(self) -> int:
-        """Online attempts in progress."""
+        """Number of online attempts in progress."""
         return len(self._online)
 
     @property
     def batch_count(self) -> int:
-        """Batch items in progress."""
+        """Number of batch items in progress."""
         return len(self._batch)
 
     def admit_online(self, attempt_id: str, gateway_id: str, now: float) -> OnlineDecision:
-        """Ask for a slot; batch items give way when none is free."""
+        """Admit an online attempt if possible, preempting batch items when no slot is free."""
         if self.online_count >= self.slots + self.policy.online_queue:
             return OnlineDecision(False, retry_after=FULL_RETRY_AFTER)
         self._online[attempt_id] = OnlineOccupant(gateway_id, now)
@@ -121,12 +122,13 @@
         return tuple(victim.attempt_id for victim in victims)
 
     def headroom(self, now: float) -> int:
-        """Slots kept free of batch: the recent online peak above the present."""
+        """Return the slots to keep free of batch items: the recent online peak minus the current
+        load."""
         expected = max(self.policy.minimum_headroom, self._bursts.peak(now) - self.online_count)
         return min(expected, int(self.slots * MAX_HEADROOM_FRACTION))
 
     def batch_room(self, now: float) -> int:
-        """How many more batch items may start."""
+        """Return how many more batch items may start."""
         used = self.online_count + self.batch_count
         room = self.slots - self.headroom(now) - used
         bound = self.policy.batch_beside_online
@@ -135,14 +137,14 @@
         return max(0, room)
 
     def admit_batch(self, attempt_id: str, rank: int, now: float) -> bool:
-        """Take a slot for a batch item, if there is room."""
+        """Take a slot for a batch item; returns False if there is none."""
         if self.batch_room(now) < 1:
             return False
         self._batch[attempt_id] = BatchOccupant(attempt_id, rank, now)
         return True
 
     def release(self, attempt_id: str, now: float) -> None:
-        """Free the slot of an attempt; unknown ones are passed over."""
+        """Free the slot of an attempt. Unknown attempts are ignored."""
         if self._online.pop(attempt_id, None) is not None:
             self._online_at = now
             self._bursts.record(self.online_count, now)
@@ -155,12 +157,14 @@
                 self.release(attempt_id, now)
 
     def release_older(self, admitted_before: float, now: float) -> None:
-        """Free the slots of attempts so old that their release must have been lost."""
+        """Free the slots of attempts admitted before the given time, whose release must have been
+        lost."""
         for attempt_id, occupant in list(self._online.items()):
             if occupant.admitted_at < admitted_before:
                 self.release(attempt_id, now)
 
 
 def _cheapest_first(occupant: BatchOccupant) -> tuple[int, float]:
-    # Lowest rank of importance first, then the one that ran shortest.
+    # The highest rank number is the least important. Among equals, the item that has run for the
+    # shortest time loses the least work.
     return (-occupant.rank, -occupant.started_at)
--- a/postvalve/core/admission/engine_use.py
+++ b/postvalve/core/admission/engine_use.py
@@ -1,8 +1,8 @@
-"""How many requests each engine runs, by this node's own counts and its peers' reports.
+"""Number of requests running at each engine, from this node's own counts and its peers' reports.
 
-Every node counts what it sent itself, exactly, and hears the counts of the others some
-tenths of a second late. Nobody owns an engine: a wrong guess makes a request wait at the
-engine for a moment and breaks no promise.
+Every node counts its own requests exactly and learns the other nodes' counts with a delay of some
+tenths of a second. No node owns an engine: a count that is out of date makes a request queue
+briefly at the engine and violates no guarantee.
 """
 
 from __future__ import annotations
@@ -19,31 +19,33 @@
 from postvalve.core.membership.engine_life import EngineLife
 
 _ENTRY = struct.Struct("!IHHHH")
-"""Engine's hash, online requests, batch items, unread prompt tokens, tokens of memory."""
+"""Engine hash, online requests, batch items, prompt tokens not processed yet, tokens of memory."""
 TOKEN_UNIT = 64
-"""Tokens for each unit of a report."""
+"""Tokens per unit in a report."""
 MAX_UNITS = 0xFFFF
 RESERVED_FRACTION = 0.1
-"""Share of an engine's slots that pressing batch items leave free beside what online work takes
-now."""
+"""Share of an engine's slots that pressing batch items leave free beyond the current online
+load."""
 RELAXED_FRACTION = 0.35
-"""The same for items that have time. In a heap an engine gets two to three requests before batch
-has given way (8 slots, 4 requests a second for half a second each): these find a slot."""
+"""The same for batch items that are not pressing. In a burst (8 slots, 4 requests a second of half
+a second each) an engine gets two to three requests before batch items have been preempted; these
+requests find a free slot."""
 QUEUE_FRACTION = 0.05
-"""Requests that may wait at an engine before batch gives way, for each slot, where online work
-has most of the slots."""
+"""Requests per slot that may queue at an engine before batch items are preempted, while online work
+holds at least `ONLINE_FRACTION` of the slots."""
 ONLINE_FRACTION = 0.75
-"""Share of the slots from which it has: one of its own requests ends soon. Batch items run
-for seconds, and among them an online request would wait for one of those."""
+"""Share of the slots from which online work counts as predominant: one of its own requests ends
+soon and frees a slot. Batch items run for seconds, so among them a queued online request would have
+to wait for one of those to end."""
 
 
 HASHES_KEPT = 8_192
-"""Hashes of engines that are kept in memory: more than the planned 2,300, and those that left."""
+"""Engine hashes cached in memory: enough for the planned 2,300 engines and those that have left."""
 
 
 @functools.lru_cache(HASHES_KEPT)
 def engine_hash(life: EngineLife) -> int:
-    """The 32 bits by which reports name one life of an engine."""
+    """Return the 32-bit hash that identifies an engine instance in reports."""
     return xxhash.xxh32_intdigest(life.encode())
 
 
@@ -54,44 +56,44 @@
     online: int = 0
     batch: int = 0
     unread: int = 0
-    """Prompt tokens of those that have no first token yet."""
+    """Prompt tokens of the requests that have produced no token yet."""
     memory: int = 0
-    """Tokens that all of them may need in the engine's memory."""
+    """Tokens that all the requests may need in the engine's memory."""
 
     @property
     def total(self) -> int:
-        """Both kinds together."""
+        """Number of online requests and batch items."""
         return self.online + self.batch
 
 
 class EngineUse:
-    """Counts by engine."""
+    """Requests in progress by engine, from this node and its peers."""
 
     def __init__(self) -> None:
         self._own: dict[int, UseCount] = {}
         self._peers: dict[str, dict[int, UseCount]] = {}
         self._reports: dict[str, bytes] = {}
-        """What each peer told last."""
+        """Last report of each peer."""
         self._totals: dict[int, UseCount] = {}
         self.means = OnlineMeans()
 
     def enter(self, life: EngineLife, *, batch: bool, unread: int = 0, memory: int = 0) -> None:
-        """Count one request in.
+        """Count a request that starts.
 
         Args:
-            life: The engine.
-            batch: Whether it is a batch item.
-            unread: Prompt tokens that the engine must read for it.
+            life: The engine instance.
+            batch: Whether the request is a batch item.
+            unread: Prompt tokens that the engine must process for it.
             memory: Tokens that it may need in the engine's memory.
         """
         self._change(life, 1, batch, unread, memory)
 
     def leave(self, life: EngineLife, *, batch: bool, unread: int = 0, memory: int = 0) -> None:
-        """Count one request out, with the prompt tokens that were not read."""
+        """Remove a request that ended, with those of its prompt tokens that were not processed."""
         self._change(life, -1, batch, -unread, -memory)
 
     def note_read(self, life: EngineLife, tokens: int) -> None:
-        """A request's prompt was read: its first token came."""
+        """Subtract prompt tokens that were processed: the request's first token arrived."""
         key = engine_hash(life)
         for count in (self._own.setdefault(key, UseCount()), self._total(key)):
             count.unread -= tokens
@@ -117,11 +119,14 @@
         return total
 
     def report(self) -> bytes:
-        """This node's own counts, for its peers."""
+        """Return this node's own counts, packed for its peers."""
         return _encode(self._own)
 
     def report_of(self, node_ids: Iterable[str]) -> bytes:
-        """Counts of this node and some of its peers together, for those who do not hear these."""
+        """Return the sum of the counts of this node and some of its peers, packed.
+
+        It is meant for nodes that do not receive those peers' own reports.
+        """
         sums: dict[int, UseCount] = {}
         for counts in (self._own, *(self._peers.get(node_id, {}) for node_id in node_ids)):
             for key, count in counts.items():
@@ -133,7 +138,7 @@
         return _encode(sums)
 
     def observe(self, node_id: str, report: bytes) -> None:
-        """Take the counts of a peer in, in place of its former ones."""
+        """Replace a peer's counts by those of its new report."""
         if self._reports.get(node_id) == report:
             return
         self._reports[node_id] = report
@@ -149,7 +154,7 @@
             total.unread += count.unread
             total.memory += count.memory
         self._peers[node_id] = counts
-        # A report leaves out engines where nothing of the peer runs any more.
+        # A report omits engines at which the peer runs nothing any more.
         self._note_online(former.keys() | counts.keys())
 
     def forget(self, node_id: str) -> None:
@@ -172,19 +177,20 @@
             total.memory -= count.memory
 
     def total(self, life: EngineLife) -> UseCount:
-        """Requests of all nodes at an engine; callers only read it, and it goes on counting."""
+        """Return the live count of all nodes' requests at an engine. Callers must not modify it."""
         return self._total(engine_hash(life))
 
     def own(self, life: EngineLife) -> UseCount:
-        """Requests of this node at an engine."""
+        """Return this node's own requests at an engine."""
         return self._own.get(engine_hash(life), UseCount())
 
     def batch_room(self, life: EngineLife, slots: int, *, pressing: bool = True) -> int:
-        """Batch items that may be added; negative when there are more than should start.
+        """Return how many batch items may start; negative when too many run.
 
-        Items fill the gaps between the heaps of online work, and give way when one comes. Those
-        that have time leave more room, so that fewer have to. A slot that a heap leaves free just
-        now is no room: see `online_means`.
+        Batch items fill the gaps between bursts of online requests and are preempted when a burst
+        comes. Items that are not pressing leave more slots free, so that fewer have to be
+        preempted. A slot that is free only for a moment within a burst does not count as free: see
+        `online_averages`.
         """
         fraction = RESERVED_FRACTION if pressing else RELAXED_FRACTION
         total = self.total(life)
@@ -193,7 +199,7 @@
         return min(slots - math.ceil(slots * fraction) - total.total, beside_heap)
 
     def excess(self, life: EngineLife, slots: int) -> int:
-        """Batch items that should give way: the engine's queue has grown too long."""
+        """Return how many batch items to preempt because the engine's queue is too long."""
         total = self.total(life)
         queued = max(1, int(slots * QUEUE_FRACTION))
         allowed = slots + (queued if total.online >= slots * ONLINE_FRACTION else 0)
@@ -201,7 +207,7 @@
 
 
 def relaxed_slots(slots: int) -> int:
-    """Slots of an engine that batch items which have time may take."""
+    """Return how many slots of an engine batch items that are not pressing may take."""
     return slots - math.ceil(slots * RELAXED_FRACTION)
 
 
--- a/postvalve/core/admission/fleet_limits.py
+++ b/postvalve/core/admission/fleet_limits.py
@@ -1,21 +1,25 @@
-"""Limits of tenants over all nodes together: each tenant has a node that lends its credit.
-
-A node asks before it lets a request of a limited tenant in, and the first choice among the nodes
-that are alive keeps the tenant's bucket. What makes that safe when views differ:
-
-- A bucket is a rate and a capacity, so whoever takes it over may begin with an empty one: before
-  and after together never give more than one bucket does over the same time.
-- A node lends by the share of the fleet that it hears, so that the sides of a cut together stay
-  within the whole, and one that has just started or hears nobody lends next to nothing.
-- Until it is known that the first choice is gone, a second one lends a little: one in each zone,
-  for who asks there, by the zone's share of the fleet. So a zone that is cut off has one at once,
-  and all of them together lend no more than one would.
-
-What these may give more than one bucket for a moment fits into what a limit may be exceeded by.
-
-The load it answers: one tenant sends many times its usual, on few connections at few nodes, while
-nodes come, go, stand still or are cut off. A part of the limit at each node (`tenant_limits`, the
-product's own interface) keeps it as well, and refuses most of what such a tenant may send.
+"""Rate limits of tenants across all nodes, enforced by one lender node per tenant.
+
+A node asks for credit before it admits a request of a limited tenant. The tenant's token bucket is
+kept by its primary lender: the first choice of rendezvous hashing among the live nodes. This stays
+safe while nodes have different views of the fleet:
+
+- A bucket has a rate and a capacity, so a node that takes a tenant over starts with an empty one:
+  the former and the new lender together never grant more than one bucket would over the same time.
+- A lender's rate and capacity are scaled by the share of the fleet that it hears. The sides of a
+  network partition together stay within the whole limit, and a node that has just started or hears
+  nobody grants next to nothing.
+- Until it is certain that the primary lender is gone, a secondary one grants a little. There is one
+  in each zone, for requests that arrive there, with a share in proportion to the zone's size. A
+  zone that is cut off therefore has a lender at once, and all secondary lenders together grant no
+  more than a single one would.
+
+What these rules may grant briefly beyond one bucket fits into the tolerance of the limit.
+
+The design load is a tenant that sends many times its usual rate, on few connections to few nodes,
+while nodes start, stop, are suspended or are cut off. Giving each node a fixed part of the limit
+(`tenant_limits`, used by the product's own interface) would also hold the limit, but would refuse
+most of what such a tenant may send.
 """
 
 from __future__ import annotations
@@ -29,86 +33,93 @@
 from postvalve.core.membership.ownership import rank_owners
 
 OWN_PART = 0.5
-"""Of what the rate may be exceeded by, for the first choice; the rest is for the second one."""
+"""Share of the tolerated excess rate that the primary lender may use. The secondary lenders have
+the rest."""
 SLACK_PART = 0.6
-"""Of the requests by which any limit may be exceeded, for the first choice: with 20 of them a
-tenant of one request a second sends a dozen at once now and then."""
+"""Share of the slack of a limit that the primary lender may use. With a slack of 20 requests, a
+tenant limited to one request a second can send bursts of a dozen."""
 DEPUTY_SLACK_PART = 0.4
-"""The same for all second choices together, in any window."""
+"""Share of the slack that all secondary lenders together may use in any window."""
 FILLED_PART = 0.75
-"""Of what second choices may lend in a window, that their full buckets hold; the rest is what comes
-in while the window lasts. They are asked seldom, and then by many at once."""
+"""Share of the secondary lenders' credit per window that their full buckets hold; the rest is
+refill during the window. They are asked rarely, and then by many requests at once."""
 VIEW_TIME = 10.0
-"""Seconds of views that are remembered, to tell since when a tenant's bucket is this node's."""
+"""Seconds of past membership views kept, to find since when this node has been a tenant's
+lender."""
 KNOWN_TIME = 30.0
-"""Seconds for which a node that is not heard any more counts as part of the fleet: longer than a
-cut lasts, and two sides would each take the other for gone after it."""
+"""Seconds for which a node that is no longer heard counts in the size of the fleet. It must
+exceed the length of a partition: once it has passed, each of the two sides would count the other
+as gone."""
 STALL = 1.5
-"""Seconds between two looks after which this node may have stood still for so long that others lend
-in its place: they take it for gone 2 s after its last report, which may be half a second old. Looks
-are half a second to a second apart."""
+"""Seconds between two updates from which this node may have been suspended for so long that others
+lend in its place. They count it as gone 2 s after its last report, which may be half a second old.
+Updates normally come every 0.5 to 1 s."""
 MAX_RETURN = 5.0
-"""Seconds at the most that a refused caller is told to stay away."""
+"""Longest retry time, in seconds, told to a refused client."""
 SETTLE_TIME = 1.5
-"""Seconds after its start until a node hears all others: those of other zones are told of a second
-after their zone's nodes have started, at the earliest. Till then it lends next to nothing, and who
-is refused need not stay away for as long as that would take to grow."""
+"""Seconds after its start until a node hears all others. Nodes of other zones are announced a
+second after the nodes of their own zone have started, at the earliest. Until then this node grants
+next to nothing, and refused clients are told to retry when this time is over instead of when a
+bucket of that small share has refilled."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitTerms:
-    """A tenant's limit, by a revision of the configuration."""
+    """Limit of a tenant in one revision of the configuration."""
 
     rate: float
-    """Requests a second, over all nodes."""
+    """Requests per second, across all nodes."""
     burst: float
     revision: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitBounds:
-    """What a limit may be exceeded by, all nodes together: a setting of the deployment."""
+    """Tolerance within which the nodes together may exceed a limit; a deployment setting."""
 
     window: float = 5.0
-    """Seconds, any of them in a row, in which requests are counted."""
+    """Length in seconds of the sliding window in which requests are counted."""
     over: float = 0.1
-    """Of what the limit allows in a window."""
+    """Tolerated excess, as a share of what the limit allows in a window."""
     slack: float = 20.0
-    """Requests on top of that."""
+    """Requests tolerated in addition."""
 
     def capacity(self, terms: LimitTerms) -> float:
-        """Requests that a full bucket of a tenant holds."""
+        """Return the capacity of a tenant's bucket, in requests."""
         spare = terms.rate * self.window * self.over * OWN_PART
         return terms.burst * (1 + self.over) + spare + self.slack * SLACK_PART
 
     def deputies_credit(self, terms: LimitTerms) -> float:
-        """Requests that all second choices of a tenant may lend in any window, together."""
+        """Return the requests that all secondary lenders of a tenant may grant in any window,
+        together."""
         over = terms.rate * self.window * self.over * (1 - OWN_PART)
         return over + self.slack * DEPUTY_SLACK_PART
 
 
 class Lending(enum.Enum):
-    """What a node says that was asked for credit."""
+    """Answer of a lender to a request for credit."""
 
     LENT = "lent"
-    """The request is within the limit, and was counted."""
+    """The request is within the limit and was counted."""
     OVER = "over"
     """The tenant is over its limit."""
     NOT_MINE = "not_mine"
-    """Other nodes lend to this tenant."""
+    """Other nodes are this tenant's lenders."""
 
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """The answer to one ask, and what it was made of."""
+    """Decision on one request for credit."""
 
     lending: Lending
     wait: float = 0.0
-    """Seconds after which a refused caller finds credit, spread over those that were refused."""
+    """Seconds after which a refused client should retry. Retries of refused clients are spread
+    out."""
     share: float = 1.0
-    """Of the limit, that this node lent by."""
+    """Share of the limit by which this node grants credit."""
     tag: float = 0.0
-    """Where the request stands, see `core/scheduling/fair_share`; 0 where nobody told."""
+    """Start tag of the request in the fair queue, see `core/scheduling/fair_share`; 0 if
+    unknown."""
 
 
 @dataclass(slots=True)
@@ -116,12 +127,12 @@
     terms: LimitTerms
     bucket: TokenBucket
     next_return: float = 0.0
-    """Monotonic seconds at which the last refused caller was told to come back."""
+    """Monotonic seconds at which the last refused client was told to retry."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Part:
-    """What a node could lend by from a time on."""
+    """Share of the limit by which this node may grant credit from a time on."""
 
     since: float
     share: float
@@ -133,9 +144,9 @@
     since: float
     live: frozenset[str]
     near: frozenset[str]
-    """Those of the node's own zone, itself among them."""
+    """Nodes of this node's own zone, including itself."""
     choices: dict[str, list[str]] = field(default_factory=dict)
-    """First and second choice by tenant."""
+    """Primary and secondary lender by tenant."""
 
     def choices_of(self, tenant: str) -> list[str]:
         found = self.choices.get(tenant)
@@ -147,7 +158,10 @@
 
 
 class FleetLimits:
-    """The buckets of one node, and whom it asks. Times are monotonic seconds."""
+    """Token buckets of the tenants that this node lends to, and the choice of lenders.
+
+    All times are monotonic seconds.
+    """
 
     def __init__(self, node_id: str, now: float, bounds: LimitBounds = LimitBounds()) -> None:
         self._node_id = node_id
@@ -159,31 +173,32 @@
         )
         self._certain = frozenset((node_id,))
         self._parts: deque[_Part] = deque([_Part(now, 0.0, 0.0)])
-        """For as long as views; a bucket that is not asked for fills by them all the same."""
+        """Shares over the time for which views are kept, since a bucket also refills while it is
+        unused."""
         self._sizes: deque[tuple[float, int]] = deque()
-        """When the fleet was seen to have so many nodes, the largest first."""
+        """Fleet sizes seen, as time and number of nodes, the largest first."""
         self._own: dict[str, _Account] = {}
         self._deputy: dict[str, _Account] = {}
         self.known = 1
-        """Nodes of the fleet, as far as this one knows."""
+        """Number of nodes in the fleet, as far as this node knows."""
 
     @property
     def heard(self) -> int:
-        """Nodes that are alive, this one among them, as far as it knows."""
+        """Number of live nodes that this node knows, including itself."""
         return len(self._views[-1].live)
 
     def starts(self, now: float) -> bool:
-        """Whether this node has just started, and may not hear all others yet."""
+        """Return whether this node started so recently that it may not hear all others yet."""
         return now < self._started_at + SETTLE_TIME
 
     @property
     def share(self) -> float:
-        """Of the fleet, that this node has heard a moment ago."""
+        """Share of the fleet that this node has heard recently."""
         return min(1.0, len(self._certain) / max(1, self.known))
 
     @property
     def zone_share(self) -> float:
-        """Of the fleet, that this node has heard a moment ago in its own zone."""
+        """Share of the fleet that this node has heard recently in its own zone."""
         near = self._views[-1].near & self._certain
         return min(1.0, len(near) / max(1, self.known))
 
@@ -195,20 +210,21 @@
         neighbours: Iterable[str] | None = None,
         certain: Iterable[str] | None = None,
     ) -> bool:
-        """Take in who is alive; called some times a second and before each decision.
+        """Take in which nodes are alive. Called several times a second and before each decision.
 
         Returns:
-            Whether this node stood still, so that others may have lent in its place.
+            Whether this node was suspended, so that others may have lent in its place.
 
         Args:
-            live: Ids of the nodes that take work, as far as this one knows; itself among them
-                unless it leaves.
-            announced: Nodes that the store knows of; counts while this node has just started.
+            live: Ids of the nodes that take work, as far as this one knows, including its own
+                unless it is leaving.
+            announced: Number of nodes registered in the store; used while this node has just
+                started.
             now: Monotonic seconds.
-            neighbours: Those of them in this node's zone; None where all are.
-            certain: Those that were heard so lately that nobody lends in their place yet; None
-                where all were. Of two sides of a cut, one finds it out by a report's interval
-                before the other: its lender begins when the other one's part has ended.
+            neighbours: Those of the live nodes that are in this node's zone; None if all are.
+            certain: Those that were heard so recently that nobody lends in their place yet; None if
+                all were. Of the two sides of a partition, one detects it up to a report interval
+                before the other: its lender starts only after the other side's share has ended.
         """
         stalled = now - self._looked_at > STALL
         if stalled:
@@ -243,13 +259,16 @@
         self.known = max(self._sizes[0][1], announced if young else 0)
 
     def _forget(self, now: float) -> None:
-        """This node stood still: others have lent meanwhile."""
+        """Drop all buckets after a suspension, during which other nodes have lent."""
         self._own.clear()
         self._deputy.clear()
         self._views = deque([_View(now, self._views[-1].live, self._views[-1].near)])
 
     def _drop_foreign(self) -> None:
-        """Others lend from now on, and this node begins anew when it does so again."""
+        """Drop the buckets of tenants that other nodes lend to now.
+
+        If this node becomes their lender again, it starts with an empty bucket.
+        """
         view = self._views[-1]
         for rank, accounts in enumerate((self._own, self._deputy)):
             for tenant in list(accounts):
@@ -257,11 +276,11 @@
                     del accounts[tenant]
 
     def choices(self, tenant: str) -> list[str]:
-        """Whom to ask, the first one first; two at the most."""
+        """Return the nodes to ask for a tenant's credit, the primary lender first; at most two."""
         return self._views[-1].choices_of(tenant)
 
     def lend(self, tenant: str, terms: LimitTerms, now: float) -> Loan:
-        """Decide on one request of a tenant."""
+        """Take credit for one request of a tenant."""
         choices = self.choices(tenant)
         if self._node_id not in choices:
             return Loan(Lending.NOT_MINE)
@@ -281,9 +300,10 @@
         return Loan(Lending.OVER, self._return_time(account, now, wait), share)
 
     def _fill(self, account: _Account, deputy: bool) -> _Part:
-        """Fill a bucket by each part since it was asked for; returns the one that is in force.
+        """Refill a bucket at each share that applied since its last use; returns the current share.
 
-        Others have lent what a part left, which is no credit of this node once it hears them again.
+        What a smaller share left to other lenders was granted by them, and does not become this
+        node's credit when it hears them again.
         """
         bucket, set_part = account.bucket, self._set_zone_part if deputy else self._set_part
         for part in self._parts:
@@ -293,23 +313,25 @@
         return self._parts[-1]
 
     def _set_part(self, account: _Account, part: _Part) -> None:
-        """Set what a first choice lends by."""
+        """Set the rate and capacity of a primary lender's bucket."""
         bucket = account.bucket
         bucket.rate = max(account.terms.rate * part.share, 1e-6)
-        # A share below one request would refuse everything.
+        # With a capacity below one request, the bucket would refuse everything.
         bucket.burst = max(1.0, self._bounds.capacity(account.terms) * part.share)
 
     def _set_zone_part(self, account: _Account, part: _Part) -> None:
-        """Set what a second choice lends by."""
+        """Set the rate and capacity of a secondary lender's bucket."""
         share, bucket = part.zone_share, account.bucket
         credit = self._bounds.deputies_credit(account.terms) * share
         bucket.rate = max(credit * (1 - FILLED_PART) / self._bounds.window, 1e-6)
-        # Only one zone can hold most of the fleet, and lend one request of a smaller share.
+        # At most one zone can hold more than half of the fleet, so rounding up to one request there
+        # cannot add up across zones.
         least = 1.0 if share > 0.5 else 0.0
         bucket.burst = max(least, credit * FILLED_PART)
 
     def _return_time(self, account: _Account, now: float, wait: float) -> float:
-        """Seconds until a refused caller may come back, one behind the other."""
+        """Return the seconds until a refused client may retry; successive clients are spaced
+        out."""
         gap, earliest = 1.0 / account.bucket.rate, now + wait
         settled_at = self._started_at + SETTLE_TIME
         if self.starts(now):
@@ -319,7 +341,7 @@
         return account.next_return - now
 
     def _mine_since(self, tenant: str, deputy: bool) -> float:
-        """Since when this node has been a tenant's first choice, or its second one."""
+        """Return since when this node has been a tenant's primary or secondary lender."""
         rank, since = int(deputy), self._views[-1].since
         for view in reversed(self._views):
             if view.choices_of(tenant)[rank : rank + 1] != [self._node_id]:
--- a/postvalve/core/admission/holding.py
+++ b/postvalve/core/admission/holding.py
@@ -1,10 +1,11 @@
-"""Whether an online request goes to an engine now, waits at the node, or is asked to come back.
-
-Engines serve first come, first served. In a heap of requests that is larger than their slots
-this makes everybody late by a little. So a request goes to an engine's queue only if it can still
-be in time there; those that can't leave the slots to those that can. One that has its time before
-it is refused at once, not run, with the time at which room is expected; one that has come back, or
-can't, waits at the node and takes the first slot that nobody needs to be in time.
+"""Admission of online requests: start now, hold at this node, or refuse with a retry time.
+
+Engines serve their queues first come, first served. In a burst larger than their slots this would
+make every request a little late. So a request is sent to an engine's queue only if it can still be
+in time there, and leaves the slots to other requests otherwise. A request whose client has time to
+retry is refused at once, without being run, together with the time at which capacity is expected.
+One that is a retry already, or whose client has no time for one, is held at the node and takes the
+first slot that no other request needs to be in time.
 """
 
 from __future__ import annotations
@@ -19,32 +20,32 @@
 REFUSE_SHARE = 0.12
 """Share of its target latency within which a request is refused, if at all."""
 HOLD_SHARE = 0.8
-"""Share of its target latency that a request is held at the most before an engine gets it: one
-that has come back must reach an engine while its client still waits."""
+"""Share of its target latency for which a request is held at most before it is sent to an engine. A
+retried request must reach an engine while its client is still waiting."""
 FRESH_SHARE = 0.97
-"""Share of the longest time that clients give from which a request counts as a first try; less
-than a client has left that came back after `LEAST_RETURN`, for any time up to 10 s."""
+"""Share of the longest deadline that clients set from which a request counts as a first try. It is
+more than a client has left that retried after `LEAST_RETURN`, for any deadline up to 10 s."""
 LEAST_RETURN = 0.3
-"""Seconds after which a refused client may come back at the earliest."""
+"""Shortest retry time, in seconds, told to a refused client."""
 RETURN_SHARE = 0.3
-"""Share of the time left after which a refused client comes back at the latest."""
+"""Share of the client's remaining time that the retry time may take at most."""
 RETURN_SPREAD = 0.5
-"""Seconds over which clients that were refused together come back."""
+"""Seconds over which the retries of clients refused together are spread."""
 UNKNOWN_QUEUE = 1
-"""Online requests that may wait at an engine before its pace is known."""
+"""Online requests that may queue at an engine while its latencies are unknown."""
 PERSISTENT_AFTER = 2.5
-"""Seconds after which an overload is none that clients can wait out: by then those that were told
-to come back are here, and whoever is refused or held only comes later."""
+"""Seconds after which an overload counts as persistent, so that waiting does not help clients. By
+then those told to retry are back, and refusing or holding any request only makes it later."""
 EPISODE_WEIGHT = 0.3
-"""Weight of a new overload in the expected length of the next one."""
+"""Weight of a new overload in the moving average of overload lengths."""
 EPISODE_GAP = 0.5
-"""Seconds in which every request finds room, after which an overload is over."""
+"""Seconds in which every request finds capacity, after which an overload is over."""
 FIRST_EPISODE = 1.0
-"""Seconds that the first overload is expected to last."""
+"""Expected length, in seconds, of the first overload."""
 
 
 class Ruling(enum.Enum):
-    """What becomes of a request now."""
+    """What to do with an online request now."""
 
     START = "start"
     HOLD = "hold"
@@ -53,26 +54,27 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldRequest:
-    """What decides about a request; times in monotonic seconds."""
+    """Properties of an online request that the decision depends on; times in monotonic seconds."""
 
     arrived_at: float
     target_latency: float
     deadline: float
     tokens: int
-    """Prompt tokens that an engine may have to read for it."""
+    """Prompt tokens that an engine may have to process for it."""
     may_return: bool
-    """Whether its client can come back in time if it is refused."""
+    """Whether its client has time for a retry if it is refused."""
 
 
 def finds_room(
     req: HeldRequest, rooms: Sequence[EngineRoom], pace: ServicePace, now: float
 ) -> bool:
-    """Whether an engine should get a request now, for its own sake."""
+    """Return whether a request should be sent to an engine now, regardless of other requests."""
     if not rooms or any_place(rooms, pace):
-        # A slot that no online work needs: late or not, nothing better can be had.
+        # An engine has a slot that no online work needs: even if the request will be late, it
+        # cannot do better elsewhere.
         return True
     if not pace.known:
-        # Nobody can say what a queue costs yet: one place in it is risked.
+        # Without estimates of the queueing delay, risk a queue of one request.
         return min(room.online - room.places(pace) for room in rooms) < UNKNOWN_QUEUE
     left = req.arrived_at + req.target_latency - now
     return any(timely(rooms, req.tokens, pace, left))
@@ -86,14 +88,15 @@
     *,
     persistent: bool = False,
 ) -> Ruling:
-    """Decide about a request at `now`; alike for all that wait.
+    """Decide on a request at `now`; the same rule applies to all waiting requests.
 
     Args:
         req: The request.
         rooms: Load of the engines that may take it.
-        pace: Of these engines.
+        pace: Latency estimates for these engines.
         now: Monotonic seconds.
-        persistent: Whether the slots ran out long ago: then engines serve first come, first served.
+        persistent: Whether the overload is persistent; requests are then started first come, first
+            served.
     """
     if persistent or finds_room(req, rooms, pace, now):
         return Ruling.START
@@ -106,7 +109,7 @@
 
 
 class OverloadEpisodes:
-    """When the slots ran out, and for how long they usually do."""
+    """Tracks when the engines ran out of slots, and how long overloads usually last."""
 
     def __init__(self) -> None:
         self._since: float | None = None
@@ -114,10 +117,10 @@
         self._length = FIRST_EPISODE
 
     def note_full(self, now: float) -> None:
-        """A request found no room in time at `now`.
+        """Record that a request found no capacity in time at `now`.
 
-        Slots come free all through an overload; it is over when nobody was short of one for a
-        while.
+        Slots become free all through an overload. It is over only when no request has been short of
+        a slot for `EPISODE_GAP`.
         """
         self._end_old(now)
         self._since = now if self._since is None else self._since
@@ -129,18 +132,19 @@
             self._since = None
 
     def persistent(self, now: float) -> bool:
-        """Whether the present overload has lasted for longer than clients can wait."""
+        """Return whether the present overload has lasted for longer than clients can wait."""
         self._end_old(now)
         return self._since is not None and now - self._since > PERSISTENT_AFTER
 
     def seconds_left(self, now: float) -> float:
-        """Seconds until there is room again, as far as can be told."""
+        """Return the expected seconds until there is capacity again."""
         self._end_old(now)
         if self._since is None:
             return 0.0
         return max(0.0, self._length - (now - self._since))
 
     def retry_after(self, now: float, time_left: float, drawn: float) -> float:
-        """Seconds told to a refused client; `drawn` is from 0 to 1."""
+        """Return the retry time, in seconds, for a refused client; `drawn` is a random number from
+        0 to 1."""
         latest = time_left * RETURN_SHARE
         return min(latest, max(LEAST_RETURN, self.seconds_left(now)) + RETURN_SPREAD * drawn)
--- a/postvalve/core/admission/online_means.py
+++ b/postvalve/core/admission/online_means.py
@@ -1,8 +1,8 @@
-"""How much online work each engine has had a moment ago.
+"""Recent average of the online requests at each engine.
 
-In a heap of online work a slot is free for the moment between two requests. A batch item that
-starts there is cut when the next one comes, before it has given anything. So room for items is
-counted by the mean of the last moment, too.
+Within a burst of online requests, a slot may be free only for the moment between two of them. A
+batch item started there would be preempted by the next request before it has produced anything. So
+the slots available to batch items are also limited by the average online load of the last window.
 """
 
 from __future__ import annotations
@@ -10,25 +10,26 @@
 from dataclasses import dataclass
 
 WINDOW = 0.25
-"""Seconds of one mean: several requests come to an engine in a heap, and a lull is soon noticed."""
+"""Seconds in one window: long enough for several requests of a burst to reach an engine, and short
+enough for the end of a burst to be noticed soon."""
 KEPT_WINDOWS = 40
-"""Windows after which engines without online work are forgotten: those that left are among them."""
+"""Windows after which engines without online work are dropped, such as engines that have left."""
 
 
 @dataclass(slots=True)
 class _Engine:
-    """Online requests of one engine."""
+    """Online requests at one engine."""
 
     window: int
-    """The window that is being counted."""
+    """Number of the current window."""
     count: int = 0
     total: int = 0
     last: int = 0
     mean: float = 0.0
-    """Of the window before."""
+    """Average over the previous window."""
 
     def catch_up(self, window: int) -> None:
-        """End the windows before this one."""
+        """Close all windows before the given one."""
         over = window - self.window
         if over <= 0:
             return
@@ -38,7 +39,7 @@
 
 
 class OnlineMeans:
-    """Means of online requests by engine, over the last window that is over."""
+    """Average online requests by engine, over the last complete window."""
 
     def __init__(self) -> None:
         self._engines: dict[int, _Engine] = {}
@@ -46,7 +47,7 @@
         self._cleaned = 0
 
     def note(self, engine: int, online: int) -> None:
-        """The number of online requests at an engine, by its hash, has become this."""
+        """Record the new number of online requests at an engine, given by its hash."""
         known = self._engines.get(engine)
         if known is None:
             known = self._engines[engine] = _Engine(self._window)
@@ -56,14 +57,15 @@
         known.last = online
 
     def roll(self, now: float) -> None:
-        """It is `now`, in monotonic seconds; told at each look for room."""
+        """Set the current window from monotonic time `now`. Called before each look-up of free
+        slots."""
         self._window = int(now / WINDOW)
         if self._window - self._cleaned >= KEPT_WINDOWS:
             self._cleaned = self._window
             self._forget_idle()
 
     def at(self, engine: int) -> float:
-        """The mean of an engine; 0 where nothing is known of it."""
+        """Return the average of an engine; 0 if nothing is known of it."""
         known = self._engines.get(engine)
         if known is None:
             return 0.0
--- a/postvalve/core/admission/quarantine.py
+++ b/postvalve/core/admission/quarantine.py
@@ -1,18 +1,20 @@
-"""Requests under which engines ended, and whether they may run again.
-
-A request that makes each engine end that runs it takes the whole fleet away from everybody when it
-comes again and again: under ids of its own, at any node, or as an item that is always tried again.
-What nodes saw of it is held here as small facts that merge: *an engine ended under this request*.
-A fact is excused when the engine turns out to live, or the request gets an answer. Facts and
-excuses are only added, so the order in which nodes hear of them, doubles and losses do no harm.
-Such a request is known as a *query of death*.
-
-Of the requests that an engine ran as it ended all but one are innocent. They go on elsewhere at
-once, and their answers clear them. One under which two engines ended is doubtful: it runs once at
-a time in the whole fleet, at an engine that its digest chooses, so that doubtful ones spread and
-copies of one meet. One under which a third ended is held back for a time that doubles with each
-end that follows. A variant of it under which no engine ended yet may be somebody else's: it runs
-alone, until so many variants did the same that the headers can't be what matters.
+"""Quarantine of requests that may crash the engines that run them.
+
+A request that crashes every engine that runs it can take the whole fleet down when it is sent again
+and again: with a new id each time, to any node, or as a batch item that is always retried. Such a
+request is known as a *query of death*. The quarantine records observations of the form *an engine
+failed while running this request*. An observation is excused when the engine turns out to be alive
+or the request gets an answer. Observations and excuses are only ever added, so they can be merged
+in any order, and duplicated or lost messages do no harm.
+
+Of the requests that an engine was running when it failed, all but one are innocent. They are
+retried elsewhere at once, and their answers clear them. A request under which two engines failed is
+suspect: it runs once at a time in the whole fleet, at an engine chosen by its digest, so that
+suspect requests spread over the engines and copies of one request meet at the same engine. A
+request under which a third engine failed is held back for a time that doubles with each further
+failure. A variant of such a request under which no engine has failed may belong to another client:
+it runs alone until several variants have caused failures, which shows that the headers make no
+difference.
 """
 
 from __future__ import annotations
@@ -29,50 +31,52 @@
 from postvalve.core.membership.ownership import preferred_owner
 
 DOUBTFUL_ENDS = 2
-"""Engines that ended under a request from which on it runs alone: it was cut twice in a row."""
+"""Failed engines from which on a request runs alone: it was interrupted twice in a row."""
 HELD_ENDS = 3
-"""Engines from which on it is held back. An innocent one has been where three engines ended, the
-third of which ran no other doubtful one that is known."""
+"""Failed engines from which on a request is held back. An innocent request gets there only if it
+was running at three engines that failed, the third of which ran no other known suspect request."""
 HOLD_TIME = 60.0
-"""Seconds for which it is held back after the third end, doubled for each one that follows: one
-engine in the first minute, one in the next two, and so on."""
+"""Seconds for which a request is held back after the third failure. The time doubles with each
+further one, so a request ends one engine in the first minute, one in the next two, and so on."""
 MAX_HOLD_TIME = 3600.0
 DOUBT_TIME = 30.0
-"""Seconds after its last end from which a request that is not held back is like any other. Engines
-that end for causes of their own rarely meet the same request twice in so short a time."""
+"""Seconds after its last failure for which a request stays suspect if it is not held back. Engines
+that fail for other reasons rarely run the same request twice in so short a time."""
 BEGIN_TIME = 1.0
-"""Seconds after a run's first event from which it is not what ended its engine: one that makes
-engines end does so as it begins to run, after 50 to 140 ms where it was seen."""
+"""Seconds after the first event of a run from which the run is not taken for the cause of its
+engine's failure. Requests that crash engines do so as they begin to run: after 50 to 140 ms where
+this was observed."""
 ANSWER_TIME = 30.0
-"""Seconds for which an answer speaks for a request that comes again. One that many send runs at all
-engines at all times, so it is there whenever one ends: beside a request that ended all engines of a
-run, three, 84 in 100 of those that were all alike got a 502 without this, and 23 with it."""
+"""Seconds for which an answer counts in favour of the same request when it is sent again. A request
+that many clients send runs at all engines at all times, so it is there whenever one fails: beside a
+request that crashed all three engines of a run, 84 of 100 such common requests got a 502 without
+this rule, and 23 with it."""
 LISTED_TIME = 1.0
-"""Seconds after its first answer in which an engine that started again may not be listed yet."""
+"""Seconds after its first answer in which a restarted engine may not be listed yet."""
 MAX_ANSWERS = 4_096
-"""Answers that are remembered: 136 a second, twice a node's share of the planned load."""
+"""Answers remembered: 136 a second, which is twice a node's share of the planned load."""
 MAX_CASES = 512
-"""Requests that are known at once. One engine that ends brings as many as it has slots, 8 to 20."""
+"""Entries kept. Each engine failure adds as many as the engine has slots, 8 to 20."""
 ENOUGH_VARIANTS = 3
-"""Variants under which engines ended from which on all others are held back too."""
+"""Number of failing variants from which on all variants of a request are held back."""
 MAX_FACTS = 12
-"""Facts that are kept of each."""
+"""Observations kept per entry."""
 
 
 class Ruling(enum.Enum):
     """Whether a request may run."""
 
     FREE = "free"
-    """Like any other."""
+    """It may run without restriction."""
     ALONE = "alone"
-    """Once at a time in the whole fleet, and at one engine only."""
+    """It may run once at a time in the whole fleet, and at one engine only."""
     HELD = "held"
-    """Not now."""
+    """It may not run now."""
 
 
 @dataclass(frozen=True, slots=True)
 class FactId:
-    """One fact: a life of an engine, and a number that no other fact of that life has."""
+    """Identifies one observation: an engine instance, and a number unique within that instance."""
 
     engine: EngineLife
     stamp: int
@@ -80,16 +84,18 @@
 
 @dataclass(slots=True)
 class Fact:
-    """That an engine ended under a request, or is about to be tried."""
+    """An observation: an engine failed while it ran a request, or is about to run a suspect one."""
 
     ended_at: float
-    """Monotonic seconds; of all that were heard the earliest, so that retelling ages nothing."""
+    """Monotonic seconds; the earliest of all reported times, so that repeated reports do not make
+    an observation younger."""
     variant: int = 0
-    """Of the request, see `request_identity`."""
+    """Variant of the request, see `request_identity`."""
     trial: bool = False
-    """Whether it was told when a doubtful request was sent; only its sender can excuse it."""
+    """Whether it was recorded when a suspect request was sent. Only the sending node can excuse
+    it."""
     excused: bool = False
-    """Whether it does not count; that is never taken back."""
+    """Whether the observation no longer counts. An excuse is never withdrawn."""
 
 
 @dataclass(slots=True)
@@ -99,7 +105,7 @@
     facts: dict[FactId, Fact] = field(default_factory=dict)
 
     def engines(self) -> dict[EngineLife, float]:
-        """Lives of engines that ended, and when."""
+        """Return the engine instances that failed, with the time of each failure."""
         found: dict[EngineLife, float] = {}
         for name, fact in self.facts.items():
             if not fact.excused:
@@ -107,34 +113,37 @@
         return found
 
     def variants(self) -> set[int]:
-        """Variants under which engines ended."""
+        """Return the variants under which engines failed."""
         return {fact.variant for fact in self.facts.values() if not fact.excused}
 
     def of(self, variant: int) -> list[Fact]:
-        """Facts of one variant."""
+        """Return the observations of one variant."""
         return [fact for fact in self.facts.values() if fact.variant == variant]
 
     @property
     def on_trial(self) -> bool:
-        """Whether a run of it is under way, as far as is known."""
+        """Whether a run of the request is in progress, as far as is known."""
         return any(fact.trial and not fact.excused for fact in self.facts.values())
 
     def concerns(self, variant: int) -> bool:
-        """Whether what is known holds a variant back, that of a run under way among others."""
+        """Return whether a variant is restricted by this entry, for example by a run in
+        progress."""
         known = self.variants()
         return self.on_trial or variant in known or len(known) >= ENOUGH_VARIANTS
 
     def held_until(self) -> float:
-        """Monotonic seconds until which it is held back; in the past where it is not."""
+        """Return until when the request is held back, in monotonic seconds; in the past if it is
+        not."""
         ends = self.engines()
         if len(ends) < HELD_ENDS:
             return float("-inf")
         return max(ends.values()) + hold_time(len(ends))
 
     def forgotten_at(self) -> float:
-        """Monotonic seconds from which nothing of it is needed any more.
+        """Return the monotonic time from which the entry may be dropped.
 
-        One that was held back is remembered as long again: the next end must count as one more.
+        An entry that was held back is kept for the same time again, so that the next failure counts
+        as a further one.
         """
         ends = self.engines()
         latest = max((fact.ended_at for fact in self.facts.values()), default=float("-inf"))
@@ -143,7 +152,7 @@
         return self.held_until() + hold_time(len(ends))
 
     def merge(self, told: Case) -> bool:
-        """Take in what another one knows of the same request; tells whether any of it is news."""
+        """Merge another node's knowledge of the same request; returns whether anything was new."""
         before = {name: fact.excused for name, fact in self.facts.items()}
         for name, fact in told.facts.items():
             known = self.facts.setdefault(name, Fact(fact.ended_at, fact.variant, fact.trial))
@@ -153,28 +162,29 @@
         return any(before.get(name) != fact.excused for name, fact in self.facts.items())
 
     def _prune(self) -> None:
-        """Drop the facts of least weight; those that come again are dropped again."""
+        """Drop the least important observations. If they are reported again, they are dropped
+        again."""
         while len(self.facts) > MAX_FACTS:
             facts = self.facts
             del facts[min(facts, key=lambda one: (not facts[one].excused, facts[one].ended_at))]
 
 
 def hold_time(ends: int) -> float:
-    """Seconds for which a request is held back after so many engines ended under it."""
+    """Return for how many seconds a request is held back after the given number of failures."""
     return min(MAX_HOLD_TIME, HOLD_TIME * 2.0 ** min(16, ends - HELD_ENDS))
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """A ruling, and what it was made of."""
+    """Permission to run a request, and what it was based on."""
 
     ruling: Ruling
     ends: int = 0
-    """Engines that ended under the request."""
+    """Number of engines that failed under the request."""
     age: float = 0.0
-    """Seconds since the last of them did."""
+    """Seconds since the last failure."""
     seconds: float = 0.0
-    """For which it is held back from now on."""
+    """Seconds for which the request is still held back."""
 
 
 _FREE = Decision(Ruling.FREE)
@@ -182,20 +192,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What is known of a request, for operators."""
+    """Summary of a quarantine entry for operators."""
 
     ends: int
-    """Engines that ended under it."""
+    """Number of engines that failed under the request."""
     variants: int
-    """Of the request, under which they did."""
+    """Number of variants of the request under which engines failed."""
     age: float
-    """Seconds since the last of them did."""
+    """Seconds since the last failure."""
     seconds: float
-    """For which it is held back from now on; 0 where it is not."""
+    """Seconds for which the request is still held back; 0 if it is not."""
     on_trial: bool
 
     def fields(self) -> dict[str, Any]:
-        """As fields of a log line, or of a status document."""
+        """Return the fields of a log event or of the status document."""
         return {
             "ends": self.ends,
             "variants": self.variants,
@@ -207,37 +217,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """A run of a doubtful request, told before it began."""
+    """One run of a suspect request, announced before it starts."""
 
     digest: bytes
     fact: FactId
 
 
 class Quarantine:
-    """Cases by digest. Times are monotonic seconds."""
+    """Quarantine entries by request digest. Times are monotonic seconds."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
         self._cases: dict[bytes, Case] = {}
         self._stamps = 0
         self._answered: dict[RequestIdentity, float] = {}
-        """When a request was answered last, the latest one last."""
+        """Time of the last answer of each request, in order of these times."""
         self._answering: dict[EngineLife, tuple[float, float]] = {}
-        """Blamed lives that seem to answer: when the request was sent, and when they did."""
+        """Implicated engine instances that seem to answer: when the request was sent, and when the
+        answer arrived."""
         self._blamed: set[EngineLife] = set()
-        """Engines that facts name, some of which may not stand any more."""
+        """Engine instances named by observations, some of which may have been excused since."""
         self.on_change: Callable[[bytes], None] = lambda digest: None
-        """Called with a digest of which something new is known."""
+        """Called with the digest of a request about which something new is known."""
 
     def __len__(self) -> int:
         return len(self._cases)
 
     def digests(self) -> list[bytes]:
-        """Of all requests that something is known of."""
+        """Return the digests of all requests with an entry."""
         return list(self._cases)
 
     def case(self, digest: bytes) -> Case | None:
-        """What is known of a request."""
+        """Return the entry of a request."""
         return self._cases.get(digest)
 
     def rule(self, identity: RequestIdentity, now: float) -> Decision:
@@ -258,7 +269,7 @@
         return Decision(Ruling.HELD, len(ends), age, seconds)
 
     def summary(self, digest: bytes, now: float) -> Summary:
-        """What is known of a request."""
+        """Return a summary of what is known of a request."""
         case = self._cases.get(digest, Case())
         ends = case.engines()
         age = now - max(ends.values(), default=now)
@@ -268,11 +279,12 @@
     def note_end(
         self, identity: RequestIdentity, engine: EngineLife, sent_at: float, now: float
     ) -> bool:
-        """An engine's connection ended under a request, before its answer was whole.
+        """Record that an engine's connection broke during a request, before the answer was
+        complete.
 
         Returns:
-            Whether that counts: a request that was answered lately, or was sent there after the
-            engine had ended for somebody else, did not end it.
+            Whether the failure counts against the request. It does not if the request was answered
+                recently, or was sent after the engine had failed under another request.
         """
         if any(fact.ended_at < sent_at for _, _, fact in self._ends_of(engine)):
             return False
@@ -282,23 +294,26 @@
         return True
 
     def begin_trial(self, identity: RequestIdentity, engine: EngineLife, now: float) -> Trial:
-        """A doubtful request is about to be sent: it counts as an end until it has an outcome.
+        """Record a failure in advance for a suspect request that is about to be sent.
 
-        So all nodes hold it back before the engine has had the time to end.
+        It counts until the run has an outcome, so all nodes hold the request back before the engine
+        has had time to fail.
         """
         return Trial(identity.digest, self._add(identity, engine, now, trial=True))
 
     def end_trial(self, trial: Trial) -> None:
-        """The run has an outcome, and whatever it says of the engine was noted."""
+        """End a run of a suspect request. What the run revealed about the engine was recorded
+        before."""
         case = self._cases.get(trial.digest)
         if case is not None and trial.fact in case.facts:
             self._excuse(trial.digest, case, [case.facts[trial.fact]])
 
     def note_answered(self, identity: RequestIdentity, now: float) -> bool:
-        """An engine ran the request, to its end or for long: none ended because of it.
+        """Record that an engine ran the request to its end, or for long: it did not cause a
+        failure.
 
         Returns:
-            Whether that is news.
+            Whether this is new information.
         """
         self._answered.pop(identity, None)
         self._answered[identity] = now
@@ -311,10 +326,10 @@
         return at - self._answered.get(identity, float("-inf")) < ANSWER_TIME
 
     def note_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
-        """An engine answered a request that was sent to it at `sent_at`: it had not ended.
+        """Record that an engine answered a request sent to it at `sent_at`, so it had not failed.
 
-        Where engines come back under their ids it may have been the next life that answered. So
-        the answer counts once `confirm` has seen that no other life is listed.
+        If engines restart under the same id, the answer may be the next instance's. So it counts
+        only once `confirm` has found that no other instance is listed.
         """
         if not engine.born:
             self._excuse_ends(engine, sent_at)
@@ -322,10 +337,10 @@
             self._answering[engine] = (sent_at, now)
 
     def confirm(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
-        """See which lives that answered are still the ones that the directory lists.
+        """Excuse the instances that answered and are still listed by the directory.
 
         Args:
-            listed: Tells whether the directory lists a life.
+            listed: Returns whether the directory lists an instance.
             known_at: Monotonic seconds up to which the directory is known.
         """
         for engine, (sent_at, answered_at) in list(self._answering.items()):
@@ -344,7 +359,7 @@
             self._blamed.discard(engine)
 
     def _ends_of(self, engine: EngineLife) -> list[tuple[bytes, Case, Fact]]:
-        """Facts that stand and name an engine."""
+        """Return the observations of an engine instance that have not been excused."""
         if engine not in self._blamed:
             return []
         return [
@@ -357,11 +372,13 @@
     def preferred_engine(
         self, identity: RequestIdentity, engines: Iterable[EngineLife]
     ) -> EngineLife | None:
-        """Where a doubtful request runs; alike at all nodes with the same engines."""
+        """Return the engine that runs a suspect request; the same at all nodes with the same
+        engines."""
         return preferred_owner(identity.digest.hex(), list(engines))
 
     def merge(self, digest: bytes, told: Case, now: float) -> bool:
-        """Take in what another node, or the store, knows of a request; tells if that is news."""
+        """Merge what another node or the store knows of a request; returns whether anything was
+        new."""
         if told.forgotten_at() <= now:
             return False
         case = self._cases.get(digest) or Case()
@@ -374,7 +391,7 @@
         return True
 
     def _speak_for(self, digest: bytes, case: Case) -> None:
-        """Excuse what others tell of a request that this node saw answered lately."""
+        """Excuse reported failures of a request that this node has seen answered recently."""
         for variant in case.variants():
             facts = case.of(variant)
             first = min(fact.ended_at for fact in facts if not fact.excused)
@@ -382,7 +399,7 @@
                 self._excuse(digest, case, facts)
 
     def expire(self, now: float) -> list[tuple[bytes, Case]]:
-        """Drop what is not needed any more; returns it. Called about each second."""
+        """Drop entries that are no longer needed and return them. Called about once a second."""
         cases = self._cases.items()
         old = [(digest, case) for digest, case in cases if case.forgotten_at() <= now]
         for digest, _ in old:
@@ -413,7 +430,7 @@
         return bool(fresh)
 
     def _keep(self, digest: bytes, case: Case) -> None:
-        """Keep a case; where there are too many an old one of little weight goes."""
+        """Store an entry. If there are too many, drop an old one of little importance."""
         self._cases[digest] = case
         if len(self._cases) <= MAX_CASES:
             return
--- a/postvalve/core/admission/request_identity.py
+++ b/postvalve/core/admission/request_identity.py
@@ -1,9 +1,9 @@
-"""Which requests are the same: what stays when a request comes again, under another id.
+"""Identity of a request: what stays the same when it is sent again under another id.
 
-A digest stands for a request wherever nodes tell each other of it. It is a cryptographic one: a
-tenant who could find a second request with the digest of another tenant's could have that one
-held back. Where the wire does not name callers, somebody who knows both can still send the same
-path and body with other headers; so these are told apart too, as *variants* of the request.
+Nodes refer to a request by a digest. It is cryptographic because a tenant who could construct a
+second request with the digest of another tenant's could have that request held back. If callers are
+not authenticated, somebody who knows path and body can still send them with other headers. So
+requests that differ in their headers are distinguished as *variants* of the same request.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 import xxhash
 
 DIGEST_BYTES = 16
-"""To hit a given digest takes about 2**128 tries."""
+"""Finding a request with a given digest takes about 2**128 tries."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestIdentity:
-    """What stands for a request each time that it comes."""
+    """Identity of a request, equal each time that the request is sent."""
 
     digest: bytes
-    """Of caller, host, method, target and body."""
+    """Digest of caller, host, method, target and body."""
     variant: int
-    """32 bits of the headers that came with it."""
+    """32-bit hash of the headers that came with it."""
 
 
 def identify(
@@ -36,19 +36,19 @@
     body: bytes,
     headers: Iterable[tuple[str, str]],
 ) -> RequestIdentity:
-    """The identity of a request or batch item.
+    """Return the identity of a request or batch item.
 
     Args:
-        caller: What the wire tells of who sends it; empty where it tells nothing.
-        host: The host that it is for.
-        method: Its method.
+        caller: The sender as identified by the protocol; empty if it is not.
+        host: The host that the request is for.
+        method: HTTP method.
         target: Path and query.
-        body: Its whole body.
-        headers: Those that stay when it comes again, in any order.
+        body: The complete body.
+        headers: Headers that stay the same when the request is sent again, in any order.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (*(text.encode() for text in (caller, host, method, target)), body):
-        # Lengths keep parts apart whose texts run into each other.
+        # Length prefixes keep adjacent parts distinct: "a" + "bc" must not hash like "ab" + "c".
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     lines = sorted(f"{name.lower()}: {value}" for name, value in headers)
--- a/postvalve/core/admission/service_pace.py
+++ b/postvalve/core/admission/service_pace.py
@@ -1,8 +1,8 @@
-"""How fast a service's engines are, learnt from the attempts of this node.
+"""Latency estimates of a service's engines, learnt from this node's attempts.
 
-The time to a first event is taken as a part that every request needs and a part for each prompt
-token that the engine reads before it. Both, and how long a slot is held, come from what attempts
-showed, with the older ones forgotten; nothing is assumed of an engine.
+The latency of a first event is modelled as a constant part plus a part per prompt token that the
+engine processes before it. Both parts, and how long a request occupies a slot, are estimated from
+observed attempts with exponential decay. Nothing is assumed about an engine in advance.
 """
 
 from __future__ import annotations
@@ -10,22 +10,24 @@
 from dataclasses import dataclass, field
 
 FORGET = 0.97
-"""Weight that each sample leaves to all before it."""
+"""Factor by which each new sample reduces the weight of all earlier ones."""
 LEAST_SAMPLES = 4.0
-"""Weight of samples from which estimates are relied on."""
+"""Total weight of samples from which on estimates are used."""
 LONGEST_FACTOR = 4.0
-"""A sample counts for at most so many times the mean: a dark engine says nothing of the others."""
+"""Largest multiple of the mean that a sample counts for, since one engine that does not answer says
+nothing about the others."""
 ERROR_WEIGHT = 0.05
-"""Weight of a new error in the margin."""
+"""Weight of a new error in the moving average of errors."""
 QUEUE_WEIGHT = 0.1
-"""Weight of a new sample in the time for each place of an engine's queue."""
+"""Weight of a new sample in the moving average of the delay per place in an engine's queue."""
 LONGEST_QUEUE_FACTOR = 10.0
-"""A place in a queue is taken to cost at most so many times what free slots would make of it."""
+"""Largest multiple of the nominal delay (mean slot time divided by the slots) that a place in a
+queue is estimated to cost."""
 
 
 @dataclass(slots=True)
 class _DecayedLine:
-    """A straight line through samples, by least squares, the older ones counting less."""
+    """Least-squares line through samples with exponentially decaying weights."""
 
     weight: float = 0.0
     x: float = 0.0
@@ -42,21 +44,21 @@
         return self.y / self.weight if self.weight else 0.0
 
     def slope(self) -> float:
-        """Never negative: no engine gets faster by what it must read."""
+        """Return the slope, which is never negative: more input makes no engine faster."""
         spread = self.xx * self.weight - self.x * self.x
         if spread <= 1e-9 * max(1.0, self.xx * self.weight):
             return 0.0
         return max(0.0, (self.xy * self.weight - self.x * self.y) / spread)
 
     def at(self, x: float) -> float:
-        """The line at `x`."""
+        """Return the value of the line at `x`."""
         slope = self.slope()
         return max(0.0, self.mean + slope * (x - self.x / self.weight)) if self.weight else 0.0
 
 
 @dataclass(slots=True)
 class ServicePace:
-    """Estimates for one service; times in seconds."""
+    """Latency estimates for one service; times in seconds."""
 
     _first: _DecayedLine = field(default_factory=_DecayedLine)
     _held: _DecayedLine = field(default_factory=_DecayedLine)
@@ -67,15 +69,16 @@
 
     @property
     def known(self) -> bool:
-        """Whether there are enough samples to decide by."""
+        """Whether there are enough samples to base decisions on."""
         return min(self._first.weight, self._held.weight) >= LEAST_SAMPLES
 
     def observe_first(self, tokens: int, seconds: float) -> None:
-        """Note the first event of an attempt that found a free slot.
+        """Record the latency of the first event of an attempt that found a free slot.
 
         Args:
-            tokens: Prompt tokens that the engine had to read, its own ones among them.
-            seconds: From its sending to the event.
+            tokens: Prompt tokens that the engine had to process before it, including the request's
+                own.
+            seconds: Time from sending the request to the event.
         """
         mean = self._first.mean
         if self._first.weight >= LEAST_SAMPLES:
@@ -83,27 +86,30 @@
         self._first.add(tokens / 1000, seconds)
 
     def observe_held(self, seconds: float) -> None:
-        """Note how long a request held its slot."""
+        """Record how long a request occupied its slot."""
         self._held.add(0.0, seconds)
 
     def observe_pause(self, running: int, seconds: float) -> None:
-        """Note the mean time between an attempt's events, while so many requests ran there."""
+        """Record the mean time between an attempt's events while `running` requests ran at the
+        engine."""
         self._pause.add(running, seconds)
 
     def observe_longest_pause(self, running: int, seconds: float) -> None:
-        """Note the longest time between them likewise."""
+        """Record the longest time between an attempt's events while `running` requests ran at the
+        engine."""
         self._longest_pause.add(running, seconds)
 
     def observe_queue(self, places: int, slots: int, seconds: float) -> None:
-        """Note how long an attempt waited in an engine's queue.
+        """Record how long an attempt waited in an engine's queue.
 
-        Counts of other nodes are a moment old, so a queue is often longer than it was thought to
-        be; what a place costs by experience has that in it.
+        Counts of other nodes' requests arrive with a delay, so a queue is often longer than known.
+        The observed delay per place includes this error.
 
         Args:
-            places: Requests before it, and its own, as this node knew.
-            slots: Of the engine.
-            seconds: From its sending to the first event, without what that takes anyhow.
+            places: Known requests ahead of it in the queue, plus itself.
+            slots: Slots of the engine.
+            seconds: Time from sending the request to its first event, minus the latency expected
+                with a free slot.
         """
         usual = places * self.held / max(1, slots)
         if usual <= 0:
@@ -112,34 +118,36 @@
         self._queue_factor += QUEUE_WEIGHT * (factor - self._queue_factor)
 
     def queue_step(self, slots: int) -> float:
-        """Seconds for each place in the queue of an engine with so many slots."""
+        """Return the delay in seconds per place in the queue of an engine with so many slots."""
         return self.held / max(1, slots) * max(1.0, self._queue_factor)
 
     def observe_error(self, expected: float, seconds: float) -> None:
-        """Note what a first event took that was expected to take `expected`."""
+        """Record the latency of a first event for which `expected` seconds were estimated."""
         longest = max(expected, self._first.mean) * LONGEST_FACTOR
         error = abs(min(seconds, longest) - expected)
         self._error += ERROR_WEIGHT * (error - self._error)
 
     def first_event(self, tokens: int) -> float:
-        """Seconds to a first event where a slot is free and so many tokens are to be read."""
+        """Return the latency of a first event when a slot is free and `tokens` prompt tokens must
+        be processed."""
         return self._first.at(tokens / 1000)
 
     def pause(self, running: int) -> float:
-        """Seconds between events in the mean, while so many requests run; 0 where unknown."""
+        """Return the mean time between events while `running` requests run; 0 if unknown."""
         return self._pause.at(running) if self._pause.weight >= LEAST_SAMPLES else 0.0
 
     def longest_pause(self, running: int) -> float:
-        """The longest pause of a stream likewise, as streams have it on average."""
+        """Return the average of the longest pauses of streams while `running` requests run; 0 if
+        unknown."""
         known = self._longest_pause.weight >= LEAST_SAMPLES
         return self._longest_pause.at(running) if known else 0.0
 
     @property
     def held(self) -> float:
-        """Seconds that a request holds its slot."""
+        """Mean seconds for which a request occupies its slot."""
         return self._held.mean
 
     @property
     def margin(self) -> float:
-        """Seconds by which first events miss what was expected of them, in the mean."""
+        """Mean absolute error, in seconds, of the estimated first-event latencies."""
         return self._error
--- a/postvalve/core/admission/tenant_limits.py
+++ b/postvalve/core/admission/tenant_limits.py
@@ -1,4 +1,4 @@
-"""Limits of tenants: a token bucket and a bound on concurrency for each tenant and rule."""
+"""Tenant limits enforced by each node alone: a token bucket and a concurrency limit per rule."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 from postvalve.settings.fleet import LimitSpec
 
 CONCURRENCY_RETRY_AFTER = 1.0
-"""Seconds told to a tenant that has too many requests in progress."""
+"""Retry time in seconds told to a tenant that has too many requests in progress."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitKey:
-    """One tenant under one rule."""
+    """One tenant under one limit rule."""
 
     tenant: str
     rule: str
 
 
 class TenantLimiter:
-    """Counts of this node. Rates are divided by the number of live nodes."""
+    """Counts requests at this node. Rates are divided by the number of live nodes."""
 
     def __init__(self) -> None:
         self._buckets: dict[LimitKey, TokenBucket] = {}
         self._in_progress: dict[LimitKey, int] = {}
 
     def enter(self, tenant: str, limit: LimitSpec, live_nodes: int, now: float) -> LimitKey:
-        """Count a request in.
+        """Count a request that starts.
 
         Returns:
-            A key to give to `leave`.
+            The key to pass to `leave`.
 
         Raises:
-            RateLimitedError: the request is over a limit and was not counted.
+            RateLimitedError: The request exceeds a limit and was not counted.
         """
         key = LimitKey(tenant, limit.name)
         if self._in_progress.get(key, 0) >= limit.concurrency:
@@ -49,7 +49,7 @@
         return key
 
     def leave(self, key: LimitKey) -> None:
-        """Count a request out."""
+        """Remove a request that ended."""
         remaining = self._in_progress[key] - 1
         if remaining:
             self._in_progress[key] = remaining
@@ -58,7 +58,7 @@
 
     def _bucket(self, key: LimitKey, limit: LimitSpec, live_nodes: int, now: float) -> TokenBucket:
         rate = limit.requests_per_second / max(1, live_nodes)
-        # A share below one request would refuse everything.
+        # With a capacity below one request, the bucket would refuse everything.
         burst = max(1.0, limit.burst / max(1, live_nodes))
         bucket = self._buckets.get(key)
         if bucket is None:
--- a/postvalve/core/admission/token_bucket.py
+++ b/postvalve/core/admission/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket. Apart, so that a start reads no settings of another program for it."""
+"""Token bucket. It has a module of its own so that its users need not import unrelated settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Refills at `rate` tokens a second up to `burst`."""
+    """A bucket that refills at `rate` tokens per second up to `burst`."""
 
     rate: float
     burst: float
@@ -15,7 +15,7 @@
     refilled_at: float
 
     def refill(self, now: float) -> None:
-        """Add what came in until `now`."""
+        """Add the tokens for the time until `now`."""
         elapsed = max(0.0, now - self.refilled_at)
         self.tokens = min(self.burst, self.tokens + elapsed * self.rate)
         self.refilled_at = now
