--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -1,4 +1,5 @@
-"""Nodes that limit tenants together, as a model: views, cuts, stops; no sockets, no clock."""
+"""Model of nodes that enforce tenant limits together, under partitions and outages; without sockets
+or real time."""
 
 import random
 from collections import deque
@@ -13,7 +14,7 @@
 
 
 def allowed(terms, bounds=BOUNDS):
-    """Requests that may run within any window."""
+    """Return the requests that may run within any window."""
     return (terms.rate * bounds.window + terms.burst) * (1 + bounds.over) + bounds.slack
 
 
@@ -40,7 +41,7 @@
 
 
 class LimitModel:
-    """So many nodes; `way` is a function that lets one request in at a node, or not."""
+    """A fleet of nodes, each of which admits requests by asking the tenant's lenders for credit."""
 
     def __init__(self, seed, nodes, terms, bounds=BOUNDS):
         self.random = random.Random(seed)
@@ -62,7 +63,8 @@
         return both and self.side[first] == self.side[second]
 
     def step(self, arrivals, at=None):
-        """One step of time with so many requests, each at a node that works, or one of `at`."""
+        """Advance the time by one step, with requests at random running nodes, or at those of
+        `at`."""
         self.now += STEP
         while self.ends and self.ends[0][0] <= self.now:
             self.ends.pop(0)[1]()
@@ -109,14 +111,14 @@
         self.ends.sort(key=lambda one: one[0])
 
     def cut(self, share, seconds):
-        """Part a share of the nodes from the others."""
+        """Cut a share of the nodes off from the others; they still reach each other."""
         chosen = self.random.sample(sorted(self.nodes), int(len(self.nodes) * share))
         for name in chosen:
             self.side[name] = 1
         self.after(seconds, lambda: self.side.update(dict.fromkeys(chosen, 0)))
 
     def isolate(self, share, seconds):
-        """Part a share of the nodes from everybody."""
+        """Cut each of a share of the nodes off from all others."""
         chosen = self.random.sample(sorted(self.nodes), int(len(self.nodes) * share))
         for number, name in enumerate(chosen):
             self.side[name] = 10 + number
@@ -129,7 +131,7 @@
         self.after(seconds, lambda: [setattr(self.nodes[one], "stopped", False) for one in chosen])
 
     def freeze_lender(self, seconds):
-        """The node that lends stands still."""
+        """Suspend the primary lender."""
         lender = next(iter(self.nodes.values())).limits.choices("t")[0]
         self.nodes[lender].stopped = True
         self.after(seconds, lambda: setattr(self.nodes[lender], "stopped", False))
@@ -148,7 +150,8 @@
 
 
 class ShareModel(LimitModel):
-    """The other way: a part of the limit at each node, by the number of nodes that it hears."""
+    """The alternative policy: each node enforces a part of the limit, by the number of nodes it
+    hears."""
 
     def lend(self, node):
         nodes = node.limits.heard
--- a/tests/test_connection_share.py
+++ b/tests/test_connection_share.py
@@ -1,4 +1,4 @@
-"""Connections to engines are shared by all nodes."""
+"""Idle connections to engines are limited across all nodes."""
 
 import socket
 import unittest
--- a/tests/test_engine_directory.py
+++ b/tests/test_engine_directory.py
@@ -1,4 +1,4 @@
-"""The engines' directory over outages of the store."""
+"""The engine directory during and after outages of the store."""
 
 import unittest
 
@@ -12,7 +12,7 @@
         self.directory = EngineDirectory(self.shared)
 
     def away_for_all(self, until):
-        """Nobody reads the directory from 0 on; this node is the first that does again."""
+        """No node reads the directory from time 0 on; this node is the first to read it again."""
         for half_second in range(int(until * 2)):
             self.shared.look(half_second / 2)
         self.directory.store_lost()
--- a/tests/test_engine_entries.py
+++ b/tests/test_engine_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the engines' directory that another writer may have made."""
+"""Engine directory entries with invalid content, as another writer may create them."""
 
 import json
 import unittest
--- a/tests/test_engine_slots.py
+++ b/tests/test_engine_slots.py
@@ -1,4 +1,5 @@
-"""Slots of one engine: strict classes, headroom, batch beside online work."""
+"""Slots of one engine: online requests before batch items, headroom, and batch beside online
+work."""
 
 import unittest
 
@@ -90,7 +91,7 @@
                 decision = slots.admit_online(name, "n", float(now))
                 inside -= set(decision.preempted)
                 inside |= {name} if decision.granted else set()
-                # Online is refused for online alone, whatever batch is there.
+                # Only online work can make the engine refuse an online request.
                 self.assertEqual(decision.granted, name in inside)
                 if not decision.granted:
                     self.assertEqual(slots.online_count, count)
@@ -109,7 +110,7 @@
         ]
 
     class First:
-        """A source that picks the first ones."""
+        """A random source that always picks the first elements."""
 
         def sample(self, population, k):
             return list(population)[:k]
--- a/tests/test_extensions.py
+++ b/tests/test_extensions.py
@@ -1,4 +1,4 @@
-"""Parts of reports and digests beyond their fixed layout, and what a fleet of two builds can do."""
+"""Optional parts of load reports and digests, and the features common to nodes of two builds."""
 
 import struct
 import unittest
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -1,4 +1,5 @@
-"""Limits of tenants over all nodes: never exceeded, and hardly anything refused below them."""
+"""Tenant limits across all nodes are never exceeded, and hardly any request below them is
+refused."""
 
 import random
 import unittest
@@ -31,7 +32,7 @@
 
 
 def flood(model, seconds, rate, *, faults=True, at=None):
-    """Requests at so many a second, at all nodes or those named, and a fault now and then."""
+    """Send `rate` requests per second to all nodes or those of `at`, with random faults."""
     due = 0.0
     for _ in range(int(seconds / STEP)):
         due += rate * STEP
@@ -63,7 +64,7 @@
 
 
 class StrictBoundTest(unittest.TestCase):
-    """Deployments allow more or less over a limit: it is a setting, not a constant."""
+    """The tolerance of a limit is a setting of the deployment, not a constant."""
 
     def test_a_flood_stays_within_stricter_bounds(self):
         for bounds in (LimitBounds(5.0, 0.05, 6.0), LimitBounds(2.0, 0.0, 3.0)):
@@ -76,10 +77,11 @@
 
 
 class ServedTest(unittest.TestCase):
-    """What is refused of traffic at 0.6 of the limit, at 61 nodes.
+    """Share of requests refused at 0.6 of the limit, with 61 nodes.
 
-    By a lender 0 in 100; by a part of the limit at each node 36 in 100 of a tenant of 65 requests a
-    second, and all of one of 0.8, whose part is below one request.
+    A lender refuses none. With a fixed part of the limit at each node, 36 of 100 requests are
+    refused for a tenant of 65 requests a second, and all of them for one of 0.8, whose part is
+    below one request.
     """
 
     def refused(self, model, rate):
@@ -87,7 +89,7 @@
         model.random = random.Random(5)
         due = 0.0
         for _ in range(int(20 / STEP)):
-            # As clients come: most of them by way of a few nodes.
+            # Requests arrive unevenly, since most clients use only a few nodes.
             due += model.random.expovariate(1.0) * rate * STEP
             model.step(int(due))
             due -= int(due)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the gateway: routes, engines, counts, paces of reports, peers."""
+"""Decisions of the gateway: routes, choice of engines, counts, report schedule, and peers."""
 
 import random
 import unittest
@@ -212,7 +212,8 @@
 
         self.assertEqual({choose(load) for load in range(6)}, {"own"})
         self.assertNotIn("own", {choose(load) for load in (7, 9, 12)})
-        # What it would have to read anew costs more than its counts are worth.
+        # Processing the shared prompt prefix again would cost more than the benefit of more
+        # accurate counts.
         holders = {choose(0, key=f"k{number}", tokens=5_000) for number in range(40)}
         self.assertGreater(len(holders), 10)
 
@@ -224,7 +225,8 @@
             EngineChooser("near", random.Random(seed)).choose(busy, "", 0).life
             for seed in range(100)
         ]
-        # One of two drawn: the best of seven is among them two times in seven.
+        # Two of the engines are drawn at random: the best of seven is among them two times in
+        # seven.
         self.assertLess(chosen.count("best"), 45)
         self.assertGreater(chosen.count("best"), 15)
 
@@ -279,8 +281,9 @@
         self.assertEqual(place(False), "f")
 
     def test_nodes_that_see_the_same_do_not_all_fill_one_engine(self):
-        """Sixteen nodes start an item each before they hear of each other's: no engine gets more
-        than it has slots for. Eight of 8 slots; seven of them run one online request."""
+        """Sixteen nodes start an item each before they hear of each other's. No engine may get
+        more requests than it has slots: eight engines of 8 slots, seven of which run one online
+        request."""
         counts = Counter()
         for seed in range(16):
             fleet = EngineFleet("near", self.clock, QuietLog(), mock.Mock(), random.Random(seed))
@@ -303,7 +306,7 @@
         self.fleet.update(entries)
 
         def rooms():
-            # The same entries told again are no news.
+            # Listing the same entries again must not change anything.
             self.fleet.update(entries)
             return [self.fleet.batch_room("s", pressing=one) for one in (False, True)]
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Online requests go to an engine, wait at the node or come back: rules, pace, and the shell."""
+"""Admission of online requests: latency estimates, decision rules, and requests held at a node."""
 
 import random
 import unittest
@@ -187,7 +187,7 @@
                 self.assertIs(self.rule(rooms, now, slow, may_return=True), Ruling.START)
 
     def test_against_first_come_first_served_more_are_in_time(self):
-        """A naive queue in front of one engine, and the rule before it, on the same arrivals."""
+        """Compares the rule with a plain queue in front of one engine, on the same arrivals."""
         for seed in range(5):
             draw = random.Random(seed)
             arrivals = sorted(draw.uniform(0, 2.4) for _ in range(60))
@@ -195,7 +195,7 @@
 
 
 def in_time(arrivals, ruled):
-    """Requests in time at one engine of 8 slots that holds each for 0.8 s."""
+    """Return how many requests are in time at one engine of 8 slots, each occupied for 0.8 s."""
     pace = learnt()
     free_at = [0.0] * 8
     waiting = list(arrivals)
@@ -214,7 +214,7 @@
                 terms = HeldRequest(arrived_at, AIM, arrived_at + DEADLINE, 450, True)
                 ruling = rule(terms, [room(max(online, backlog))], pace, now)
                 if ruling is Ruling.REFUSE:
-                    queue.remove(arrived_at)  # it comes back when this is over
+                    queue.remove(arrived_at)  # the client retries after the burst
                 if ruling is not Ruling.START:
                     continue
             queue.remove(arrived_at)
@@ -261,7 +261,7 @@
 
 
 class HeldAtNodeTest(unittest.TestCase):
-    """One engine of one slot that holds each request until it is let go."""
+    """One engine with one slot, which takes 0.4 s for each request."""
 
     def setUp(self):
         self.fleet = GatewayFleet(nodes=1, engines=1, targetLatencyMs=300)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of tenants: a flood of one is refused, and the others don't notice."""
+"""Per-node tenant limits: one tenant's flood is refused without affecting the others."""
 
 import unittest
 from collections import Counter
@@ -54,7 +54,7 @@
                 admitted += 1
             except RateLimitedError:
                 continue
-        # A bucket of one request loses up to one gap between arrivals each time.
+        # A bucket with a capacity of one request loses up to one gap between arrivals each time.
         self.assertLessEqual(admitted, 1 + 10 * 10)
         self.assertGreaterEqual(admitted, 90)
 
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,5 @@
-"""Load reports: the packed form, and counts of all nodes whatever is lost or late."""
+"""Load reports: the packed form, and correct counts at all nodes although reports are lost or
+late."""
 
 import contextlib
 import random
@@ -84,7 +85,7 @@
                 if other != node_id and chance.random() < 0.3:
                     on_the_way.append((other, node_id, nodes[node_id].report()))
             if on_the_way and chance.random() < 0.5:
-                # Some come in another order, and some never.
+                # Some reports arrive out of order, and some never.
                 target, sender, data = on_the_way.pop(chance.randrange(len(on_the_way)))
                 nodes[target].observe(sender, data)
         for node_id, node in nodes.items():
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -1,4 +1,4 @@
-"""Room for batch items by what online work had a moment ago."""
+"""Slots available to batch items, limited by the recent average of online requests."""
 
 import unittest
 
@@ -56,8 +56,9 @@
         self.assertEqual(use.batch_room("e", 8), 7)
 
     def test_work_of_peers_that_has_ended_leaves_the_room_it_took(self):
-        """A report names only engines where something runs, and a peer that is gone tells nothing:
-        items would never start at an engine where no other online request comes."""
+        """Load that a peer no longer reports must be removed from the average. Reports name only
+        engines where something runs, and a peer that is gone sends none. Without the removal, batch
+        items would never start at an engine that gets no other online request."""
         for drop in (lambda use: use.observe("n1", b""), lambda use: use.forget("n1")):
             peer, use = EngineUse(), EngineUse()
             for _ in range(8):
@@ -71,7 +72,8 @@
             self.assertEqual(len(use.means._engines), 0)
 
     def test_each_report_of_a_peer_is_one_count(self):
-        """The one between taking its former counts off and adding the new ones is no count."""
+        """Replacing a peer's counts must record one sample. The state between subtracting its
+        former counts and adding the new ones must not be recorded."""
         peer, use = EngineUse(), EngineUse()
         for _ in range(4):
             peer.enter("e", batch=False)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What nodes know together of requests under which engines ended."""
+"""Quarantine of requests under which engines failed, as shared by all nodes."""
 
 import itertools
 import random
@@ -48,7 +48,7 @@
 
 
 def tell(source, target, now, delay=0.0):
-    """Let one node know everything that another knows, as a message tells it by ages."""
+    """Pass one node's knowledge to another one. Messages contain ages, which grow by the delay."""
     for digest in source.digests():
         told = copy_of(source.case(digest))
         for fact in told.facts.values():
@@ -219,7 +219,7 @@
         self.assertIs(first.rule(REQUEST, 1.2).ruling, Ruling.FREE)
 
     def test_an_engine_that_was_blamed_wrongly_may_end_later(self):
-        """Others saw it live: an end that this node sees after that counts here too."""
+        """A failure observed after other nodes have seen the engine alive must count."""
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(OTHER, "e1", 0.9, 1.0)
         tell(first, second, 1.1)
@@ -238,7 +238,8 @@
         self.assertEqual(first.case(REQUEST.digest).engines(), {})
 
     def test_news_stops(self):
-        """What was heard before is no news: nodes don't tell each other the same for ever."""
+        """Known observations are not new: otherwise nodes would send each other the same ones
+        forever."""
         first, second = Quarantine("a"), Quarantine("b")
         for number in range(3 * MAX_FACTS):
             first.note_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
@@ -258,7 +259,8 @@
 
     @given(st.integers(0, 2**32))
     def test_all_nodes_come_to_know_the_same(self, seed):
-        """Messages doubled, lost and in any order; then everybody hears everybody once."""
+        """Messages are duplicated, lost and reordered; in the end all nodes hear all others
+        once."""
         generator = random.Random(seed)
         nodes = [Quarantine(f"n{number}") for number in range(4)]
         now = 0.0
@@ -286,11 +288,11 @@
 
 
 class NaiveQuarantine:
-    """One list of everything that happened, looked through for each question."""
+    """Reference implementation: one list of all events, searched for each question."""
 
     def __init__(self):
         self.ends = []
-        """Identity, engine, and when it ended."""
+        """Identity, engine, and time of the failure."""
         self.answers = []
 
     def note_end(self, identity, engine, sent_at, now):
@@ -326,7 +328,8 @@
 class DifferentialTest(unittest.TestCase):
     @given(st.integers(0, 2**32))
     def test_nodes_that_hear_all_agree_with_one_list(self, seed):
-        """Four nodes, each event at one of them and heard by all before the next one."""
+        """Four nodes; each event happens at one of them and reaches all others before the next
+        event."""
         generator = random.Random(seed)
         nodes = [Quarantine(f"n{number}") for number in range(4)]
         naive = NaiveQuarantine()
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -1,9 +1,10 @@
-"""Engines that are back under the id that they had.
+"""Engines that restart under the same id.
 
-What a node knows was kept by an engine's id. One that had ended under a request and was back under
-its id counted once, however often it ended, and the first answer of its next life cleared the
-request: with four nodes and six engines that were back after 2.5 s, one request had 17 and 16 runs
-later than 3 s after the third engine had ended under it, where engines with new ids had none.
+Guards against keeping knowledge by engine id instead of by instance. An engine that crashed under a
+request and restarted under its id then counted only once, however often it crashed, and the first
+answer of its next instance cleared the request. With four nodes and six engines that restarted
+after 2.5 s, one request had 17 and 16 runs later than 3 s after the third engine had crashed under
+it; with engines that got new ids it had none.
 """
 
 import json
@@ -36,16 +37,19 @@
         return self.fleet.request(node, STREAM_PATH + "x", body=body, request_id=f"r-{number}")
 
     def listed(self, node):
-        """Engines that take work, and their starts, as a node knows them."""
+        """Return the state of each engine that a node lists, by id and start time."""
         rows = self.fleet.nodes[node].status_document()["engines"]
         return {(one["engine_id"], one.get("born", 0)): one["state"] for one in rows}
 
 
 class FatalRequestTest(RebornCase):
-    """Sent again once all nodes know the same: until then each may let three engines end.
+    """A request that crashes its engines, sent again each time all nodes have the same knowledge of
+    it.
 
-    Engines tell their starts from the first life on. Where that one told none its end was excused
-    by an answer of the next, and 4 to 6 ended; where nodes heard late and nothing waited, 10.
+    Without this wait, each node may let three engines fail. Engines report their start times from
+    the first instance on: when the first one did not, its failure was excused by an answer of the
+    next instance, and 4 to 6 engines failed. When nodes received updates late and the test did not
+    wait, it was 10.
     """
 
     def setUp(self):
@@ -69,7 +73,8 @@
         for number in range(16):
             self.send(f"n{number % self.nodes}", FATAL, number)
             wait_until(self.all_know_the_same)
-            # Others are served by the next lives meanwhile, which speaks for no former life.
+            # Meanwhile the next instances serve other requests, which must not excuse the former
+            # instances.
             for other in range(4):
                 self.send(f"n{other % self.nodes}", b"b%d" % other, f"{number}-{other}")
         ended = [engine for engine in self.fleet.engines if engine.ended]
@@ -120,7 +125,7 @@
 
 
 class BlameTest(unittest.TestCase):
-    """What a quarantine holds of lives of one engine."""
+    """What a quarantine records of several instances of one engine."""
 
     request = RequestIdentity(b"0123456789abcdef", 1)
 
@@ -141,7 +146,7 @@
     def test_an_answer_clears_only_the_life_that_is_still_listed_a_moment_later(self):
         for number in range(ENOUGH_ENDS):
             self.end(number + 1, 1.0)
-        # Each was answered at its address, by its next life as it turns out.
+        # The answers came from the same address, but from the next instances.
         for number in range(ENOUGH_ENDS):
             self.quarantine.note_alive(EngineLife.of("e", number + 1), 1.5, 1.6)
         self.quarantine.confirm(lambda life: True, 1.6)
--- a/tests/test_request_identity.py
+++ b/tests/test_request_identity.py
@@ -1,4 +1,4 @@
-"""What counts as the same request, and what must not."""
+"""Which requests count as the same one, and which must not."""
 
 import unittest
 
@@ -69,7 +69,7 @@
 
 
 class TenantTest(unittest.TestCase):
-    """Tenants are told apart by their names, whatever key they show at the time."""
+    """Tenants are distinguished by name, whichever of their keys they use."""
 
     def identify(self, tenant, key):
         headers = [("Model", "m"), ("Api-Key", key), ("Tenant", "x"), ("Request-Id", key)]
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -1,4 +1,5 @@
-"""Zones known by digests: the packed form, the view, who tells, and counts of a whole fleet."""
+"""Zone digests: the packed form, the view of other zones, the choice of the reporter, and counts of
+a whole fleet."""
 
 import contextlib
 import random
@@ -182,7 +183,7 @@
 
 class ReporterTest(unittest.TestCase):
     def reporters(self, nodes, now, heard_at=None):
-        """Which of these nodes take themselves for the reporter, each hearing all others."""
+        """Return the nodes that consider themselves the reporter, while each hears all others."""
         found = []
         for own in nodes:
             view = PeerView(own)
@@ -245,7 +246,7 @@
 
 
 class Network:
-    """Datagrams between nodes of one process; some are lost."""
+    """Datagrams between nodes of one process, some of which are lost."""
 
     def __init__(self, chance):
         self.chance = chance
@@ -253,7 +254,7 @@
         self.nodes = {}
         self.on_the_way = []
         self.across = 0
-        """Datagrams that went from one zone to another."""
+        """Datagrams sent from one zone to another."""
 
     def send(self, sender, address, data):
         receiver = self.nodes[address]
@@ -301,7 +302,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """Whole fleets in one process, under a clock and a network of the test's."""
+    """Base class for tests of a whole fleet in one process, with a simulated clock and network."""
 
     def setUp(self):
         self.clock = Clock()
@@ -331,12 +332,12 @@
         for peers in (2, 23, 38, 500):
             reports._targets = (["a"] * peers, [])
             times.append(round(reports.gather_time(), 3))
-        # 0.08 s between reports of few peers, 0.5 s of very many.
+        # The interval between reports is 0.08 s with few peers and 0.5 s with very many.
         self.assertEqual(times, [0.02, 0.032, 0.053, 0.083])
 
 
 class FleetTest(FleetCase):
-    """Against a naive count of what runs."""
+    """Compares each node's counts with the requests that really run."""
 
     def test_all_nodes_count_what_runs_anywhere(self):
         for seed, (zones, nodes_each) in enumerate(((2, 3), (3, 16), (5, 8))):
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -1,4 +1,5 @@
-"""Limits of tenants over zones: what a zone that is cut off still serves, and never too much."""
+"""Tenant limits across zones: what a zone that is cut off still serves, without exceeding the
+limit."""
 
 import itertools
 import unittest
@@ -11,9 +12,9 @@
 
 ZONES = 4
 NODES = 4
-"""In each zone."""
+"""Nodes in each zone."""
 CUT = 5.0
-"""Seconds that a zone is cut off: longer than it takes for all nodes to know."""
+"""Seconds for which a zone is cut off: long enough for all nodes to detect it."""
 SMALL, LARGE = LimitTerms(5.0, 5.0), LimitTerms(65.0, 65.0)
 ZONE_FAULTS = (
     *FAULTS,
@@ -22,7 +23,7 @@
 
 
 def worst_of(seed, terms):
-    """The most requests in any window of a flood under faults, of what is allowed."""
+    """Return the most requests in any window under faults, as a fraction of what is allowed."""
     model = ZonedLimitModel(seed, ZONES, NODES, terms)
     settle(model)
     due = 0.0
@@ -42,7 +43,8 @@
             self.assertLessEqual(worst_of(seed, terms), 1.0, (seed, terms))
 
     def test_four_faults_within_four_seconds(self):
-        """The lender stands still, a third is cut off, then a zone, then half of the nodes end."""
+        """The lender is suspended, a third of the nodes is cut off, then a zone, then half of the
+        nodes are killed."""
         self.assertLessEqual(worst_of(1011, LimitTerms(300.0, 100.0)), 1.0)
 
     def test_a_zone_is_cut_off_in_the_midst_of_a_flood(self):
@@ -57,7 +59,8 @@
 
 
 class PartTimeTest(unittest.TestCase):
-    """What a node could not lend, as others did it, is not credit that it has afterwards."""
+    """Credit that a node could not grant because others did must not become available to it
+    later."""
 
     def test_a_flood_moves_from_one_side_of_a_cut_to_the_other_as_it_heals(self):
         for zones, terms in itertools.product((2, 3), (SMALL, LARGE, LimitTerms(10.0, 50.0))):
@@ -71,7 +74,7 @@
             self.assertLessEqual(model.worst, allowed(terms), (zones, terms))
 
     def limits(self, share_at):
-        """A lender that heard so many of eight nodes, by when."""
+        """Return a lender that heard the given number of eight nodes at each of the given times."""
         names = [f"n{number}" for number in range(8)]
         limits = FleetLimits("n0", 0.0)
         limits.choices = lambda tenant: ["n0"]
@@ -96,10 +99,11 @@
 
 
 class CutZoneTest(unittest.TestCase):
-    """Requests at a third of a small tenant's limit in a zone that is cut off.
+    """Requests at a third of a small tenant's limit, in a zone that is cut off.
 
-    What may be lent beside a lender that nobody reaches is little, so a few are refused. Where a
-    second choice stood anywhere and other zones counted as gone after 4 s, 56 in 100 were.
+    Secondary lenders may grant little beside a primary one that nobody reaches, so some requests
+    are refused. When a secondary lender could be in any zone and other zones counted as gone after
+    4 s, 56 of 100 requests were.
     """
 
     def test_most_are_let_in(self):
@@ -125,7 +129,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """All nodes start together: each hears few others for a second, and lends next to nothing."""
+    """All nodes start together: for a second each hears few others and grants next to nothing."""
 
     def test_who_is_refused_comes_back_when_all_are_heard_and_one_by_one(self):
         limits = FleetLimits("n0", 0.0)
@@ -162,7 +166,7 @@
             self.assertIn(self.limits("n7", far).choices(tenant)[1], far)
 
     def test_who_is_replaced_as_second_choice_begins_anew_when_it_is_one_again(self):
-        """The other one has lent meanwhile, and may be full when it ends."""
+        """The other node has lent meanwhile, and may have granted its full share when it stops."""
         tenant = next(one for one in map(str, range(999)) if rank_owners(one, "abc") == [*"abc"])
         limits = FleetLimits("c", 0.0)
         for step in range(1, 100):
--- a/tests/zoned_limit_model.py
+++ b/tests/zoned_limit_model.py
@@ -1,16 +1,16 @@
-"""Nodes in zones that limit tenants together: zones hear of each other seldom, and are cut off."""
+"""Model of tenant limits in several zones, which hear of each other rarely and may be cut off."""
 
 from postvalve.gateway.serving.tenant_credit import DOUBTED_AFTER, LENDER_SILENT_AFTER
 from tests.limit_model import REPORT_EVERY, STEP, LimitModel, ModelNode
 
 FAR_REPORT_EVERY = 1.0
-"""Seconds between the digests of another zone, at the most."""
+"""Longest time, in seconds, between two digests of another zone."""
 
 
 class ZonedNode(ModelNode):
     def __init__(self, name, now, bounds, zones):
         self.zones = zones
-        """Zone by node."""
+        """Zone of each node."""
         super().__init__(name, now, bounds)
 
     def look(self, announced, now):
@@ -22,7 +22,7 @@
 
 
 class ZonedLimitModel(LimitModel):
-    """So many zones of so many nodes each."""
+    """A fleet of several zones with the same number of nodes each."""
 
     def __init__(self, seed, zones, nodes, terms, **named):
         super().__init__(seed, zones * nodes, terms, **named)
@@ -42,7 +42,7 @@
             node.look(self.announced, self.now)
 
     def cut_zone(self, zone, seconds):
-        """Part one zone from all others."""
+        """Cut one zone off from all others."""
         chosen = [name for name, own in self.zones.items() if own == zone]
         for name in chosen:
             self.side[name] = 1
