--- a/postvalve/core/admission/engine_use.py
+++ b/postvalve/core/admission/engine_use.py
@@ -145,8 +145,8 @@
         former = self._peers.get(node_id, {})
         self._subtract(former)
         counts: dict[int, UseCount] = {}
-        whole = len(report) - len(report) % _ENTRY.size
-        for key, online, batch, unread, memory in _ENTRY.iter_unpack(report[:whole]):
+        complete_size = len(report) - len(report) % _ENTRY.size
+        for key, online, batch, unread, memory in _ENTRY.iter_unpack(report[:complete_size]):
             count = counts[key] = UseCount(online, batch, unread * TOKEN_UNIT, memory * TOKEN_UNIT)
             total = self._total(key)
             total.online += online
@@ -195,8 +195,8 @@
         fraction = RESERVED_FRACTION if pressing else RELAXED_FRACTION
         total = self.total(life)
         mean = math.ceil(self.means.at(engine_hash(life)))
-        beside_heap = slots - math.ceil(slots * RESERVED_FRACTION) - mean - total.batch
-        return min(slots - math.ceil(slots * fraction) - total.total, beside_heap)
+        beside_burst = slots - math.ceil(slots * RESERVED_FRACTION) - mean - total.batch
+        return min(slots - math.ceil(slots * fraction) - total.total, beside_burst)
 
     def excess(self, life: EngineLife, slots: int) -> int:
         """Return how many batch items to preempt because the engine's queue is too long."""
--- a/postvalve/core/admission/fleet_limits.py
+++ b/postvalve/core/admission/fleet_limits.py
@@ -126,12 +126,12 @@
 class _Account:
     terms: LimitTerms
     bucket: TokenBucket
-    next_return: float = 0.0
+    next_retry: float = 0.0
     """Monotonic seconds at which the last refused client was told to retry."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Part:
+class _ShareRecord:
     """Share of the limit by which this node may grant credit from a time on."""
 
     since: float
@@ -149,12 +149,12 @@
     """Primary and secondary lender by tenant."""
 
     def choices_of(self, tenant: str) -> list[str]:
-        found = self.choices.get(tenant)
-        if found is None:
+        lenders = self.choices.get(tenant)
+        if lenders is None:
             first = rank_owners(tenant, self.live)[:1]
             second = rank_owners(tenant, self.near.difference(first))[:1]
-            found = self.choices[tenant] = first + second
-        return found
+            lenders = self.choices[tenant] = first + second
+        return lenders
 
 
 class FleetLimits:
@@ -167,18 +167,18 @@
         self._node_id = node_id
         self._bounds = bounds
         self._started_at = now
-        self._looked_at = now
+        self._updated_at = now
         self._views: deque[_View] = deque(
             [_View(now, frozenset((node_id,)), frozenset((node_id,)))]
         )
-        self._certain = frozenset((node_id,))
-        self._parts: deque[_Part] = deque([_Part(now, 0.0, 0.0)])
+        self._recently_heard = frozenset((node_id,))
+        self._share_history: deque[_ShareRecord] = deque([_ShareRecord(now, 0.0, 0.0)])
         """Shares over the time for which views are kept, since a bucket also refills while it is
         unused."""
         self._sizes: deque[tuple[float, int]] = deque()
         """Fleet sizes seen, as time and number of nodes, the largest first."""
-        self._own: dict[str, _Account] = {}
-        self._deputy: dict[str, _Account] = {}
+        self._primary: dict[str, _Account] = {}
+        self._secondary: dict[str, _Account] = {}
         self.known = 1
         """Number of nodes in the fleet, as far as this node knows."""
 
@@ -194,12 +194,12 @@
     @property
     def share(self) -> float:
         """Share of the fleet that this node has heard recently."""
-        return min(1.0, len(self._certain) / max(1, self.known))
+        return min(1.0, len(self._recently_heard) / max(1, self.known))
 
     @property
     def zone_share(self) -> float:
         """Share of the fleet that this node has heard recently in its own zone."""
-        near = self._views[-1].near & self._certain
+        near = self._views[-1].near & self._recently_heard
         return min(1.0, len(near) / max(1, self.known))
 
     def look(
@@ -226,51 +226,51 @@
                 all were. Of the two sides of a partition, one detects it up to a report interval
                 before the other: its lender starts only after the other side's share has ended.
         """
-        stalled = now - self._looked_at > STALL
-        if stalled:
-            self._forget(now)
-        self._looked_at = now
+        suspended = now - self._updated_at > STALL
+        if suspended:
+            self._drop_all(now)
+        self._updated_at = now
         nodes, view = frozenset(live), self._views[-1]
         near = nodes if neighbours is None else frozenset(neighbours)
         if nodes != view.live or near != view.near:
             self._views.append(_View(now, nodes, near))
-            self._drop_foreign()
+            self._drop_lost()
         while len(self._views) > 1 and self._views[1].since < now - VIEW_TIME:
             self._views.popleft()
-        self._certain = nodes if certain is None else nodes.intersection(certain)
-        self._note_size(len(nodes), announced, now)
-        self._note_part(now)
-        return stalled
-
-    def _note_part(self, now: float) -> None:
-        parts, share, zone_share = self._parts, self.share, self.zone_share
-        if (share, zone_share) != (parts[-1].share, parts[-1].zone_share):
-            parts.append(_Part(now, share, zone_share))
-        while len(parts) > 1 and parts[1].since < now - VIEW_TIME:
-            parts.popleft()
-
-    def _note_size(self, heard: int, announced: int, now: float) -> None:
+        self._recently_heard = nodes if certain is None else nodes.intersection(certain)
+        self._record_size(len(nodes), announced, now)
+        self._record_shares(now)
+        return suspended
+
+    def _record_shares(self, now: float) -> None:
+        history, share, zone_share = self._share_history, self.share, self.zone_share
+        if (share, zone_share) != (history[-1].share, history[-1].zone_share):
+            history.append(_ShareRecord(now, share, zone_share))
+        while len(history) > 1 and history[1].since < now - VIEW_TIME:
+            history.popleft()
+
+    def _record_size(self, heard: int, announced: int, now: float) -> None:
         while self._sizes and self._sizes[0][0] < now - KNOWN_TIME:
             self._sizes.popleft()
         while self._sizes and self._sizes[-1][1] <= heard:
             self._sizes.pop()
         self._sizes.append((now, heard))
-        young = now - self._started_at < KNOWN_TIME
-        self.known = max(self._sizes[0][1], announced if young else 0)
+        started_recently = now - self._started_at < KNOWN_TIME
+        self.known = max(self._sizes[0][1], announced if started_recently else 0)
 
-    def _forget(self, now: float) -> None:
+    def _drop_all(self, now: float) -> None:
         """Drop all buckets after a suspension, during which other nodes have lent."""
-        self._own.clear()
-        self._deputy.clear()
+        self._primary.clear()
+        self._secondary.clear()
         self._views = deque([_View(now, self._views[-1].live, self._views[-1].near)])
 
-    def _drop_foreign(self) -> None:
+    def _drop_lost(self) -> None:
         """Drop the buckets of tenants that other nodes lend to now.
 
         If this node becomes their lender again, it starts with an empty bucket.
         """
         view = self._views[-1]
-        for rank, accounts in enumerate((self._own, self._deputy)):
+        for rank, accounts in enumerate((self._primary, self._secondary)):
             for tenant in list(accounts):
                 if view.choices_of(tenant)[rank : rank + 1] != [self._node_id]:
                     del accounts[tenant]
@@ -284,52 +284,55 @@
         choices = self.choices(tenant)
         if self._node_id not in choices:
             return Loan(Lending.NOT_MINE)
-        deputy = choices[0] != self._node_id
-        accounts = self._deputy if deputy else self._own
+        is_secondary = choices[0] != self._node_id
+        accounts = self._secondary if is_secondary else self._primary
         account = accounts.get(tenant)
         if account is None:
-            bucket = TokenBucket(0.0, 0.0, 0.0, self._mine_since(tenant, deputy))
+            bucket = TokenBucket(0.0, 0.0, 0.0, self._lender_since(tenant, is_secondary))
             account = accounts[tenant] = _Account(terms, bucket)
         if terms.revision >= account.terms.revision:
             account.terms = terms
-        part = self._fill(account, deputy)
-        share = part.zone_share if deputy else part.share
+        record = self._fill(account, is_secondary)
+        share = record.zone_share if is_secondary else record.share
         wait = account.bucket.take(now)
         if not wait:
             return Loan(Lending.LENT, share=share)
-        return Loan(Lending.OVER, self._return_time(account, now, wait), share)
+        return Loan(Lending.OVER, self._retry_time(account, now, wait), share)
 
-    def _fill(self, account: _Account, deputy: bool) -> _Part:
+    def _fill(self, account: _Account, is_secondary: bool) -> _ShareRecord:
         """Refill a bucket at each share that applied since its last use; returns the current share.
 
         What a smaller share left to other lenders was granted by them, and does not become this
         node's credit when it hears them again.
         """
-        bucket, set_part = account.bucket, self._set_zone_part if deputy else self._set_part
-        for part in self._parts:
-            if part.since > bucket.refilled_at:
-                bucket.refill(part.since)
-            set_part(account, part)
-        return self._parts[-1]
-
-    def _set_part(self, account: _Account, part: _Part) -> None:
+        bucket, set_share = (
+            account.bucket,
+            self._set_secondary_share if is_secondary else self._set_primary_share,
+        )
+        for record in self._share_history:
+            if record.since > bucket.refilled_at:
+                bucket.refill(record.since)
+            set_share(account, record)
+        return self._share_history[-1]
+
+    def _set_primary_share(self, account: _Account, record: _ShareRecord) -> None:
         """Set the rate and capacity of a primary lender's bucket."""
         bucket = account.bucket
-        bucket.rate = max(account.terms.rate * part.share, 1e-6)
+        bucket.rate = max(account.terms.rate * record.share, 1e-6)
         # With a capacity below one request, the bucket would refuse everything.
-        bucket.burst = max(1.0, self._bounds.capacity(account.terms) * part.share)
+        bucket.burst = max(1.0, self._bounds.capacity(account.terms) * record.share)
 
-    def _set_zone_part(self, account: _Account, part: _Part) -> None:
+    def _set_secondary_share(self, account: _Account, record: _ShareRecord) -> None:
         """Set the rate and capacity of a secondary lender's bucket."""
-        share, bucket = part.zone_share, account.bucket
+        share, bucket = record.zone_share, account.bucket
         credit = self._bounds.deputies_credit(account.terms) * share
         bucket.rate = max(credit * (1 - FILLED_PART) / self._bounds.window, 1e-6)
         # At most one zone can hold more than half of the fleet, so rounding up to one request there
         # cannot add up across zones.
-        least = 1.0 if share > 0.5 else 0.0
-        bucket.burst = max(least, credit * FILLED_PART)
+        min_burst = 1.0 if share > 0.5 else 0.0
+        bucket.burst = max(min_burst, credit * FILLED_PART)
 
-    def _return_time(self, account: _Account, now: float, wait: float) -> float:
+    def _retry_time(self, account: _Account, now: float, wait: float) -> float:
         """Return the seconds until a refused client may retry; successive clients are spaced
         out."""
         gap, earliest = 1.0 / account.bucket.rate, now + wait
@@ -337,12 +340,12 @@
         if self.starts(now):
             gap = 1.0 / max(account.terms.rate, 1e-6)
             earliest = min(earliest, settled_at + gap)
-        account.next_return = min(max(account.next_return + gap, earliest), now + MAX_RETURN)
-        return account.next_return - now
+        account.next_retry = min(max(account.next_retry + gap, earliest), now + MAX_RETURN)
+        return account.next_retry - now
 
-    def _mine_since(self, tenant: str, deputy: bool) -> float:
+    def _lender_since(self, tenant: str, is_secondary: bool) -> float:
         """Return since when this node has been a tenant's primary or secondary lender."""
-        rank, since = int(deputy), self._views[-1].since
+        rank, since = int(is_secondary), self._views[-1].since
         for view in reversed(self._views):
             if view.choices_of(tenant)[rank : rank + 1] != [self._node_id]:
                 break
--- a/postvalve/core/admission/holding.py
+++ b/postvalve/core/admission/holding.py
@@ -122,29 +122,31 @@
         Slots become free all through an overload. It is over only when no request has been short of
         a slot for `EPISODE_GAP`.
         """
-        self._end_old(now)
+        self._close_expired(now)
         self._since = now if self._since is None else self._since
         self._last = now
 
-    def _end_old(self, now: float) -> None:
+    def _close_expired(self, now: float) -> None:
         if self._since is not None and now - self._last > EPISODE_GAP:
             self._length += EPISODE_WEIGHT * (self._last - self._since - self._length)
             self._since = None
 
     def persistent(self, now: float) -> bool:
         """Return whether the present overload has lasted for longer than clients can wait."""
-        self._end_old(now)
+        self._close_expired(now)
         return self._since is not None and now - self._since > PERSISTENT_AFTER
 
     def seconds_left(self, now: float) -> float:
         """Return the expected seconds until there is capacity again."""
-        self._end_old(now)
+        self._close_expired(now)
         if self._since is None:
             return 0.0
         return max(0.0, self._length - (now - self._since))
 
-    def retry_after(self, now: float, time_left: float, drawn: float) -> float:
+    def retry_after(self, now: float, time_left: float, random_fraction: float) -> float:
         """Return the retry time, in seconds, for a refused client; `drawn` is a random number from
         0 to 1."""
         latest = time_left * RETURN_SHARE
-        return min(latest, max(LEAST_RETURN, self.seconds_left(now)) + RETURN_SPREAD * drawn)
+        return min(
+            latest, max(LEAST_RETURN, self.seconds_left(now)) + RETURN_SPREAD * random_fraction
+        )
--- a/postvalve/core/admission/online_means.py
+++ b/postvalve/core/admission/online_means.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class _Engine:
+class _EngineWindow:
     """Online requests at one engine."""
 
     window: int
@@ -28,12 +28,12 @@
     mean: float = 0.0
     """Average over the previous window."""
 
-    def catch_up(self, window: int) -> None:
+    def advance_to(self, window: int) -> None:
         """Close all windows before the given one."""
-        over = window - self.window
-        if over <= 0:
+        elapsed = window - self.window
+        if elapsed <= 0:
             return
-        self.mean = self.total / self.count if over == 1 and self.count else self.last
+        self.mean = self.total / self.count if elapsed == 1 and self.count else self.last
         self.window = window
         self.count = self.total = 0
 
@@ -42,7 +42,7 @@
     """Average online requests by engine, over the last complete window."""
 
     def __init__(self) -> None:
-        self._engines: dict[int, _Engine] = {}
+        self._engines: dict[int, _EngineWindow] = {}
         self._window = 0
         self._cleaned = 0
 
@@ -50,8 +50,8 @@
         """Record the new number of online requests at an engine, given by its hash."""
         known = self._engines.get(engine)
         if known is None:
-            known = self._engines[engine] = _Engine(self._window)
-        known.catch_up(self._window)
+            known = self._engines[engine] = _EngineWindow(self._window)
+        known.advance_to(self._window)
         known.count += 1
         known.total += online
         known.last = online
@@ -69,11 +69,11 @@
         known = self._engines.get(engine)
         if known is None:
             return 0.0
-        known.catch_up(self._window)
+        known.advance_to(self._window)
         return known.mean
 
     def _forget_idle(self) -> None:
         for engine, known in list(self._engines.items()):
-            known.catch_up(self._window)
+            known.advance_to(self._window)
             if not known.last and not known.mean:
                 del self._engines[engine]
--- a/postvalve/core/admission/quarantine.py
+++ b/postvalve/core/admission/quarantine.py
@@ -151,10 +151,10 @@
             return latest + DOUBT_TIME
         return self.held_until() + hold_time(len(ends))
 
-    def merge(self, told: Case) -> bool:
+    def merge(self, other: Case) -> bool:
         """Merge another node's knowledge of the same request; returns whether anything was new."""
         before = {name: fact.excused for name, fact in self.facts.items()}
-        for name, fact in told.facts.items():
+        for name, fact in other.facts.items():
             known = self.facts.setdefault(name, Fact(fact.ended_at, fact.variant, fact.trial))
             known.ended_at = min(known.ended_at, fact.ended_at)
             known.excused |= fact.excused
@@ -232,10 +232,10 @@
         self._stamps = 0
         self._answered: dict[RequestIdentity, float] = {}
         """Time of the last answer of each request, in order of these times."""
-        self._answering: dict[EngineLife, tuple[float, float]] = {}
+        self._unconfirmed: dict[EngineLife, tuple[float, float]] = {}
         """Implicated engine instances that seem to answer: when the request was sent, and when the
         answer arrived."""
-        self._blamed: set[EngineLife] = set()
+        self._implicated: set[EngineLife] = set()
         """Engine instances named by observations, some of which may have been excused since."""
         self.on_change: Callable[[bytes], None] = lambda digest: None
         """Called with the digest of a request about which something new is known."""
@@ -286,7 +286,7 @@
             Whether the failure counts against the request. It does not if the request was answered
                 recently, or was sent after the engine had failed under another request.
         """
-        if any(fact.ended_at < sent_at for _, _, fact in self._ends_of(engine)):
+        if any(fact.ended_at < sent_at for _, _, fact in self._failures_of(engine)):
             return False
         if self._was_answered(identity, now):
             return False
@@ -333,8 +333,8 @@
         """
         if not engine.born:
             self._excuse_ends(engine, sent_at)
-        elif engine in self._blamed:
-            self._answering[engine] = (sent_at, now)
+        elif engine in self._implicated:
+            self._unconfirmed[engine] = (sent_at, now)
 
     def confirm(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
         """Excuse the instances that answered and are still listed by the directory.
@@ -343,24 +343,24 @@
             listed: Returns whether the directory lists an instance.
             known_at: Monotonic seconds up to which the directory is known.
         """
-        for engine, (sent_at, answered_at) in list(self._answering.items()):
+        for engine, (sent_at, answered_at) in list(self._unconfirmed.items()):
             if not listed(engine):
-                del self._answering[engine]
+                del self._unconfirmed[engine]
             elif known_at >= answered_at + LISTED_TIME:
-                del self._answering[engine]
+                del self._unconfirmed[engine]
                 self._excuse_ends(engine, sent_at)
 
     def _excuse_ends(self, engine: EngineLife, sent_at: float) -> None:
-        ends = self._ends_of(engine)
+        ends = self._failures_of(engine)
         for digest, case, fact in ends:
             if fact.ended_at < sent_at:
                 self._excuse(digest, case, [fact])
         if all(fact.ended_at < sent_at for _, _, fact in ends):
-            self._blamed.discard(engine)
+            self._implicated.discard(engine)
 
-    def _ends_of(self, engine: EngineLife) -> list[tuple[bytes, Case, Fact]]:
+    def _failures_of(self, engine: EngineLife) -> list[tuple[bytes, Case, Fact]]:
         """Return the observations of an engine instance that have not been excused."""
-        if engine not in self._blamed:
+        if engine not in self._implicated:
             return []
         return [
             (digest, case, fact)
@@ -376,21 +376,21 @@
         engines."""
         return preferred_owner(identity.digest.hex(), list(engines))
 
-    def merge(self, digest: bytes, told: Case, now: float) -> bool:
+    def merge(self, digest: bytes, other: Case, now: float) -> bool:
         """Merge what another node or the store knows of a request; returns whether anything was
         new."""
-        if told.forgotten_at() <= now:
+        if other.forgotten_at() <= now:
             return False
         case = self._cases.get(digest) or Case()
-        if not case.merge(told):
+        if not case.merge(other):
             return False
-        self._blamed.update(name.engine for name in told.facts)
-        self._keep(digest, case)
+        self._implicated.update(name.engine for name in other.facts)
+        self._store(digest, case)
         self.on_change(digest)
-        self._speak_for(digest, case)
+        self._excuse_answered(digest, case)
         return True
 
-    def _speak_for(self, digest: bytes, case: Case) -> None:
+    def _excuse_answered(self, digest: bytes, case: Case) -> None:
         """Excuse reported failures of a request that this node has seen answered recently."""
         for variant in case.variants():
             facts = case.of(variant)
@@ -401,11 +401,11 @@
     def expire(self, now: float) -> list[tuple[bytes, Case]]:
         """Drop entries that are no longer needed and return them. Called about once a second."""
         cases = self._cases.items()
-        old = [(digest, case) for digest, case in cases if case.forgotten_at() <= now]
-        for digest, _ in old:
+        expired = [(digest, case) for digest, case in cases if case.forgotten_at() <= now]
+        for digest, _ in expired:
             del self._cases[digest]
-        self._blamed = {name.engine for case in self._cases.values() for name in case.facts}
-        return old
+        self._implicated = {name.engine for case in self._cases.values() for name in case.facts}
+        return expired
 
     def _add(
         self, identity: RequestIdentity, engine: EngineLife, now: float, *, trial: bool
@@ -416,23 +416,23 @@
         name = FactId(engine, stamp)
         case = self._cases.get(digest) or Case()
         case.merge(Case({name: Fact(now, identity.variant, trial)}))
-        self._blamed.add(engine)
-        self._keep(digest, case)
+        self._implicated.add(engine)
+        self._store(digest, case)
         self.on_change(digest)
         return name
 
     def _excuse(self, digest: bytes, case: Case, facts: Iterable[Fact]) -> bool:
-        fresh = [fact for fact in facts if not fact.excused]
-        for fact in fresh:
+        newly_excused = [fact for fact in facts if not fact.excused]
+        for fact in newly_excused:
             fact.excused = True
-        if fresh:
+        if newly_excused:
             self.on_change(digest)
-        return bool(fresh)
+        return bool(newly_excused)
 
-    def _keep(self, digest: bytes, case: Case) -> None:
+    def _store(self, digest: bytes, case: Case) -> None:
         """Store an entry. If there are too many, drop an old one of little importance."""
         self._cases[digest] = case
         if len(self._cases) <= MAX_CASES:
             return
-        light = (one for one, kept in self._cases.items() if len(kept.engines()) < DOUBTFUL_ENDS)
-        del self._cases[next(light, next(iter(self._cases)))]
+        minor = (one for one, kept in self._cases.items() if len(kept.engines()) < DOUBTFUL_ENDS)
+        del self._cases[next(minor, next(iter(self._cases)))]
--- a/postvalve/core/membership/engine_directory.py
+++ b/postvalve/core/membership/engine_directory.py
@@ -42,7 +42,7 @@
         self._lapsed: dict[str, _Lapsed[Entry]] = {}
         self._read = False
         self._store_lost = False
-        self._back_at = float("-inf")
+        self._recovered_at = float("-inf")
 
     def store_lost(self) -> None:
         """Record that this node cannot reach the store."""
@@ -51,7 +51,7 @@
     def store_back(self, now: float) -> None:
         """Record that the store answers this node again since monotonic time `now`."""
         self._store_lost = False
-        self._back_at = now
+        self._recovered_at = now
 
     def unsettled(self, now: float) -> bool:
         """Return whether there may be live engines that are not listed.
@@ -59,8 +59,8 @@
         That is the case before the first read, during an outage and shortly after it. It also holds
         for `REREGISTRATION_TIME` after the first read, since entries may have lapsed just before.
         """
-        back_at = max(self._back_at, self._shared.returned_at)
-        return not self._read or self._store_lost or now - back_at < RETURN_TIME
+        recovered_at = max(self._recovered_at, self._shared.returned_at)
+        return not self._read or self._store_lost or now - recovered_at < RETURN_TIME
 
     def observe(
         self, changes: Iterable[tuple[str, Entry | None]], whole: bool, now: float
@@ -75,11 +75,11 @@
         Returns:
             Ids of engines whose entries have disappeared but are kept for a while.
         """
-        keep_until = self._shared.returned_at + KEEP_TIME
-        keeps = self._read and now < keep_until
+        retain_until = self._shared.returned_at + KEEP_TIME
+        retains = self._read and now < retain_until
         if not self._read:
             self._read = True
-            self._back_at = now
+            self._recovered_at = now
         before = self._listed
         listed = {} if whole else dict(before)
         for engine_id, entry in changes:
@@ -88,9 +88,9 @@
             else:
                 listed[engine_id] = entry
                 self._lapsed.pop(engine_id, None)
-        missing = [engine_id for engine_id in before if engine_id not in listed] if keeps else []
+        missing = [engine_id for engine_id in before if engine_id not in listed] if retains else []
         for engine_id in missing:
-            self._lapsed[engine_id] = _Lapsed(before[engine_id], keep_until)
+            self._lapsed[engine_id] = _Lapsed(before[engine_id], retain_until)
         self._listed = listed
         return missing
 
@@ -100,8 +100,8 @@
 
     def seconds_kept(self, now: float) -> float | None:
         """Return the seconds until the first retained entry expires; None if none is retained."""
-        untils = [one.until for one in self._lapsed.values()]
-        return max(0.0, min(untils) - now) if untils else None
+        expiries = [one.until for one in self._lapsed.values()]
+        return max(0.0, min(expiries) - now) if expiries else None
 
     def entries(self, now: float) -> list[Entry]:
         """Return all entries that are listed or retained."""
--- a/postvalve/core/membership/feature_gate.py
+++ b/postvalve/core/membership/feature_gate.py
@@ -23,18 +23,18 @@
         self.own = own
         self.on = Feature.NONE
         """Features in use."""
-        self._able_since: dict[Feature, float] = {}
+        self._supported_since: dict[Feature, float] = {}
         """Time since which all nodes that are heard have supported a feature; no key while one does
         not."""
-        self._looked_at: float | None = None
+        self._updated_at: float | None = None
 
     def lower(self, features: Feature) -> None:
         """Disable all features other than those that a node just heard supports."""
         if self.own & ~features:
             self.on &= features
-            for one in list(self._able_since):
+            for one in list(self._supported_since):
                 if one not in features:
-                    del self._able_since[one]
+                    del self._supported_since[one]
 
     def look(self, common: Feature, now: float) -> None:
         """Update which features are enabled; called several times a second.
@@ -44,16 +44,16 @@
             now: Monotonic seconds. A node that was suspended for longer than `SETTLE_TIME` knows no
                 more of the others than one that has just started, and begins anew like that.
         """
-        if self._looked_at is not None and now - self._looked_at > SETTLE_TIME:
-            self.on, self._able_since = Feature.NONE, {}
-        self._looked_at = now
+        if self._updated_at is not None and now - self._updated_at > SETTLE_TIME:
+            self.on, self._supported_since = Feature.NONE, {}
+        self._updated_at = now
         self.lower(common)
         for one in common & self.own:
-            if now - self._able_since.setdefault(one, now) >= SETTLE_TIME:
+            if now - self._supported_since.setdefault(one, now) >= SETTLE_TIME:
                 self.on |= one
 
     def waiting(self, feature: Feature, now: float) -> float:
         """Return the seconds until a feature that all support is enabled, unless another node is
         heard."""
-        since = self._able_since.get(feature)
+        since = self._supported_since.get(feature)
         return 0.0 if since is None else max(0.0, since + SETTLE_TIME - now)
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -91,7 +91,7 @@
         self._zones: dict[str, FarZone] = {}
         self._leaving: set[str] = set()
         """Peers known by their own reports that are leaving."""
-        self._looked_at: float | None = None
+        self._updated_at: float | None = None
         self.gate = FeatureGate()
         """Which features that need all nodes are in use."""
 
@@ -141,19 +141,21 @@
         If this node was suspended, it has received nothing meanwhile, which says nothing about the
         others: their time-outs start again.
         """
-        if self._looked_at is not None and now - self._looked_at > STALL:
+        if self._updated_at is not None and now - self._updated_at > STALL:
             for peer in self._peers.values():
                 peer.heard_at = now
             for zone in self._zones.values():
                 zone.heard_at = now
-        self._looked_at = now
+        self._updated_at = now
         nodes = [
             node_id for node_id, peer in self._peers.items() if now - peer.heard_at > SILENT_AFTER
         ]
         for node_id in nodes:
             self.drop(node_id)
         zones = [
-            name for name, far in self._zones.items() if now - far.heard_at > ZONE_SILENT_AFTER
+            name
+            for name, remote in self._zones.items()
+            if now - remote.heard_at > ZONE_SILENT_AFTER
         ]
         for name in zones:
             del self._zones[name]
@@ -196,9 +198,9 @@
 
     def extension_parts(self, number: Extension) -> list[bytes]:
         """Return the contents of an optional part, from all reports and digests that contain it."""
-        told = [one.report.extensions for one in self._peers.values()]
-        told += [one.digest.extensions for one in self._zones.values()]
-        return [parts[number] for parts in told if number in parts]
+        reported_parts = [one.report.extensions for one in self._peers.values()]
+        reported_parts += [one.digest.extensions for one in self._zones.values()]
+        return [parts[number] for parts in reported_parts if number in parts]
 
     def neighbours(self, zone: str) -> list[Peer]:
         """Return the peers of a zone that are known by their own reports."""
@@ -247,9 +249,9 @@
         for peer in self._peers.values():
             if zone in (None, peer.report.zone):
                 yield from peer.waiting
-        for name, far in self._zones.items():
+        for name, remote in self._zones.items():
             if zone in (None, name):
-                yield from far.waiting
+                yield from remote.waiting
 
 
 def _member_peer(digest: ZoneDigest, member: ZoneMember, now: float) -> Peer:
--- a/postvalve/core/membership/shared_freshness.py
+++ b/postvalve/core/membership/shared_freshness.py
@@ -19,8 +19,8 @@
 
     def __init__(self, now: float) -> None:
         self._fresh_at = now
-        self._looked_at = now
-        self._away = False
+        self._updated_at = now
+        self._unavailable = False
         self.returned_at = float("-inf")
         """Monotonic seconds by which the store had certainly recovered from its last outage for all
         nodes."""
@@ -28,7 +28,7 @@
     @property
     def away(self) -> bool:
         """Whether the store is unavailable to all nodes that are heard."""
-        return self._away
+        return self._unavailable
 
     def look(self, now: float) -> None:
         """Take in the current time; called several times a second.
@@ -36,11 +36,11 @@
         If this node was suspended, it has received nothing meanwhile, which says nothing about the
         others.
         """
-        if now - self._looked_at > STALL:
+        if now - self._updated_at > STALL:
             self._fresh_at = max(self._fresh_at, now)
-        self._looked_at = now
+        self._updated_at = now
         if now - self._fresh_at >= AWAY_AFTER:
-            self._away = True
+            self._unavailable = True
 
     def note(self, fresh_at: float, now: float) -> None:
         """Record that a node knows everything acknowledged until monotonic time `fresh_at`."""
@@ -48,6 +48,6 @@
         if fresh_at <= self._fresh_at:
             return
         self._fresh_at = fresh_at
-        if self._away and now - fresh_at < AWAY_AFTER:
-            self._away = False
+        if self._unavailable and now - fresh_at < AWAY_AFTER:
+            self._unavailable = False
             self.returned_at = fresh_at
--- a/postvalve/core/membership/store_path.py
+++ b/postvalve/core/membership/store_path.py
@@ -105,14 +105,14 @@
         now: Monotonic seconds.
         avoided: Addresses of peers that did not answer.
     """
-    able = {
+    candidates = {
         peer.node_id: peer.report
         for peer in peers.all()
         if not (peer.report.store_failing or peer.report.leaving)
         and now - peer.heard_at <= HEARD_WITHIN
         and peer.report.peer_address not in avoided
     }
-    near = [node_id for node_id, report in able.items() if report.zone == zone]
+    near = [node_id for node_id, report in candidates.items() if report.zone == zone]
     # Nodes that are cut off together spread their calls over the nodes that are not.
-    chosen = preferred_owner(peers.node_id, near or able)
-    return able[chosen].peer_address if chosen is not None else None
+    chosen = preferred_owner(peers.node_id, near or candidates)
+    return candidates[chosen].peer_address if chosen is not None else None
--- a/postvalve/core/membership/view.py
+++ b/postvalve/core/membership/view.py
@@ -82,7 +82,7 @@
             return []
         member = self._merge(heartbeat, known, now, direct)
         self._members[member.node_id] = member
-        if known is not None and _same_standing(known, member):
+        if known is not None and _same_state(known, member):
             return []
         return [StateChanged(member.node_id, member.incarnation, member.state)]
 
@@ -146,5 +146,5 @@
     return heartbeat.sequence > known.sequence
 
 
-def _same_standing(before: Member, after: Member) -> bool:
+def _same_state(before: Member, after: Member) -> bool:
     return before.state is after.state and before.incarnation == after.incarnation
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -23,7 +23,7 @@
         self.name = name
         self.bounds = bounds
         self.heard = {}
-        self.stopped = False
+        self.suspended = False
         self.down = False
         self.start(now)
 
@@ -32,8 +32,8 @@
         self.heard = {}
 
     @property
-    def works(self):
-        return not (self.stopped or self.down)
+    def is_running(self):
+        return not (self.suspended or self.down)
 
     def look(self, announced, now):
         live = [name for name, at in self.heard.items() if now - at <= SILENT_AFTER]
@@ -55,22 +55,22 @@
         self.admitted = deque()
         self.total = 0
         self.asked = 0
-        self.worst = 0
-        self.ends = []
+        self.max_in_window = 0
+        self.scheduled = []
 
-    def reach(self, first, second):
-        both = self.nodes[first].works and self.nodes[second].works
+    def can_reach(self, first, second):
+        both = self.nodes[first].is_running and self.nodes[second].is_running
         return both and self.side[first] == self.side[second]
 
     def step(self, arrivals, at=None):
         """Advance the time by one step, with requests at random running nodes, or at those of
         `at`."""
         self.now += STEP
-        while self.ends and self.ends[0][0] <= self.now:
-            self.ends.pop(0)[1]()
+        while self.scheduled and self.scheduled[0][0] <= self.now:
+            self.scheduled.pop(0)[1]()
         if round(self.now / STEP) % round(REPORT_EVERY / STEP) == 0:
             self.report()
-        working = [self.nodes[one] for one in at or self.nodes if self.nodes[one].works]
+        working = [self.nodes[one] for one in at or self.nodes if self.nodes[one].is_running]
         for _ in range(arrivals if working else 0):
             node = self.random.choice(working)
             node.look(self.announced, self.now)
@@ -80,20 +80,20 @@
                 self.admitted.append(self.now)
         while self.admitted and self.admitted[0] <= self.now - self.bounds.window:
             self.admitted.popleft()
-        self.worst = max(self.worst, len(self.admitted))
+        self.max_in_window = max(self.max_in_window, len(self.admitted))
 
     def report(self):
         for first in self.nodes.values():
-            if not first.works:
+            if not first.is_running:
                 continue
             for second in self.nodes.values():
-                if first is not second and self.reach(first.name, second.name):
+                if first is not second and self.can_reach(first.name, second.name):
                     second.heard[first.name] = self.now
             first.look(self.announced, self.now)
 
     def lend(self, node):
         for name in node.limits.choices("t"):
-            if name != node.name and not self.reach(node.name, name):
+            if name != node.name and not self.can_reach(node.name, name):
                 continue
             other = self.nodes[name]
             other.look(self.announced, self.now)
@@ -106,9 +106,9 @@
 
     # Faults
 
-    def after(self, seconds, what):
-        self.ends.append((self.now + seconds, what))
-        self.ends.sort(key=lambda one: one[0])
+    def after(self, seconds, action):
+        self.scheduled.append((self.now + seconds, action))
+        self.scheduled.sort(key=lambda one: one[0])
 
     def cut(self, share, seconds):
         """Cut a share of the nodes off from the others; they still reach each other."""
@@ -127,14 +127,16 @@
     def freeze(self, share, seconds):
         chosen = self.random.sample(sorted(self.nodes), max(1, int(len(self.nodes) * share)))
         for name in chosen:
-            self.nodes[name].stopped = True
-        self.after(seconds, lambda: [setattr(self.nodes[one], "stopped", False) for one in chosen])
+            self.nodes[name].suspended = True
+        self.after(
+            seconds, lambda: [setattr(self.nodes[one], "suspended", False) for one in chosen]
+        )
 
     def freeze_lender(self, seconds):
         """Suspend the primary lender."""
         lender = next(iter(self.nodes.values())).limits.choices("t")[0]
-        self.nodes[lender].stopped = True
-        self.after(seconds, lambda: setattr(self.nodes[lender], "stopped", False))
+        self.nodes[lender].suspended = True
+        self.after(seconds, lambda: setattr(self.nodes[lender], "suspended", False))
 
     def kill(self, share, seconds):
         chosen = self.random.sample(sorted(self.nodes), max(1, int(len(self.nodes) * share)))
--- a/tests/test_connection_share.py
+++ b/tests/test_connection_share.py
@@ -10,7 +10,7 @@
 from postvalve.gateway.engines.engine_connections import ConnectionPool
 
 
-class RestingLimitTest(unittest.TestCase):
+class IdleLimitTest(unittest.TestCase):
     def test_the_smallest_bound_is_shared_equally(self):
         self.assertEqual(resting_limit([], 5), MAX_RESTING)
         self.assertEqual(resting_limit([0], 5), MAX_RESTING)
--- a/tests/test_engine_directory.py
+++ b/tests/test_engine_directory.py
@@ -11,7 +11,7 @@
         self.shared = SharedFreshness(0.0)
         self.directory = EngineDirectory(self.shared)
 
-    def away_for_all(self, until):
+    def unavailable_to_all(self, until):
         """No node reads the directory from time 0 on; this node is the first to read it again."""
         for half_second in range(int(until * 2)):
             self.shared.look(half_second / 2)
@@ -34,7 +34,7 @@
 
     def test_entries_that_lapsed_with_the_store_are_kept_until_they_must_be_back(self):
         self.read("a", "b")
-        self.away_for_all(50.0)
+        self.unavailable_to_all(50.0)
         self.assertEqual(self.read("b", now=50.1), ["a"])
         self.assertEqual(self.entries(50.0 + KEEP_TIME - 0.1), ["a", "b"])
         self.assertEqual(self.entries(50.0 + KEEP_TIME), ["b"])
@@ -50,7 +50,7 @@
 
     def test_others_that_read_it_again_first_say_when_the_store_returned(self):
         self.read("a", "b")
-        self.away_for_all(50.0)
+        self.unavailable_to_all(50.0)
         self.directory.store_lost()
         self.directory.store_back(51.0)
         self.assertEqual(self.read("b", now=51.0), ["a"])
@@ -58,7 +58,7 @@
 
     def test_all_entries_may_lapse(self):
         self.read("a", "b")
-        self.away_for_all(50.0)
+        self.unavailable_to_all(50.0)
         self.assertEqual(self.read(now=50.1), ["a", "b"])
         self.assertEqual(self.entries(50.2), ["a", "b"])
         self.directory.observe([("a", "a")], False, 51.0)
@@ -67,7 +67,7 @@
 
     def test_what_goes_later_than_entries_come_back_is_gone_at_once(self):
         self.read("a", "b")
-        self.away_for_all(50.0)
+        self.unavailable_to_all(50.0)
         later = 50.0 + RETURN_TIME + 0.1
         self.assertEqual(self.directory.observe([("a", None)], False, later), [])
         self.assertEqual(self.entries(later), ["b"])
--- a/tests/test_engine_entries.py
+++ b/tests/test_engine_entries.py
@@ -96,7 +96,7 @@
             self.assertTrue(found.service and found.zone and found.address)
 
 
-class LifeTest(unittest.TestCase):
+class InstanceTest(unittest.TestCase):
     @given(st.text().filter(lambda text: "@" not in text), st.integers(0, 2**53))
     def test_a_life_keeps_id_and_start(self, engine_id, born):
         life = EngineLife.of(engine_id, born)
@@ -104,8 +104,8 @@
 
     def test_the_newest_life_of_an_id_stands(self):
         lives = NewestLives()
-        told = [("a", 5), ("a", 5), ("a", 4), ("b", 1), ("a", 6), ("a", 5), ("a", 0)]
-        admitted = [lives.admits(EngineLife.of(*one)) for one in told]
+        logged = [("a", 5), ("a", 5), ("a", 4), ("b", 1), ("a", 6), ("a", 5), ("a", 0)]
+        admitted = [lives.admits(EngineLife.of(*one)) for one in logged]
         self.assertEqual(admitted, [True, True, False, True, True, False, False])
 
     def test_what_is_remembered_is_bounded(self):
@@ -130,5 +130,5 @@
 
         wait_until(lambda: listed() == {"e0": "leaving", "e1": "ready"})
         self.assertEqual(fleet.request("n0", STREAM_PATH + "x", body=b"b").status, 200)
-        told = fleet.events("n0", Event.ENGINE_UNREADABLE)
-        self.assertTrue(0 < len(told) < 40, len(told))
+        logged = fleet.events("n0", Event.ENGINE_UNREADABLE)
+        self.assertTrue(0 < len(logged) < 40, len(logged))
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -49,7 +49,7 @@
             model = LimitModel(seed, 13, terms)
             settle(model)
             flood(model, 30, 7 * terms.rate + 5)
-            self.assertLessEqual(model.worst, allowed(terms), (seed, terms))
+            self.assertLessEqual(model.max_in_window, allowed(terms), (seed, terms))
             self.assertGreater(model.total, 0)
 
     def test_a_fault_in_the_midst_of_a_flood(self):
@@ -60,7 +60,7 @@
                 flood(model, 2, 700, faults=False)
                 fault(model)
                 flood(model, 14, 700, faults=False)
-                self.assertLessEqual(model.worst, allowed(LARGE), (number, seed))
+                self.assertLessEqual(model.max_in_window, allowed(LARGE), (number, seed))
 
 
 class StrictBoundTest(unittest.TestCase):
@@ -72,7 +72,7 @@
                 model = LimitModel(seed, 13, LARGE, bounds=bounds)
                 settle(model)
                 flood(model, 20, 7 * LARGE.rate, faults=False)
-                self.assertLessEqual(model.worst, allowed(LARGE, bounds), (seed, bounds))
+                self.assertLessEqual(model.max_in_window, allowed(LARGE, bounds), (seed, bounds))
                 self.assertGreater(model.total, 0.9 * 20 * LARGE.rate)
 
 
@@ -152,13 +152,13 @@
     def test_what_another_has_lent_meanwhile_is_not_lent_again(self):
         live = ["n0", "n1", "n2", "n3"]
         self.look(0.1)
-        mine = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
-        self.assertIs(self.take(9.0, tenant=mine).lending, Lending.LENT)
+        tenant = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
+        self.assertIs(self.take(9.0, tenant=tenant).lending, Lending.LENT)
         for step in range(40):
             self.look(9.0 + step * 0.5, live=live)
         self.look(29.0)
         lent = 0
-        while self.take(29.0, tenant=mine).lending is Lending.LENT:
+        while self.take(29.0, tenant=tenant).lending is Lending.LENT:
             lent += 1
         self.assertLessEqual(lent, 1)
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -49,7 +49,7 @@
     return HeldRequest(arrived_at, AIM, arrived_at + DEADLINE, tokens, may_return)
 
 
-class PaceTest(unittest.TestCase):
+class EstimatesTest(unittest.TestCase):
     def test_nothing_is_known_before_there_are_samples(self):
         pace = ServicePace()
         self.assertFalse(pace.known)
@@ -158,9 +158,9 @@
         self.assertIs(self.rule([room(30)], AIM * HOLD_SHARE + 0.01, pace=unknown), Ruling.START)
 
     def test_an_overload_that_lasts_is_served_first_come_first_served(self):
-        for back in (False, True):
+        for can_retry in (False, True):
             for now in (0.0, 0.04, 1.0):
-                terms = request(may_return=back)
+                terms = request(may_return=can_retry)
                 ruling = rule(terms, [room(30)], learnt(), now, persistent=True)
                 self.assertIs(ruling, Ruling.START)
 
@@ -174,11 +174,11 @@
         st.floats(0, 6),
         st.booleans(),
     )
-    def test_refusals_are_only_made_where_all_slots_serve_online_work(self, rooms, now, back):
-        ruling = self.rule(rooms, now, may_return=back)
+    def test_refusals_are_only_made_where_all_slots_serve_online_work(self, rooms, now, can_retry):
+        ruling = self.rule(rooms, now, may_return=can_retry)
         if ruling is Ruling.REFUSE:
             self.assertTrue(all(one.online >= one.slots for one in rooms))
-            self.assertTrue(back)
+            self.assertTrue(can_retry)
 
     def test_nobody_is_refused_beside_a_free_slot_however_slow_the_engines_are(self):
         slow = learnt(first=1.0)
@@ -277,7 +277,7 @@
         node = self.fleet.nodes["n0"]
         wait_until(lambda: [one.slots for one in node._fleet.listed_engines()] == [1])
 
-    def teach(self):
+    def train(self):
         pace = self.fleet.nodes["n0"]._fleet.pace("s")
         for _ in range(50):
             pace.observe_first(0, 0.1)
@@ -291,7 +291,7 @@
         wait_until(lambda: self.engine.running == 1)
 
     def test_what_cannot_be_in_time_is_refused_with_a_time_to_come_back(self):
-        self.teach()
+        self.train()
         first = self.send(1)
         self.running()
         answer = read_answer(self.send(2))
@@ -303,7 +303,7 @@
         self.assertEqual([one["request"] for one in told], ["r2"])
 
     def test_a_client_that_came_back_waits_and_is_served(self):
-        self.teach()
+        self.train()
         first = self.send(1)
         self.running()
         again = self.send(2, deadline_ms=3500)
@@ -312,7 +312,7 @@
         self.assertEqual([one["request"] for one in released], ["r2"])
 
     def test_a_client_that_came_back_as_soon_as_it_may_is_not_refused_again(self):
-        self.teach()
+        self.train()
         first = self.send(1)
         self.running()
         turned_away = read_answer(self.send(2))
@@ -323,7 +323,7 @@
         self.assertEqual([read_answer(first).status, read_answer(again).status], [200, 200])
 
     def test_a_client_that_leaves_while_it_waits_is_not_sent_on(self):
-        self.teach()
+        self.train()
         first = self.send(1)
         self.running()
         gone = self.send(2, deadline_ms=3500)
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -64,13 +64,13 @@
 class CountsTest(unittest.TestCase):
     def test_all_nodes_agree_with_a_naive_count_when_nothing_moves(self):
         for seed in range(20):
-            self._play(random.Random(seed))
+            self._simulate(random.Random(seed))
 
-    def _play(self, chance):
+    def _simulate(self, chance):
         nodes = {f"n{number}": EngineUse() for number in range(12)}
         naive: dict[str, int] = dict.fromkeys(("e0", "e1", "e2"), 0)
         running: list[tuple[str, str]] = []
-        on_the_way: list[tuple[str, str, bytes]] = []
+        in_flight: list[tuple[str, str, bytes]] = []
         for _ in range(400):
             node_id, engine = chance.choice(list(nodes)), chance.choice(list(naive))
             if running and chance.random() < 0.45:
@@ -83,10 +83,10 @@
                 naive[engine] += 1
             for other in nodes:
                 if other != node_id and chance.random() < 0.3:
-                    on_the_way.append((other, node_id, nodes[node_id].report()))
-            if on_the_way and chance.random() < 0.5:
+                    in_flight.append((other, node_id, nodes[node_id].report()))
+            if in_flight and chance.random() < 0.5:
                 # Some reports arrive out of order, and some never.
-                target, sender, data = on_the_way.pop(chance.randrange(len(on_the_way)))
+                target, sender, data = in_flight.pop(chance.randrange(len(in_flight)))
                 nodes[target].observe(sender, data)
         for node_id, node in nodes.items():
             for other in nodes.keys() - {node_id}:
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -35,7 +35,7 @@
         self.assertEqual(list(means._engines), [7])
 
 
-class RoomInAHeapTest(unittest.TestCase):
+class RoomInBurstTest(unittest.TestCase):
     def use(self, before, now):
         use = EngineUse()
         for _ in range(before):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -47,13 +47,13 @@
     )
 
 
-def tell(source, target, now, delay=0.0):
+def share_knowledge(source, target, now, delay=0.0):
     """Pass one node's knowledge to another one. Messages contain ages, which grow by the delay."""
     for digest in source.digests():
-        told = copy_of(source.case(digest))
-        for fact in told.facts.values():
+        shared = copy_of(source.case(digest))
+        for fact in shared.facts.values():
             fact.ended_at += delay
-        target.merge(digest, told, now)
+        target.merge(digest, shared, now)
 
 
 class RulingTest(unittest.TestCase):
@@ -189,7 +189,7 @@
             node.note_end(REQUEST, f"e{number}", 0.0, 0.0)
         for source in nodes:
             for target in nodes:
-                tell(source, target, 0.1)
+                share_knowledge(source, target, 0.1)
         for node in nodes:
             self.assertIs(node.rule(REQUEST, 0.1).ruling, Ruling.HELD)
 
@@ -197,15 +197,15 @@
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(REQUEST, "e1", 0.0, 0.0)
         second.note_end(REQUEST, "e1", 0.0, 0.0)
-        tell(second, first, 0.0)
+        share_knowledge(second, first, 0.0)
         self.assertEqual(len(first.case(REQUEST.digest).engines()), 1)
 
     def test_retelling_does_not_make_it_younger(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(REQUEST, "e1", 0.0, 0.0)
         for _ in range(50):
-            tell(first, second, 0.2, delay=0.1)
-            tell(second, first, 0.2, delay=0.1)
+            share_knowledge(first, second, 0.2, delay=0.1)
+            share_knowledge(second, first, 0.2, delay=0.1)
         self.assertEqual(first.case(REQUEST.digest).engines(), {"e1": 0.0})
         self.assertEqual(second.case(REQUEST.digest).engines(), {"e1": 0.1})
 
@@ -214,27 +214,27 @@
         second.note_answered(REQUEST, 0.0)
         for number in range(3):
             first.note_end(REQUEST, f"e{number}", 1.0, 1.0)
-        tell(first, second, 1.1)
-        tell(second, first, 1.2)
+        share_knowledge(first, second, 1.1)
+        share_knowledge(second, first, 1.2)
         self.assertIs(first.rule(REQUEST, 1.2).ruling, Ruling.FREE)
 
     def test_an_engine_that_was_blamed_wrongly_may_end_later(self):
         """A failure observed after other nodes have seen the engine alive must count."""
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(OTHER, "e1", 0.9, 1.0)
-        tell(first, second, 1.1)
+        share_knowledge(first, second, 1.1)
         first.note_alive(EngineLife("e1"), 1.2, 1.2)
-        tell(first, second, 1.3)
+        share_knowledge(first, second, 1.3)
         self.assertTrue(second.note_end(REQUEST, "e1", 1.4, 1.5))
 
     def test_who_has_not_heard_of_an_excuse_does_not_take_it_back(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(REQUEST, "e1", 0.0, 0.0)
-        tell(first, second, 0.1)
+        share_knowledge(first, second, 0.1)
         second.note_alive(EngineLife("e1"), 0.2, 0.2)
-        tell(first, second, 0.3)
+        share_knowledge(first, second, 0.3)
         self.assertEqual(second.case(REQUEST.digest).engines(), {})
-        tell(second, first, 0.4)
+        share_knowledge(second, first, 0.4)
         self.assertEqual(first.case(REQUEST.digest).engines(), {})
 
     def test_news_stops(self):
@@ -247,14 +247,14 @@
         news = []
         first.on_change = second.on_change = news.append
         for _ in range(10):
-            tell(first, second, 1.0)
-            tell(second, first, 1.0)
+            share_knowledge(first, second, 1.0)
+            share_knowledge(second, first, 1.0)
         self.assertLessEqual(len(news), 2)
 
     def test_what_a_node_tells_that_stood_still_for_long_is_passed_over(self):
         stale, fresh = Quarantine("a"), Quarantine("b")
         stale.note_end(REQUEST, "e1", 0.0, 0.0)
-        tell(stale, fresh, DOUBT_TIME + 1.0)
+        share_knowledge(stale, fresh, DOUBT_TIME + 1.0)
         self.assertEqual(len(fresh), 0)
 
     @given(st.integers(0, 2**32))
@@ -277,11 +277,11 @@
             elif action == 2:
                 node.note_alive(EngineLife(engine), now, now)
             else:
-                tell(node, generator.choice(nodes), now)
+                share_knowledge(node, generator.choice(nodes), now)
         for _ in range(2):
             for source in nodes:
                 for target in nodes:
-                    tell(source, target, now)
+                    share_knowledge(source, target, now)
         for request in (REQUEST, OTHER, variant(2), variant(3)):
             rulings = {node.rule(request, now) for node in nodes}
             self.assertEqual(len(rulings), 1)
@@ -348,6 +348,6 @@
                 else:
                     one.note_alive(EngineLife(engine), sent_at, sent_at)
             for source, target in itertools.product([node, *nodes], nodes):
-                tell(source, target, now)
+                share_knowledge(source, target, now)
             for one, asked in itertools.product(nodes, requests):
                 self.assertEqual(one.rule(asked, now).ruling, naive.rule(asked, now))
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -20,11 +20,11 @@
 from tests.waiting import wait_until
 
 FATAL = b"the body under which engines end"
-ENOUGH_ENDS = 3
+HOLD_AFTER_ENDS = 3
 FIRST_BORN = 1_000
 
 
-class RebornCase(unittest.TestCase):
+class RestartCase(unittest.TestCase):
     nodes, engines = 3, 5
 
     def setUp(self):
@@ -42,7 +42,7 @@
         return {(one["engine_id"], one.get("born", 0)): one["state"] for one in rows}
 
 
-class FatalRequestTest(RebornCase):
+class FatalRequestTest(RestartCase):
     """A request that crashes its engines, sent again each time all nodes have the same knowledge of
     it.
 
@@ -57,8 +57,8 @@
         for engine in self.fleet.engines:
             engine.born = FIRST_BORN
             self.fleet.list_engine(engine)
-        told = {(engine.engine_id, FIRST_BORN) for engine in self.fleet.engines}
-        wait_until(lambda: all(told <= self.listed(node).keys() for node in self.fleet.nodes))
+        expected = {(engine.engine_id, FIRST_BORN) for engine in self.fleet.engines}
+        wait_until(lambda: all(expected <= self.listed(node).keys() for node in self.fleet.nodes))
 
     def known(self, node):
         rows = self.fleet.nodes[node].status_document()["quarantine"]
@@ -78,10 +78,10 @@
             for other in range(4):
                 self.send(f"n{other % self.nodes}", b"b%d" % other, f"{number}-{other}")
         ended = [engine for engine in self.fleet.engines if engine.ended]
-        self.assertLessEqual(len(ended), ENOUGH_ENDS)
+        self.assertLessEqual(len(ended), HOLD_AFTER_ENDS)
 
 
-class NextLifeTest(RebornCase):
+class NextInstanceTest(RestartCase):
     nodes, engines = 1, 2
 
     def test_a_next_life_begins_with_nothing_known(self):
@@ -124,7 +124,7 @@
         self.assertEqual({life.engine_id for life in lives}, {"e"})
 
 
-class BlameTest(unittest.TestCase):
+class ImplicationTest(unittest.TestCase):
     """What a quarantine records of several instances of one engine."""
 
     request = RequestIdentity(b"0123456789abcdef", 1)
@@ -139,15 +139,15 @@
         return self.quarantine.rule(self.request, now).ruling
 
     def test_each_life_that_ends_counts(self):
-        for number in range(ENOUGH_ENDS):
+        for number in range(HOLD_AFTER_ENDS):
             self.assertTrue(self.end(number + 1, float(number)))
         self.assertIs(self.ruling(3.0), Ruling.HELD)
 
     def test_an_answer_clears_only_the_life_that_is_still_listed_a_moment_later(self):
-        for number in range(ENOUGH_ENDS):
+        for number in range(HOLD_AFTER_ENDS):
             self.end(number + 1, 1.0)
         # The answers came from the same address, but from the next instances.
-        for number in range(ENOUGH_ENDS):
+        for number in range(HOLD_AFTER_ENDS):
             self.quarantine.note_alive(EngineLife.of("e", number + 1), 1.5, 1.6)
         self.quarantine.confirm(lambda life: True, 1.6)
         self.assertIs(self.ruling(2.0), Ruling.HELD)
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -344,9 +344,9 @@
             with self.subTest(zones=zones, nodes_each=nodes_each):
                 self.setUp()
                 self.start(zones, nodes_each)
-                self._play_requests(random.Random(seed))
+                self._simulate_requests(random.Random(seed))
 
-    def _play_requests(self, chance):
+    def _simulate_requests(self, chance):
         naive = dict.fromkeys(("e0", "e1", "e2"), 0)
         running = []
         self.network.loss = 0.2
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -22,7 +22,7 @@
 )
 
 
-def worst_of(seed, terms):
+def worst_excess(seed, terms):
     """Return the most requests in any window under faults, as a fraction of what is allowed."""
     model = ZonedLimitModel(seed, ZONES, NODES, terms)
     settle(model)
@@ -33,19 +33,19 @@
         due -= int(due)
         if model.random.random() < STEP / 3:
             model.random.choice(ZONE_FAULTS)(model)
-    return model.worst / allowed(terms)
+    return model.max_in_window / allowed(terms)
 
 
 class BoundTest(unittest.TestCase):
     def test_no_window_is_over_what_is_allowed_whatever_befalls_zones(self):
         for seed in range(12):
             terms = (LARGE, SMALL, LimitTerms(10.0, 0.0), LimitTerms(300.0, 100.0))[seed % 4]
-            self.assertLessEqual(worst_of(seed, terms), 1.0, (seed, terms))
+            self.assertLessEqual(worst_excess(seed, terms), 1.0, (seed, terms))
 
     def test_four_faults_within_four_seconds(self):
         """The lender is suspended, a third of the nodes is cut off, then a zone, then half of the
         nodes are killed."""
-        self.assertLessEqual(worst_of(1011, LimitTerms(300.0, 100.0)), 1.0)
+        self.assertLessEqual(worst_excess(1011, LimitTerms(300.0, 100.0)), 1.0)
 
     def test_a_zone_is_cut_off_in_the_midst_of_a_flood(self):
         for seed in range(8):
@@ -55,7 +55,7 @@
             flood(model, 8, 7 * terms.rate, faults=False)
             model.cut_zone(seed % ZONES, CUT)
             flood(model, 12, 7 * terms.rate, faults=False)
-            self.assertLessEqual(model.worst, allowed(terms), (seed, terms))
+            self.assertLessEqual(model.max_in_window, allowed(terms), (seed, terms))
 
 
 class PartTimeTest(unittest.TestCase):
@@ -71,7 +71,7 @@
             flood(model, 8, 0, faults=False)
             others = [one for one in model.nodes if model.zones[one] != model.zones[first]]
             flood(model, 8, 7 * terms.rate + 250, faults=False, at=others)
-            self.assertLessEqual(model.worst, allowed(terms), (zones, terms))
+            self.assertLessEqual(model.max_in_window, allowed(terms), (zones, terms))
 
     def limits(self, share_at):
         """Return a lender that heard the given number of eight nodes at each of the given times."""
@@ -113,16 +113,16 @@
             settle(model)
             flood(model, 10, SMALL.rate / 3, faults=False)
             zone, lend = seed % ZONES, model.lend
-            told = []
+            results = []
 
-            def lend_noting(node, lend=lend, told=told):
-                told.append((node.name, lend(node)))
-                return told[-1][1]
+            def recording_lend(node, lend=lend, results=results):
+                results.append((node.name, lend(node)))
+                return results[-1][1]
 
-            model.lend = lend_noting
+            model.lend = recording_lend
             model.cut_zone(zone, CUT)
             flood(model, CUT, SMALL.rate / 3, faults=False)
-            lent = [one for name, one in told if model.zones[name] == zone]
+            lent = [one for name, one in results if model.zones[name] == zone]
             asked += len(lent)
             refused += lent.count(False)
         self.assertLess(refused, asked / 3)
--- a/tests/zoned_limit_model.py
+++ b/tests/zoned_limit_model.py
@@ -24,19 +24,19 @@
 class ZonedLimitModel(LimitModel):
     """A fleet of several zones with the same number of nodes each."""
 
-    def __init__(self, seed, zones, nodes, terms, **named):
-        super().__init__(seed, zones * nodes, terms, **named)
+    def __init__(self, seed, zones, nodes, terms, **options):
+        super().__init__(seed, zones * nodes, terms, **options)
         self.zones = {name: number % zones for number, name in enumerate(self.nodes)}
         for name in self.nodes:
             self.nodes[name] = ZonedNode(name, self.now, self.bounds, self.zones)
 
     def report(self):
         far = round(self.now / STEP) % round(FAR_REPORT_EVERY / STEP) < REPORT_EVERY / STEP
-        working = [one for one in self.nodes.values() if one.works]
+        working = [one for one in self.nodes.values() if one.is_running]
         for first in working:
             for second in working:
                 heard = far or self.zones[first.name] == self.zones[second.name]
-                if first is not second and heard and self.reach(first.name, second.name):
+                if first is not second and heard and self.can_reach(first.name, second.name):
                     second.heard[first.name] = self.now
         for node in working:
             node.look(self.announced, self.now)
