--- a/tests/test_connection_share.py
+++ b/tests/test_connection_share.py
@@ -52,7 +52,7 @@
     def open_ends(self):
         return [pair[0].fileno() >= 0 for pair in self.pairs]
 
-    def test_no_more_rest_than_may(self):
+    def test_connections_beyond_the_limit_are_closed(self):
         self.pool.limit_resting(2)
         self.rest(3)
         self.assertEqual(self.open_ends(), [True, True, False])
@@ -63,7 +63,7 @@
         self.pool.expire()
         self.assertEqual(self.open_ends(), [False, False, False, True])
 
-    def test_those_that_rested_too_long_are_closed(self):
+    def test_connections_idle_for_too_long_are_closed(self):
         self.rest(1, "timeout=2")
         self.rest(1, "timeout=9")
         self.clock.now = 3.0
--- a/tests/test_engine_directory.py
+++ b/tests/test_engine_directory.py
@@ -25,7 +25,7 @@
     def entries(self, now):
         return sorted(self.directory.entries(now))
 
-    def test_entries_that_go_while_the_store_answers_are_gone(self):
+    def test_entries_removed_while_the_store_answers_are_dropped(self):
         self.read("a", "b")
         self.assertEqual(self.directory.observe([("a", None)], False, 100.0), [])
         self.assertEqual(self.entries(100.0), ["b"])
@@ -39,7 +39,7 @@
         self.assertEqual(self.entries(50.0 + KEEP_TIME - 0.1), ["a", "b"])
         self.assertEqual(self.entries(50.0 + KEEP_TIME), ["b"])
 
-    def test_an_entry_that_goes_while_only_this_node_is_cut_off_is_gone(self):
+    def test_an_entry_removed_while_only_this_node_is_cut_off_is_dropped(self):
         self.read("a", "b")
         self.directory.store_lost()
         for half_second in range(100):
@@ -48,7 +48,7 @@
         self.assertEqual(self.read("b", now=50.1), [])
         self.assertEqual(self.entries(50.1), ["b"])
 
-    def test_others_that_read_it_again_first_say_when_the_store_returned(self):
+    def test_other_nodes_tell_when_the_store_recovered(self):
         self.read("a", "b")
         self.unavailable_to_all(50.0)
         self.directory.store_lost()
@@ -65,7 +65,7 @@
         self.assertEqual(self.entries(51.0), ["a", "b"])
         self.assertEqual(self.entries(50.0 + KEEP_TIME), ["a"])
 
-    def test_what_goes_later_than_entries_come_back_is_gone_at_once(self):
+    def test_entries_removed_after_the_reregistration_time_are_dropped_at_once(self):
         self.read("a", "b")
         self.unavailable_to_all(50.0)
         later = 50.0 + RETURN_TIME + 0.1
@@ -95,7 +95,7 @@
 
 
 class SharedFreshnessTest(unittest.TestCase):
-    def test_the_store_is_away_when_nobody_knows_anything_new(self):
+    def test_the_store_is_unavailable_when_no_node_learns_anything_new(self):
         shared = SharedFreshness(0.0)
         for now in (0.5, 1.0, 1.5):
             shared.note(now - 0.4, now)
@@ -117,7 +117,7 @@
         self.assertFalse(shared.away)
         self.assertEqual(shared.returned_at, float("-inf"))
 
-    def test_a_node_that_stood_still_takes_no_outage_for_granted(self):
+    def test_a_suspended_node_assumes_no_outage(self):
         shared = SharedFreshness(0.0)
         shared.note(0.0, 0.1)
         shared.look(0.1 + STALL + 3.0)
--- a/tests/test_engine_entries.py
+++ b/tests/test_engine_entries.py
@@ -74,7 +74,7 @@
             found = parse({key: value for key, value in GOOD.items() if key != name})
             self.assertEqual(found is None, name != "born", name)
 
-    def test_an_id_names_no_life(self):
+    def test_an_id_must_not_contain_a_start_time(self):
         self.assertIsNone(parse(GOOD, key=""))
         self.assertIsNone(parse(GOOD, key="e1@5"))
 
@@ -87,7 +87,7 @@
             self.assertIsNone(parse_engine(KeyedRecord("e1", value)))
 
     @given(st.sampled_from(sorted(GOOD)), VALUES)
-    def test_whatever_stands_in_a_field_no_engine_comes_of_nonsense(self, name, value):
+    def test_random_values_never_make_an_invalid_engine(self, name, value):
         found = parse({**GOOD, name: value})
         if found is not None:
             self.assertEqual(type(found.slots), int)
@@ -98,11 +98,11 @@
 
 class InstanceTest(unittest.TestCase):
     @given(st.text().filter(lambda text: "@" not in text), st.integers(0, 2**53))
-    def test_a_life_keeps_id_and_start(self, engine_id, born):
+    def test_an_instance_keeps_id_and_start(self, engine_id, born):
         life = EngineLife.of(engine_id, born)
         self.assertEqual((life.engine_id, life.born), (engine_id, born))
 
-    def test_the_newest_life_of_an_id_stands(self):
+    def test_only_the_newest_instance_of_an_id_is_accepted(self):
         lives = NewestLives()
         logged = [("a", 5), ("a", 5), ("a", 4), ("b", 1), ("a", 6), ("a", 5), ("a", 0)]
         admitted = [lives.admits(EngineLife.of(*one)) for one in logged]
@@ -116,7 +116,7 @@
 
 
 class ForeignEntriesTest(unittest.TestCase):
-    def test_bad_entries_are_left_out_told_in_few_lines_and_the_others_hold(self):
+    def test_bad_entries_are_ignored_and_logged_briefly(self):
         fleet = GatewayFleet(nodes=1, engines=2)
         self.addCleanup(fleet.stop)
         bad = [KeyedRecord(f"x{number}", b"\xff{" * 20) for number in range(2_000)]
--- a/tests/test_extensions.py
+++ b/tests/test_extensions.py
@@ -33,7 +33,7 @@
 
 class LayoutTest(unittest.TestCase):
     @given(PARTS)
-    def test_parts_come_as_they_were_sent(self, parts):
+    def test_parts_arrive_as_they_were_sent(self, parts):
         self.assertEqual(unpack_extensions(b"head" + pack_extensions(parts), 4), parts)
 
     @given(PARTS, st.booleans())
@@ -51,7 +51,7 @@
         plain = report("a", directory=DirectoryState(7, 120))
         self.assertEqual(unpack_report(plain.pack()).extensions, {})
 
-    def test_a_cut_part_is_no_report(self):
+    def test_a_truncated_part_is_rejected(self):
         whole = report("a", extensions={9: b"abc"}).pack()
         for length in range(len(whole) - 5, len(whole)):
             with self.assertRaises(LoadReportError):
@@ -71,7 +71,7 @@
         parts = {Extension.FEATURES: (0xFFFF_FFFF).to_bytes(4, "big")}
         self.assertEqual(features_of(parts), Feature(sum(Feature)))
 
-    def test_what_all_can_do_is_what_each_can(self):
+    def test_common_features_are_those_of_every_node(self):
         peers = PeerView("me")
         able = {Extension.FEATURES: pack_features(OWN_FEATURES)}
         peers.observe(report("new", extensions=able), 0.0)
@@ -81,7 +81,7 @@
         peers.drop("old")
         self.assertEqual(peers.common_features(), OWN_FEATURES)
 
-    def test_a_zone_can_what_its_newest_digest_says(self):
+    def test_the_newest_digest_of_a_zone_decides(self):
         peers = PeerView("me")
         able = {Extension.FEATURES: pack_features(OWN_FEATURES)}
         peers.observe_zone(ZoneDigest("far", "a", "", 1, 1, extensions=able), 0.0)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -43,7 +43,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    def test_no_window_is_over_what_is_allowed_whatever_befalls_the_nodes(self):
+    def test_no_window_exceeds_the_limit_under_random_faults(self):
         for seed in range(24):
             terms = TERMS[seed % len(TERMS)]
             model = LimitModel(seed, 13, terms)
@@ -52,7 +52,7 @@
             self.assertLessEqual(model.max_in_window, allowed(terms), (seed, terms))
             self.assertGreater(model.total, 0)
 
-    def test_a_fault_in_the_midst_of_a_flood(self):
+    def test_a_fault_during_a_flood(self):
         for number, fault in enumerate(FAULTS):
             for seed in range(3):
                 model = LimitModel(100 + seed, 13, LARGE)
@@ -95,7 +95,7 @@
             due -= int(due)
         return 1 - model.total / model.asked
 
-    def test_the_usual_of_large_and_small_tenants(self):
+    def test_usual_traffic_of_large_and_small_tenants_is_served(self):
         for terms in (LARGE, SMALL):
             self.assertEqual(self.refused(LimitModel(1, 61, terms), 0.6 * terms.rate), 0)
 
@@ -136,20 +136,20 @@
             number += 1
         return number
 
-    def test_one_that_stood_still_begins_with_nothing(self):
+    def test_a_suspended_lender_starts_with_an_empty_bucket(self):
         for step in range(40):
             self.look(step * 0.5)
         self.assertGreater(self.count(20.0), 80)
         self.look(30.0 + STALL)
         self.assertLessEqual(self.count(30.0 + STALL), 1)
 
-    def test_one_that_has_just_started_lends_by_the_share_that_it_hears(self):
+    def test_a_new_lender_grants_by_the_share_of_the_fleet_it_hears(self):
         self.look(0.1, announced=60)
         self.assertAlmostEqual(self.limits.share, 1 / 60)
         self.look(0.2, live=[f"n{number}" for number in range(30)], announced=60)
         self.assertAlmostEqual(self.limits.share, 0.5)
 
-    def test_what_another_has_lent_meanwhile_is_not_lent_again(self):
+    def test_credit_granted_by_another_lender_is_not_granted_again(self):
         live = ["n0", "n1", "n2", "n3"]
         self.look(0.1)
         tenant = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
@@ -165,12 +165,12 @@
     def limits_choice(self, tenant, live):
         return rank_owners(tenant, live)[0]
 
-    def test_a_tenant_of_other_nodes_gets_nothing_here(self):
+    def test_a_node_that_is_not_a_lender_grants_nothing(self):
         self.look(0.1, live=("n0", "n1", "n2"))
         told = {self.take(5.0, tenant=f"t{number}").lending for number in range(60)}
         self.assertIn(Lending.NOT_MINE, told)
 
-    def test_a_lower_limit_binds_at_once_and_a_late_word_of_the_former_does_not(self):
+    def test_a_lower_limit_applies_at_once_and_an_older_revision_does_not(self):
         for step in range(40):
             self.look(step * 0.5)
         low = LimitTerms(2.0, 2.0, 9)
@@ -180,7 +180,7 @@
         self.look(21.5)
         self.assertGreater(self.count(22.0, LimitTerms(65.0, 65.0, 10)), 20)
 
-    def test_those_that_are_refused_come_back_one_after_the_other(self):
+    def test_retries_of_refused_clients_are_spaced_out(self):
         self.look(0.1)
         self.count(0.2)
         waits = [self.take(0.2).wait for _ in range(20)]
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -84,7 +84,7 @@
             one.observe("two", two.report())
         self.assertEqual(one.total("e").online, 0)
 
-    def test_batch_fills_the_gaps_that_online_work_leaves_now(self):
+    def test_batch_fills_slots_that_online_work_leaves_free(self):
         use = EngineUse()
         self.assertEqual(use.batch_room("e", 12), 10)
         for _ in range(4):
@@ -112,7 +112,7 @@
                 use.enter("e", batch=False)
             self.assertEqual(use.excess("e", 12), excess)
 
-    def test_prompt_tokens_count_until_they_are_read(self):
+    def test_prompt_tokens_count_until_they_are_processed(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=False, unread=6_000)
         two.enter("e", batch=True, unread=1)
@@ -126,7 +126,7 @@
         one.forget("two")
         self.assertEqual(one.total("e").unread, 0)
 
-    def test_memory_counts_until_a_request_is_left(self):
+    def test_memory_counts_until_a_request_ends(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=True, unread=300, memory=2_000)
         one.enter("e", batch=False, memory=100)
@@ -151,7 +151,7 @@
         self.assertEqual(use.total("e").total, 0)
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=30))
-    def test_what_is_left_is_counted_out(self, changes):
+    def test_counts_return_to_zero(self, changes):
         use = EngineUse()
         for engine, batch in changes:
             use.enter(engine, batch=batch)
@@ -170,11 +170,11 @@
         chooser = EngineChooser("near", random.Random(1))
         return chooser.choose(options, key, tokens).life
 
-    def test_near_before_far_until_it_is_full(self):
+    def test_the_own_zone_is_preferred_until_it_is_full(self):
         self.assertEqual(self.choose([option("n", "near", 7), option("f", "far", 0)]), "n")
         self.assertEqual(self.choose([option("n", "near", 9), option("f", "far", 0)]), "f")
 
-    def test_a_free_engine_that_reads_a_long_prompt_is_avoided(self):
+    def test_a_free_engine_that_processes_a_long_prompt_is_avoided(self):
         reading = option("a", "near", 1, unread=20_000)
         self.assertEqual(self.choose([reading, option("b", "near", 6)]), "b")
         self.assertEqual(self.choose([reading, option("f", "far", 6)]), "f")
@@ -190,7 +190,7 @@
         self.assertEqual(self.choose([cold, option("b", "near", 8)]), "b")
         self.assertEqual(self.choose([cold, option("b", "near", 10)]), "a")
 
-    def test_what_is_kept_is_left_where_reading_it_anew_costs_less(self):
+    def test_a_cached_prefix_is_given_up_when_processing_it_again_costs_less(self):
         keeper = EngineChooser("near", random.Random(1))
         options = [option("a", "near", 0), option("b", "near", 0)]
         best = keeper.choose(options, "key", 5_000)
@@ -230,14 +230,14 @@
         self.assertLess(chosen.count("best"), 45)
         self.assertGreater(chosen.count("best"), 15)
 
-    def test_batch_items_send_nobody_to_another_zone(self):
+    def test_batch_items_divert_no_request_to_another_zone(self):
         filled = option("n", "near", 10, batch=8)
         self.assertEqual(self.choose([filled, option("f", "far", 0)]), "n")
         self.assertEqual(self.choose([option("m", "near", 9, batch=8), filled]), "m")
         online = option("n", "near", 10, batch=0)
         self.assertEqual(self.choose([online, option("f", "far", 9, batch=8)]), "f")
 
-    def test_long_shared_parts_go_where_they_were(self):
+    def test_long_shared_prefixes_go_to_the_same_engine(self):
         options = [option(f"e{n}", "near", n) for n in range(5)]
         chosen = {self.choose(options, f"key{n}", 5000) for n in range(30)}
         self.assertGreater(len(chosen), 3)
@@ -320,7 +320,7 @@
         self.assertEqual(self.place(50_000), "n")
         self.assertEqual([self.place(50_000), self.place(50_000)], ["f", None])
 
-    def test_items_start_only_where_little_is_to_be_read(self):
+    def test_items_start_only_where_few_prompt_tokens_are_pending(self):
         placed = [self.fleet.place_batch("s", 2_000, 0, (), pressing=True) for _ in range(5)]
         self.assertEqual([one and one.engine.life for one in placed], ["n", "n", "f", "f", None])
 
@@ -336,22 +336,22 @@
                 taken.append(step / 100)
         return taken
 
-    def test_few_peers_hear_every_change_soon(self):
+    def test_few_peers_receive_every_change_soon(self):
         gaps = self.turns(3, 4, 0.1)
         self.assertEqual(len(gaps), 40)
 
-    def test_nothing_to_tell_is_told_now_and_then(self):
+    def test_reports_without_changes_are_sent_periodically(self):
         taken = self.turns(3, 4, 100)
         self.assertEqual(len(taken), 4 / IDLE_INTERVAL)
 
     @given(st.integers(1, 60), st.sampled_from([0.01, 0.05, 0.3]))
-    def test_what_a_node_hears_is_bounded(self, peers, change_every):
+    def test_received_reports_are_bounded(self, peers, change_every):
         taken = self.turns(peers, 5, change_every)
         heard = len(taken) * peers / 5
         self.assertLessEqual(heard, max(NEAR_RATE, peers / IDLE_INTERVAL) + peers / 5)
 
     @given(st.lists(st.integers(0, 300), max_size=20), st.integers(1, 60))
-    def test_every_change_is_told(self, changes, peers):
+    def test_every_change_is_reported(self, changes, peers):
         pace = ReportPace(NEAR_RATE)
         told = -1
         for step in range(400):
@@ -385,18 +385,18 @@
             view.expire(second)
         self.assertEqual(view.expire(9.0).nodes, ["a"])
 
-    def test_old_reports_are_passed_over(self):
+    def test_old_reports_are_ignored(self):
         view = PeerView("me")
         self.assertTrue(view.observe(report("a", sequence=5), 0.0))
         self.assertFalse(view.observe(report("a", sequence=4), 0.1))
 
-    def test_a_new_life_counts_though_its_clock_went_back(self):
+    def test_a_new_incarnation_counts_although_its_clock_went_back(self):
         view = PeerView("me")
         view.observe(report("a", incarnation=9, sequence=5), 0.0)
         self.assertTrue(view.observe(report("a", incarnation=3, sequence=1), 0.1))
         self.assertFalse(view.works("a", 9))
 
-    def test_leaving_nodes_and_those_without_the_store_work_on_nothing(self):
+    def test_leaving_nodes_and_those_without_the_store_run_no_jobs(self):
         view = PeerView("me")
         view.observe(report("a", leaving=True), 0.0)
         view.observe(report("b", log_silence_ms=9_000), 0.0)
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -58,7 +58,7 @@
         self.assertFalse(pace.known)
         self.assertTrue(learnt().known)
 
-    def test_the_time_to_a_first_event_grows_with_what_must_be_read(self):
+    def test_the_first_event_latency_grows_with_the_prompt(self):
         pace = ServicePace()
         draw = random.Random(1)
         for _ in range(300):
@@ -74,12 +74,12 @@
             pace.observe_first(450, 0.2)
         self.assertAlmostEqual(pace.first_event(450), 0.2, delta=0.01)
 
-    def test_a_dark_engine_says_little_of_the_others(self):
+    def test_an_unresponsive_engine_barely_affects_the_estimate(self):
         pace = learnt(first=0.08)
         pace.observe_first(450, 60.0)
         self.assertLess(pace.first_event(450), 0.1)
 
-    def test_a_place_in_a_queue_costs_what_it_showed(self):
+    def test_the_queue_delay_follows_observed_delays(self):
         pace = learnt(held=0.8)
         self.assertAlmostEqual(pace.queue_step(8), 0.1)
         for _ in range(100):
@@ -108,12 +108,12 @@
         self.assertAlmostEqual(queue_wait(room(8), pace), 0.1)
         self.assertAlmostEqual(queue_wait(room(11), pace), 0.4)
 
-    def test_batch_items_give_way(self):
+    def test_batch_items_are_preempted(self):
         pace = learnt()
         self.assertLessEqual(queue_wait(room(4, batch=4), pace), 0.15)
         self.assertLessEqual(queue_wait(room(7, batch=8), pace), 0.15)
 
-    def test_prompts_before_it_are_read_first(self):
+    def test_prompts_ahead_are_processed_first(self):
         pace = ServicePace()
         for tokens in range(0, 40_000, 500):
             pace.observe_first(tokens, 0.05 + tokens / 60_000)
@@ -140,7 +140,7 @@
         for now in (0.0, 0.5):
             self.assertIs(self.rule([room(3, batch=9)], now), Ruling.START)
 
-    def test_a_client_that_can_come_back_is_refused_soon_or_not_at_all(self):
+    def test_a_client_that_can_retry_is_refused_soon_or_not_at_all(self):
         full = [room(12)]
         times = [number / 1000 for number in range(0, 1_250, 5)]
         rulings = [self.rule(full, now, may_return=True) for now in times]
@@ -148,11 +148,11 @@
         self.assertAlmostEqual(min(refused), AIM * REFUSE_SHARE, delta=0.006)
         self.assertLessEqual(max(refused), AIM / 4)
 
-    def test_a_client_that_cannot_come_back_is_never_refused(self):
+    def test_a_client_that_cannot_retry_is_never_refused(self):
         for now in (0.0, 0.03, 0.05, 0.5, 2.0):
             self.assertIsNot(self.rule([room(30)], now), Ruling.REFUSE)
 
-    def test_nobody_is_held_for_ever(self):
+    def test_no_request_is_held_forever(self):
         self.assertIs(self.rule([room(30)], AIM * HOLD_SHARE + 0.01), Ruling.START)
         unknown = ServicePace()
         self.assertIs(self.rule([room(30)], AIM * HOLD_SHARE + 0.01, pace=unknown), Ruling.START)
@@ -164,7 +164,7 @@
                 ruling = rule(terms, [room(30)], learnt(), now, persistent=True)
                 self.assertIs(ruling, Ruling.START)
 
-    def test_before_anything_is_known_one_place_in_a_queue_is_risked(self):
+    def test_without_estimates_a_queue_of_one_is_allowed(self):
         unknown = ServicePace()
         self.assertIs(self.rule([room(8)], pace=unknown), Ruling.START)
         self.assertIs(self.rule([room(9), room(9)], pace=unknown), Ruling.HOLD)
@@ -186,7 +186,7 @@
             for now in (0.0, 0.04, 0.05):
                 self.assertIs(self.rule(rooms, now, slow, may_return=True), Ruling.START)
 
-    def test_against_first_come_first_served_more_are_in_time(self):
+    def test_more_requests_are_in_time_than_first_come_first_served(self):
         """Compares the rule with a plain queue in front of one engine, on the same arrivals."""
         for seed in range(5):
             draw = random.Random(seed)
@@ -226,7 +226,7 @@
 
 
 class EpisodeTest(unittest.TestCase):
-    def test_the_first_one_is_guessed_and_the_next_ones_learnt(self):
+    def test_overload_lengths_are_learnt_after_an_initial_guess(self):
         episodes = OverloadEpisodes()
         self.assertEqual(episodes.seconds_left(0.0), 0.0)
         now = 0.0
@@ -251,7 +251,7 @@
         episodes.note_full(now + 1.0)
         self.assertFalse(episodes.persistent(now + 1.0))
 
-    def test_the_time_told_fits_the_clients_time_and_is_spread(self):
+    def test_the_retry_time_fits_the_clients_deadline_and_is_spread(self):
         episodes = OverloadEpisodes()
         episodes.note_full(0.0)
         self.assertAlmostEqual(episodes.retry_after(0.0, 60.0, 0.0), FIRST_EPISODE)
@@ -302,7 +302,7 @@
         told = self.fleet.events("n0", Event.ROUTED_REQUEST_TURNED_AWAY)
         self.assertEqual([one["request"] for one in told], ["r2"])
 
-    def test_a_client_that_came_back_waits_and_is_served(self):
+    def test_a_retry_waits_and_is_served(self):
         self.train()
         first = self.send(1)
         self.running()
@@ -311,7 +311,7 @@
         released = self.fleet.events("n0", Event.ROUTED_REQUEST_RELEASED)
         self.assertEqual([one["request"] for one in released], ["r2"])
 
-    def test_a_client_that_came_back_as_soon_as_it_may_is_not_refused_again(self):
+    def test_an_immediate_retry_is_not_refused_again(self):
         self.train()
         first = self.send(1)
         self.running()
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -42,11 +42,11 @@
 
 class PackedReportTest(unittest.TestCase):
     @given(REPORTS)
-    def test_a_report_comes_back_as_it_was(self, report):
+    def test_a_report_is_unpacked_as_it_was_packed(self, report):
         self.assertEqual(unpack_report(report.pack()), report)
 
     @given(REPORTS, st.integers(1, 400))
-    def test_a_cut_report_is_none(self, report, missing):
+    def test_a_truncated_report_is_rejected(self, report, missing):
         data = report.pack()
         with self.assertRaises(LoadReportError):
             unpack_report(data[: max(0, len(data) - missing)])
@@ -56,13 +56,13 @@
         with contextlib.suppress(LoadReportError):
             unpack_report(data)
 
-    def test_a_long_silence_is_cut_to_what_fits(self):
+    def test_a_long_silence_is_clamped(self):
         report = unpack_report(LoadReport("n", 1, 1, log_silence_ms=10**9).pack())
         self.assertGreaterEqual(report.log_silence_ms, 600_000)
 
 
 class CountsTest(unittest.TestCase):
-    def test_all_nodes_agree_with_a_naive_count_when_nothing_moves(self):
+    def test_all_nodes_agree_with_a_naive_count_in_the_end(self):
         for seed in range(20):
             self._simulate(random.Random(seed))
 
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -7,7 +7,7 @@
 
 
 class OnlineMeansTest(unittest.TestCase):
-    def test_the_mean_is_that_of_the_window_before(self):
+    def test_the_average_is_that_of_the_previous_window(self):
         means = OnlineMeans()
         for online in (2, 4, 6):
             means.note(1, online)
@@ -18,7 +18,7 @@
         means.roll(2 * WINDOW)
         self.assertEqual(means.at(1), 8.0)
 
-    def test_what_did_not_change_has_stayed(self):
+    def test_an_unchanged_count_persists(self):
         means = OnlineMeans()
         for online in (9, 3):
             means.note(1, online)
@@ -46,16 +46,16 @@
             use.leave("e", batch=False)
         return use
 
-    def test_a_slot_that_is_free_for_a_moment_is_no_room(self):
+    def test_a_slot_free_for_a_moment_is_not_available(self):
         self.assertEqual(self.use(7, 5).batch_room("e", 8), 0)
         self.assertEqual(self.use(3, 0).batch_room("e", 8), 4)
 
-    def test_there_is_room_again_when_the_heap_is_over(self):
+    def test_slots_are_available_again_after_the_burst(self):
         use = self.use(7, 0)
         use.means.roll(4 * WINDOW)
         self.assertEqual(use.batch_room("e", 8), 7)
 
-    def test_work_of_peers_that_has_ended_leaves_the_room_it_took(self):
+    def test_load_that_peers_no_longer_report_is_removed(self):
         """Load that a peer no longer reports must be removed from the average. Reports name only
         engines where something runs, and a peer that is gone sends none. Without the removal, batch
         items would never start at an engine that gets no other online request."""
@@ -71,7 +71,7 @@
             use.means.roll(WINDOW * (KEPT_WINDOWS + 3))
             self.assertEqual(len(use.means._engines), 0)
 
-    def test_each_report_of_a_peer_is_one_count(self):
+    def test_each_report_of_a_peer_is_one_sample(self):
         """Replacing a peer's counts must record one sample. The state between subtracting its
         former counts and adding the new ones must not be recorded."""
         peer, use = EngineUse(), EngineUse()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -67,16 +67,16 @@
     def ruling(self, now=0.0, request=REQUEST):
         return self.quarantine.rule(request, now).ruling
 
-    def test_one_engine_that_ends_holds_nobody_back(self):
+    def test_one_failed_engine_has_no_effect(self):
         self.end("e1", "e1")
         self.assertIs(self.ruling(), Ruling.FREE)
 
-    def test_a_request_that_was_cut_twice_runs_alone(self):
+    def test_a_request_interrupted_twice_runs_alone(self):
         self.end("e1", "e2")
         self.assertIs(self.ruling(), Ruling.ALONE)
         self.assertIs(self.ruling(now=DOUBT_TIME), Ruling.FREE)
 
-    def test_a_third_end_holds_it_back(self):
+    def test_a_third_failure_holds_it_back(self):
         self.end("e1", "e2", "e3")
         decision = self.quarantine.rule(REQUEST, 10.0)
         self.assertIs(decision.ruling, Ruling.HELD)
@@ -84,17 +84,17 @@
             (decision.ends, decision.age, decision.seconds), (3, 10.0, HOLD_TIME - 10.0)
         )
 
-    def test_other_requests_are_not_touched(self):
+    def test_other_requests_are_unaffected(self):
         self.end("e1", "e2", "e3")
         self.assertIs(self.ruling(request=OTHER), Ruling.FREE)
 
-    def test_after_its_time_it_runs_alone_and_one_more_end_doubles_the_time(self):
+    def test_after_its_time_it_runs_alone_and_another_failure_doubles_the_time(self):
         self.end("e1", "e2", "e3")
         self.assertIs(self.ruling(now=HOLD_TIME), Ruling.ALONE)
         self.end("e4", now=HOLD_TIME)
         self.assertEqual(self.quarantine.rule(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
 
-    def test_a_variant_under_which_no_engine_ended_runs_alone(self):
+    def test_a_variant_under_which_no_engine_failed_runs_alone(self):
         self.end("e1", "e2", "e3")
         self.assertIs(self.ruling(request=variant(2)), Ruling.ALONE)
         self.quarantine.begin_trial(variant(2), "e4", 0.0)
@@ -123,25 +123,25 @@
         self.quarantine.end_trial(trial)
         self.assertIs(self.ruling(now=2.0), Ruling.ALONE)
 
-    def test_a_whole_answer_clears_it(self):
+    def test_a_complete_answer_clears_it(self):
         self.end("e1", "e2", "e3")
         self.assertTrue(self.quarantine.note_answered(REQUEST, 0.0))
         self.assertFalse(self.quarantine.note_answered(REQUEST, 0.0))
         self.assertIs(self.ruling(), Ruling.FREE)
 
-    def test_one_that_was_answered_lately_did_not_end_an_engine(self):
+    def test_a_recently_answered_request_is_not_blamed(self):
         self.quarantine.note_answered(REQUEST, 0.0)
         self.end("e1", "e2", "e3", now=ANSWER_TIME - 1.0)
         self.assertIs(self.ruling(now=ANSWER_TIME - 1.0), Ruling.FREE)
         self.end("e1", "e2", "e3", now=ANSWER_TIME)
         self.assertIs(self.ruling(now=ANSWER_TIME), Ruling.HELD)
 
-    def test_answers_are_remembered_in_bounds(self):
+    def test_remembered_answers_are_bounded(self):
         for number in range(2 * MAX_ANSWERS):
             self.quarantine.note_answered(numbered(number), 0.0)
         self.assertEqual(len(self.quarantine._answered), MAX_ANSWERS)
 
-    def test_an_engine_that_answers_later_had_not_ended(self):
+    def test_an_engine_that_answers_later_had_not_failed(self):
         self.end("e1", "e2", "e3", now=1.0)
         self.quarantine.note_alive(EngineLife("e3"), 0.9, 0.9)
         self.assertIs(self.ruling(now=1.0), Ruling.HELD)
@@ -150,7 +150,7 @@
         self.end("e3", now=1.2)
         self.assertIs(self.ruling(now=1.2), Ruling.HELD)
 
-    def test_what_is_sent_to_an_engine_that_has_ended_did_not_end_it(self):
+    def test_a_request_sent_after_the_failure_is_not_blamed(self):
         self.end("e1", now=1.0)
         self.assertFalse(self.quarantine.note_end(OTHER, "e1", 1.5, 1.6))
         self.assertTrue(self.quarantine.note_end(OTHER, "e1", 0.5, 1.6))
@@ -165,7 +165,7 @@
         self.quarantine.expire(2 * HOLD_TIME)
         self.assertEqual(len(self.quarantine), 0)
 
-    def test_memory_is_bounded_and_keeps_what_weighs_most(self):
+    def test_memory_is_bounded_and_keeps_the_important_entries(self):
         self.end("e1", "e2", "e3")
         for number in range(2 * MAX_CASES):
             self.end("e4", request=numbered(number))
@@ -174,7 +174,7 @@
         self.end(*(f"x{number}" for number in range(100)))
         self.assertLessEqual(len(self.quarantine.case(REQUEST.digest).facts), MAX_FACTS)
 
-    def test_doubtful_requests_spread_over_the_engines(self):
+    def test_suspect_requests_spread_over_the_engines(self):
         engines = [f"e{number}" for number in range(6)]
         chosen = {
             self.quarantine.preferred_engine(numbered(number), engines) for number in range(60)
@@ -183,7 +183,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    def test_ends_that_three_nodes_saw_add_up(self):
+    def test_failures_seen_by_three_nodes_add_up(self):
         nodes = [Quarantine(f"n{number}") for number in range(3)]
         for number, node in enumerate(nodes):
             node.note_end(REQUEST, f"e{number}", 0.0, 0.0)
@@ -193,14 +193,14 @@
         for node in nodes:
             self.assertIs(node.rule(REQUEST, 0.1).ruling, Ruling.HELD)
 
-    def test_the_same_end_seen_by_two_nodes_is_one(self):
+    def test_the_same_failure_seen_by_two_nodes_counts_once(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(REQUEST, "e1", 0.0, 0.0)
         second.note_end(REQUEST, "e1", 0.0, 0.0)
         share_knowledge(second, first, 0.0)
         self.assertEqual(len(first.case(REQUEST.digest).engines()), 1)
 
-    def test_retelling_does_not_make_it_younger(self):
+    def test_repeated_reports_do_not_make_a_failure_younger(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(REQUEST, "e1", 0.0, 0.0)
         for _ in range(50):
@@ -209,7 +209,7 @@
         self.assertEqual(first.case(REQUEST.digest).engines(), {"e1": 0.0})
         self.assertEqual(second.case(REQUEST.digest).engines(), {"e1": 0.1})
 
-    def test_a_node_that_saw_it_answered_speaks_for_it(self):
+    def test_a_node_that_saw_an_answer_excuses_the_request(self):
         first, second = Quarantine("a"), Quarantine("b")
         second.note_answered(REQUEST, 0.0)
         for number in range(3):
@@ -218,7 +218,7 @@
         share_knowledge(second, first, 1.2)
         self.assertIs(first.rule(REQUEST, 1.2).ruling, Ruling.FREE)
 
-    def test_an_engine_that_was_blamed_wrongly_may_end_later(self):
+    def test_an_engine_excused_before_may_fail_later(self):
         """A failure observed after other nodes have seen the engine alive must count."""
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(OTHER, "e1", 0.9, 1.0)
@@ -227,7 +227,7 @@
         share_knowledge(first, second, 1.3)
         self.assertTrue(second.note_end(REQUEST, "e1", 1.4, 1.5))
 
-    def test_who_has_not_heard_of_an_excuse_does_not_take_it_back(self):
+    def test_an_outdated_node_does_not_withdraw_an_excuse(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.note_end(REQUEST, "e1", 0.0, 0.0)
         share_knowledge(first, second, 0.1)
@@ -237,7 +237,7 @@
         share_knowledge(second, first, 0.4)
         self.assertEqual(first.case(REQUEST.digest).engines(), {})
 
-    def test_news_stops(self):
+    def test_known_observations_are_not_sent_again(self):
         """Known observations are not new: otherwise nodes would send each other the same ones
         forever."""
         first, second = Quarantine("a"), Quarantine("b")
@@ -251,14 +251,14 @@
             share_knowledge(second, first, 1.0)
         self.assertLessEqual(len(news), 2)
 
-    def test_what_a_node_tells_that_stood_still_for_long_is_passed_over(self):
+    def test_outdated_reports_of_a_suspended_node_are_ignored(self):
         stale, fresh = Quarantine("a"), Quarantine("b")
         stale.note_end(REQUEST, "e1", 0.0, 0.0)
         share_knowledge(stale, fresh, DOUBT_TIME + 1.0)
         self.assertEqual(len(fresh), 0)
 
     @given(st.integers(0, 2**32))
-    def test_all_nodes_come_to_know_the_same(self, seed):
+    def test_all_nodes_converge(self, seed):
         """Messages are duplicated, lost and reordered; in the end all nodes hear all others
         once."""
         generator = random.Random(seed)
@@ -327,7 +327,7 @@
 
 class DifferentialTest(unittest.TestCase):
     @given(st.integers(0, 2**32))
-    def test_nodes_that_hear_all_agree_with_one_list(self, seed):
+    def test_nodes_agree_with_the_reference_implementation(self, seed):
         """Four nodes; each event happens at one of them and reaches all others before the next
         event."""
         generator = random.Random(seed)
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -68,7 +68,7 @@
         first, *others = map(self.known, self.fleet.nodes)
         return all(one == first for one in others)
 
-    def test_a_request_that_comes_again_and_again_ends_few_engines(self):
+    def test_a_repeated_request_crashes_few_engines(self):
         self.fleet.make_fragile(FATAL, reborn=True)
         for number in range(16):
             self.send(f"n{number % self.nodes}", FATAL, number)
@@ -84,7 +84,7 @@
 class NextInstanceTest(RestartCase):
     nodes, engines = 1, 2
 
-    def test_a_next_life_begins_with_nothing_known(self):
+    def test_a_new_instance_starts_without_history(self):
         ended, other = self.fleet.engines
         ended.usual = Behaviour(cut_after=-1)
         for number in range(6):
@@ -98,7 +98,7 @@
         other.usual = Behaviour(refuse=True)
         self.assertEqual(self.send("n0", number="last").status, 200)
 
-    def test_a_late_record_of_a_former_life_takes_nothing_back(self):
+    def test_a_late_record_of_a_former_instance_is_ignored(self):
         ended = self.fleet.engines[0]
         ended.end()
         self.fleet._start_again(ended)
@@ -110,7 +110,7 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_an_entry_tells_which_life_it_is_of(self):
+    def test_an_entry_identifies_its_instance(self):
         engine = {
             "service": "s", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 4,
             "state": "ready", "coldRemainingMs": 0, "sequence": 1,
@@ -138,12 +138,12 @@
     def ruling(self, now):
         return self.quarantine.rule(self.request, now).ruling
 
-    def test_each_life_that_ends_counts(self):
+    def test_each_failed_instance_counts(self):
         for number in range(HOLD_AFTER_ENDS):
             self.assertTrue(self.end(number + 1, float(number)))
         self.assertIs(self.ruling(3.0), Ruling.HELD)
 
-    def test_an_answer_clears_only_the_life_that_is_still_listed_a_moment_later(self):
+    def test_an_answer_clears_only_the_instance_that_is_still_listed_later(self):
         for number in range(HOLD_AFTER_ENDS):
             self.end(number + 1, 1.0)
         # The answers came from the same address, but from the next instances.
--- a/tests/test_request_identity.py
+++ b/tests/test_request_identity.py
@@ -18,7 +18,7 @@
             other[place] = part + (b"x" if isinstance(part, bytes) else "x")
             self.assertNotEqual(identify(*other, HEADERS).digest, whole.digest)
 
-    def test_parts_that_run_into_each_other_are_told_apart(self):
+    def test_adjacent_parts_are_kept_apart(self):
         self.assertNotEqual(
             identify("", "h.example", "POST", "/a", b"/b", ()).digest,
             identify("", "h.example", "POST", "/a/b", b"", ()).digest,
@@ -58,11 +58,11 @@
         }
         self.assertEqual(self.identity(**changed), self.identity())
 
-    def test_callers_that_name_themselves_are_told_apart(self):
+    def test_callers_with_credentials_are_kept_apart(self):
         other = self.identity(Authorization="Bearer b")
         self.assertNotEqual(other.digest, self.identity().digest)
 
-    def test_what_an_engine_goes_by_makes_a_variant(self):
+    def test_headers_that_engines_use_make_a_variant(self):
         other = self.identity(Model="n")
         self.assertEqual(other.digest, self.identity().digest)
         self.assertNotEqual(other.variant, self.identity().variant)
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -75,11 +75,11 @@
 
 class PackedDigestTest(unittest.TestCase):
     @given(digests())
-    def test_a_digest_comes_back_as_it_was(self, digest):
+    def test_a_digest_is_unpacked_as_it_was_packed(self, digest):
         self.assertEqual(unpack_digest(digest.pack()), digest)
 
     @given(digests(), st.integers(1, 400))
-    def test_a_cut_digest_is_none(self, digest, missing):
+    def test_a_truncated_digest_is_rejected(self, digest, missing):
         data = digest.pack()
         with self.assertRaises(ZoneDigestError):
             unpack_digest(data[: max(0, len(data) - missing)])
@@ -110,7 +110,7 @@
     def setUp(self):
         self.view = PeerView("me")
 
-    def test_nodes_of_a_zone_work_while_its_digests_come(self):
+    def test_nodes_of_a_zone_can_run_jobs_while_its_digests_arrive(self):
         self.view.observe_zone(digest(member("a"), member("b", 7)), 0.0)
         self.assertTrue(self.view.works("a", 1) and self.view.works("b", 7))
         self.assertFalse(self.view.works("b", 8))
@@ -120,7 +120,7 @@
         self.assertFalse(self.view.works("a", 1))
         self.assertEqual(self.view.count(), 0)
 
-    def test_a_node_that_stood_still_believes_no_zone_gone(self):
+    def test_a_suspended_node_drops_no_zone(self):
         self.view.observe_zone(digest(member("a")), 0.0)
         self.view.expire(0.5)
         self.assertEqual(self.view.expire(9.0).zones, [])
@@ -134,7 +134,7 @@
         self.assertFalse(self.view.works("a", 1))
         self.assertTrue(self.view.works("b", 1))
 
-    def test_older_digests_of_one_reporter_are_passed_over(self):
+    def test_older_digests_of_one_reporter_are_ignored(self):
         self.assertTrue(self.view.observe_zone(digest(member("a"), sequence=5), 0.0))
         self.assertFalse(self.view.observe_zone(digest(member("a"), sequence=5), 0.1))
         self.assertFalse(self.view.observe_zone(digest(sequence=4), 0.1))
@@ -148,7 +148,7 @@
         self.assertTrue(self.view.observe_zone(alone, REPORTER_SILENT_AFTER + 0.1))
         self.assertFalse(self.view.works("a", 1))
 
-    def test_leaving_nodes_and_those_without_the_store_work_on_nothing(self):
+    def test_leaving_nodes_and_those_without_the_store_run_no_jobs(self):
         members = (member("a", leaving=True), member("b", store_silent=True), member("c"))
         self.view.observe_zone(digest(*members), 0.0)
         self.assertFalse(self.view.works("a", 1) or self.view.works("b", 1))
@@ -159,7 +159,7 @@
         self.view.observe_zone(digest(member("a", leaving=True), running=items), 0.0)
         self.assertEqual(self.view.running_at_leaving(), {("j", 2)})
 
-    def test_reports_are_passed_over_where_digests_come_and_taken_where_they_stop(self):
+    def test_reports_are_ignored_while_digests_arrive(self):
         self.view.observe_zone(digest(member("a")), 0.0)
         report = LoadReport("a", 1, 1, zone="far")
         self.assertFalse(self.view.observe(report, 0.1))
@@ -169,7 +169,7 @@
 
 
 class RunningInZonesTest(unittest.TestCase):
-    def test_items_whose_node_is_not_known_yet_stand_under_the_zone(self):
+    def test_items_of_an_unknown_node_are_kept_under_its_zone(self):
         items = RunningItems()
         reports = [encode_running([(7, 40)]), encode_running([(7, 50), (8, 60)])]
         packed = encode_zone_running(reports)
@@ -195,13 +195,13 @@
                 found.append(own)
         return found
 
-    def test_one_node_of_a_zone_tells_of_it(self):
+    def test_one_node_of_a_zone_is_the_reporter(self):
         self.assertEqual(len(self.reporters([f"n{number}" for number in range(39)], 9.0)), 1)
 
-    def test_nobody_tells_before_it_has_listened(self):
+    def test_a_starting_node_is_not_the_reporter(self):
         self.assertEqual(self.reporters(["a", "b"], LISTEN_TIME / 2), [])
 
-    def test_another_one_tells_when_the_reporter_is_silent(self):
+    def test_another_node_reports_when_the_reporter_is_silent(self):
         nodes = [f"n{number}" for number in range(9)]
         first = self.reporters(nodes, 9.0)
         silent = {first[0]: 9.0 - HEARD_WITHIN - 0.1}
@@ -209,11 +209,11 @@
         self.assertEqual(len(others), 1)
         self.assertLess(HEARD_WITHIN, SILENT_AFTER)
 
-    def test_few_nodes_are_told_one_by_one(self):
+    def test_few_nodes_get_reports_instead_of_digests(self):
         self.assertFalse(tells_by_digest(DIRECT_PEERS))
         self.assertTrue(tells_by_digest(DIRECT_PEERS + 1))
 
-    def test_the_list_is_told_when_it_changes_and_now_and_then(self):
+    def test_the_list_is_sent_when_it_changes_and_periodically(self):
         reporting = ZoneReporting("a", "z", 1, 0.0)
         own = LoadReport("a", 1, 1, zone="z")
 
@@ -227,7 +227,7 @@
         self.assertFalse(listed(2.5))
         self.assertTrue(listed(2.0 + MEMBERS_INTERVAL))
 
-    def test_large_digests_come_less_often_but_before_a_zone_counts_as_silent(self):
+    def test_large_digests_are_less_frequent_but_before_a_zone_counts_as_silent(self):
         reporting = ZoneReporting("a", "z", 1, 0.0)
         own = LoadReport("a", 1, 1, zone="z")
         reporting.make(own, [], b"", 1.0)
@@ -339,7 +339,7 @@
 class FleetTest(FleetCase):
     """Compares each node's counts with the requests that really run."""
 
-    def test_all_nodes_count_what_runs_anywhere(self):
+    def test_all_nodes_count_all_running_requests(self):
         for seed, (zones, nodes_each) in enumerate(((2, 3), (3, 16), (5, 8))):
             with self.subTest(zones=zones, nodes_each=nodes_each):
                 self.setUp()
@@ -368,7 +368,7 @@
             self.assertEqual({engine: node.use.total(engine).total for engine in naive}, naive)
             self.assertEqual(node.peers.count(), len(self.nodes) - 1)
 
-    def test_nothing_counts_twice_when_nodes_go_over_to_digests(self):
+    def test_nothing_counts_twice_when_nodes_switch_to_digests(self):
         self.start(2, 4)
         for node in self.nodes:
             node.use.enter("e0", batch=False)
@@ -395,7 +395,7 @@
             self.assertEqual(node.reports.items.at(7), [(40, runner.name)])
             self.assertEqual(node.reports.items.at(9), [(50, runner.name)])
 
-    def test_what_crosses_zones_does_not_grow_with_the_nodes(self):
+    def test_cross_zone_traffic_does_not_grow_with_the_nodes(self):
         crossed = []
         for nodes_each in (8, 16):
             self.setUp()
@@ -406,7 +406,7 @@
             crossed.append(self.network.across - before)
         self.assertLessEqual(crossed[1], crossed[0] * 1.1)
 
-    def test_nodes_that_all_start_take_nobody_for_gone(self):
+    def test_nodes_starting_together_drop_no_peer(self):
         self.start(4, 11)
         self.play(8.0)
         for node in self.nodes:
@@ -415,7 +415,7 @@
             self.assertNotIn(Event.ZONE_SILENT, told)
             self.assertTrue(all(node.peers.works(one.name, 5) for one in self.nodes if one != node))
 
-    def test_the_loss_of_a_reporter_takes_no_zone_for_gone(self):
+    def test_the_loss_of_a_reporter_drops_no_zone(self):
         self.start(3, 20)
         self.play(4.0)
         lost = next(one for one in self.nodes if (Event.ZONE_REPORTED, mock.ANY) in one.log.written)
@@ -426,7 +426,7 @@
             self.assertFalse(node.peers.works(lost.name, 5))
             self.assertEqual(node.peers.count(), len(rest) - 1)
 
-    def test_a_lost_zone_is_known_to_be_gone(self):
+    def test_a_lost_zone_is_dropped(self):
         self.start(3, 20)
         self.play(4.0)
         rest = [one for one in self.nodes if one.identity.zone != "z1"]
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -37,7 +37,7 @@
 
 
 class BoundTest(unittest.TestCase):
-    def test_no_window_is_over_what_is_allowed_whatever_befalls_zones(self):
+    def test_no_window_exceeds_the_limit_under_zone_faults(self):
         for seed in range(12):
             terms = (LARGE, SMALL, LimitTerms(10.0, 0.0), LimitTerms(300.0, 100.0))[seed % 4]
             self.assertLessEqual(worst_excess(seed, terms), 1.0, (seed, terms))
@@ -47,7 +47,7 @@
         nodes are killed."""
         self.assertLessEqual(worst_excess(1011, LimitTerms(300.0, 100.0)), 1.0)
 
-    def test_a_zone_is_cut_off_in_the_midst_of_a_flood(self):
+    def test_a_zone_is_cut_off_during_a_flood(self):
         for seed in range(8):
             terms = (LARGE, SMALL)[seed % 2]
             model = ZonedLimitModel(50 + seed, ZONES, NODES, terms)
@@ -62,7 +62,7 @@
     """Credit that a node could not grant because others did must not become available to it
     later."""
 
-    def test_a_flood_moves_from_one_side_of_a_cut_to_the_other_as_it_heals(self):
+    def test_a_flood_moves_to_the_other_side_as_a_partition_heals(self):
         for zones, terms in itertools.product((2, 3), (SMALL, LARGE, LimitTerms(10.0, 50.0))):
             model = ZonedLimitModel(0, zones, NODES, terms)
             settle(model)
@@ -85,7 +85,7 @@
     def lent(self, limits, now):
         return sum(not limits.lend("t", SMALL, now).wait for _ in range(99))
 
-    def test_a_bucket_that_nobody_asked_for_held_its_part_only(self):
+    def test_an_unused_bucket_refills_by_its_share_only(self):
         full = int(LimitBounds().capacity(SMALL))
         looks = [(step * 0.5, 2 if 20 <= step < 30 else 8) for step in range(1, 31)]
         unasked, asked = self.limits(looks), self.limits(looks[:10])
@@ -131,7 +131,7 @@
 class StartTest(unittest.TestCase):
     """All nodes start together: for a second each hears few others and grants next to nothing."""
 
-    def test_who_is_refused_comes_back_when_all_are_heard_and_one_by_one(self):
+    def test_refused_clients_retry_when_all_nodes_are_heard_one_by_one(self):
         limits = FleetLimits("n0", 0.0)
         limits.look(["n0"], 60, 0.2)
         waits = [limits.lend("t", SMALL, 0.3).wait for _ in range(4)]
@@ -140,7 +140,7 @@
         for gap in gaps:
             self.assertAlmostEqual(gap, 1 / SMALL.rate)
 
-    def test_later_a_small_share_tells_the_time_that_it_takes(self):
+    def test_after_the_start_the_retry_time_follows_the_small_share(self):
         limits = FleetLimits("n0", 0.0)
         for step in range(1, 40):
             limits.look(["n0"], 60, step * 0.5)
@@ -148,7 +148,7 @@
         self.assertGreater(limits.lend("t", SMALL, 19.7).wait, 4.0)
 
 
-class DeputyTest(unittest.TestCase):
+class SecondaryLenderTest(unittest.TestCase):
     LIVE = tuple(f"n{number}" for number in range(8))
 
     def limits(self, node_id, near):
@@ -156,7 +156,7 @@
         found.look(self.LIVE, 8, 0.1, near)
         return found
 
-    def test_the_second_choice_stands_in_the_zone_of_who_asks(self):
+    def test_the_secondary_lender_is_in_the_zone_of_the_asking_node(self):
         near, far = self.LIVE[:3], self.LIVE[3:]
         for tenant in map(str, range(40)):
             first, second = self.limits("n0", near).choices(tenant)
@@ -165,7 +165,7 @@
             self.assertEqual(self.limits("n7", far).choices(tenant)[0], first)
             self.assertIn(self.limits("n7", far).choices(tenant)[1], far)
 
-    def test_who_is_replaced_as_second_choice_begins_anew_when_it_is_one_again(self):
+    def test_a_replaced_secondary_lender_starts_empty_when_chosen_again(self):
         """The other node has lent meanwhile, and may have granted its full share when it stops."""
         tenant = next(one for one in map(str, range(999)) if rank_owners(one, "abc") == [*"abc"])
         limits = FleetLimits("c", 0.0)
@@ -176,7 +176,7 @@
                 self.assertEqual(limits.lend(tenant, LARGE, 25.0).lending, Lending.LENT)
         self.assertEqual(limits.lend(tenant, LARGE, 49.6).lending, Lending.OVER)
 
-    def test_all_second_choices_together_lend_no_more_than_one(self):
+    def test_all_secondary_lenders_together_grant_no_more_than_one(self):
         bounds, terms = LimitBounds(), LimitTerms(0.001, 0.0)
         tenant = next(
             one
