--- a/postvalve/cli/tenants.py
+++ b/postvalve/cli/tenants.py
@@ -39,18 +39,20 @@
     rows = [
         Row(
             tenant,
-            total_of(Counts.read(one["total"]) for one in parts),
-            total_of(Counts.read(one["lately"]) for one in parts),
+            total_of(Counts.from_fields(one["total"]) for one in parts),
+            total_of(Counts.from_fields(one["lately"]) for one in parts),
             sum(one.get("running", 0) for one in parts),
         )
         for tenant, parts in found.items()
     ]
-    return sorted(rows, key=lambda row: (row.tenant == OTHERS, row.lately.standing, row.tenant))
+    return sorted(
+        rows, key=lambda row: (row.tenant == OTHERS, row.recent.in_time_score, row.tenant)
+    )
 
 
 def tenant_table(rows: Sequence[Row], *, since_start: bool) -> list[dict[str, Any]]:
     """Rows by `TENANT_COLUMNS`, of the last seconds or since the nodes' start."""
-    chosen = [(row, row.total if since_start else row.lately) for row in rows]
+    chosen = [(row, row.total if since_start else row.recent) for row in rows]
     held = total_of(counts for _, counts in chosen).engine_seconds
     return [_line(row, counts, held) for row, counts in chosen]
 
--- a/postvalve/core/admission/callers.py
+++ b/postvalve/core/admission/callers.py
@@ -8,7 +8,7 @@
 from postvalve.exceptions import AuthenticationError, KeyUnknownError
 from postvalve.settings.routes import RoutedTenant, RouteSpec
 
-KEY_DOUBT_AGE = 2.0
+UNKNOWN_KEY_MAX_AGE = 2.0
 """Age of the configuration, in seconds, up to which an unknown key is rejected with 401. Beyond it
 a newer revision may contain the key, and clients treat a 401 as final, so the answer is a retryable
 error."""
@@ -66,7 +66,7 @@
         AuthenticationError: The key is missing, or no tenant holds it.
         KeyUnknownError: This node's configuration is too old to judge the key.
     """
-    if not table.names_callers:
+    if not table.requires_api_key:
         return Caller()
     if key is None and not needs_key:
         return Caller(named=True)
@@ -79,6 +79,6 @@
     tenant = table.tenant_of(key)
     if tenant is not None:
         return Caller(tenant, named=True)
-    if age > KEY_DOUBT_AGE:
+    if age > UNKNOWN_KEY_MAX_AGE:
         raise KeyUnknownError("this node may not know the API key yet", retry_after=KEY_RETRY_AFTER)
     raise AuthenticationError("the API key is not valid")
--- a/postvalve/core/admission/connection_share.py
+++ b/postvalve/core/admission/connection_share.py
@@ -10,13 +10,13 @@
 
 from collections.abc import Iterable
 
-MAX_RESTING = 24
+MAX_IDLE_CONNECTIONS = 24
 """Most idle connections to one engine at a node, whatever the engine's limit."""
-RESTING_SHARE = 0.5
+IDLE_SHARE = 0.5
 """Share of an engine's connections that may be idle at all nodes together."""
 
 
-def resting_limit(max_connections: Iterable[int], nodes: int) -> int:
+def idle_connection_limit(max_connections: Iterable[int], nodes: int) -> int:
     """Return how many connections to one engine may be idle at this node.
 
     Args:
@@ -26,5 +26,5 @@
     """
     bound = min((one for one in max_connections if one > 0), default=0)
     if not bound:
-        return MAX_RESTING
-    return max(1, min(MAX_RESTING, int(bound * RESTING_SHARE) // max(1, nodes)))
+        return MAX_IDLE_CONNECTIONS
+    return max(1, min(MAX_IDLE_CONNECTIONS, int(bound * IDLE_SHARE) // max(1, nodes)))
--- a/postvalve/core/admission/engine_use.py
+++ b/postvalve/core/admission/engine_use.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-from postvalve.core.admission.online_means import OnlineMeans
+from postvalve.core.admission.online_averages import OnlineAverages
 from postvalve.core.membership.engine_life import EngineLife
 
 _ENTRY = struct.Struct("!IHHHH")
@@ -75,7 +75,7 @@
         self._reports: dict[str, bytes] = {}
         """Last report of each peer."""
         self._totals: dict[int, UseCount] = {}
-        self.means = OnlineMeans()
+        self.online_averages = OnlineAverages()
 
     def enter(self, life: EngineLife, *, batch: bool, unread: int = 0, memory: int = 0) -> None:
         """Count a request that starts.
@@ -92,7 +92,7 @@
         """Remove a request that ended, with those of its prompt tokens that were not processed."""
         self._change(life, -1, batch, -unread, -memory)
 
-    def note_read(self, life: EngineLife, tokens: int) -> None:
+    def record_prompt_read(self, life: EngineLife, tokens: int) -> None:
         """Subtract prompt tokens that were processed: the request's first token arrived."""
         key = engine_hash(life)
         for count in (self._own.setdefault(key, UseCount()), self._total(key)):
@@ -110,7 +110,7 @@
             else:
                 count.online += difference
         if not batch:
-            self.means.note(key, self._total(key).online)
+            self.online_averages.note(key, self._total(key).online)
 
     def _total(self, key: int) -> UseCount:
         total = self._totals.get(key)
@@ -166,7 +166,7 @@
 
     def _note_online(self, keys: Iterable[int]) -> None:
         for key in keys:
-            self.means.note(key, self._total(key).online)
+            self.online_averages.note(key, self._total(key).online)
 
     def _subtract(self, counts: dict[int, UseCount]) -> None:
         for key, count in counts.items():
@@ -194,7 +194,7 @@
         """
         fraction = RESERVED_FRACTION if pressing else RELAXED_FRACTION
         total = self.total(life)
-        mean = math.ceil(self.means.at(engine_hash(life)))
+        mean = math.ceil(self.online_averages.average(engine_hash(life)))
         beside_burst = slots - math.ceil(slots * RESERVED_FRACTION) - mean - total.batch
         return min(slots - math.ceil(slots * fraction) - total.total, beside_burst)
 
--- a/postvalve/core/admission/fleet_limits.py
+++ b/postvalve/core/admission/fleet_limits.py
@@ -32,29 +32,29 @@
 from postvalve.core.admission.token_bucket import TokenBucket
 from postvalve.core.membership.ownership import rank_owners
 
-OWN_PART = 0.5
+PRIMARY_EXCESS_SHARE = 0.5
 """Share of the tolerated excess rate that the primary lender may use. The secondary lenders have
 the rest."""
-SLACK_PART = 0.6
+PRIMARY_SLACK_SHARE = 0.6
 """Share of the slack of a limit that the primary lender may use. With a slack of 20 requests, a
 tenant limited to one request a second can send bursts of a dozen."""
-DEPUTY_SLACK_PART = 0.4
+SECONDARY_SLACK_SHARE = 0.4
 """Share of the slack that all secondary lenders together may use in any window."""
-FILLED_PART = 0.75
+SECONDARY_BURST_SHARE = 0.75
 """Share of the secondary lenders' credit per window that their full buckets hold; the rest is
 refill during the window. They are asked rarely, and then by many requests at once."""
-VIEW_TIME = 10.0
+VIEW_RETENTION = 10.0
 """Seconds of past membership views kept, to find since when this node has been a tenant's
 lender."""
-KNOWN_TIME = 30.0
+FLEET_SIZE_RETENTION = 30.0
 """Seconds for which a node that is no longer heard counts in the size of the fleet. It must
 exceed the length of a partition: once it has passed, each of the two sides would count the other
 as gone."""
-STALL = 1.5
+STALL_THRESHOLD = 1.5
 """Seconds between two updates from which this node may have been suspended for so long that others
 lend in its place. They count it as gone 2 s after its last report, which may be half a second old.
 Updates normally come every 0.5 to 1 s."""
-MAX_RETURN = 5.0
+MAX_RETRY_AFTER = 5.0
 """Longest retry time, in seconds, told to a refused client."""
 SETTLE_TIME = 1.5
 """Seconds after its start until a node hears all others. Nodes of other zones are announced a
@@ -86,32 +86,32 @@
 
     def capacity(self, terms: LimitTerms) -> float:
         """Return the capacity of a tenant's bucket, in requests."""
-        spare = terms.rate * self.window * self.over * OWN_PART
-        return terms.burst * (1 + self.over) + spare + self.slack * SLACK_PART
+        spare = terms.rate * self.window * self.over * PRIMARY_EXCESS_SHARE
+        return terms.burst * (1 + self.over) + spare + self.slack * PRIMARY_SLACK_SHARE
 
-    def deputies_credit(self, terms: LimitTerms) -> float:
+    def secondary_credit(self, terms: LimitTerms) -> float:
         """Return the requests that all secondary lenders of a tenant may grant in any window,
         together."""
-        over = terms.rate * self.window * self.over * (1 - OWN_PART)
-        return over + self.slack * DEPUTY_SLACK_PART
+        over = terms.rate * self.window * self.over * (1 - PRIMARY_EXCESS_SHARE)
+        return over + self.slack * SECONDARY_SLACK_SHARE
 
 
-class Lending(enum.Enum):
+class CreditOutcome(enum.Enum):
     """Answer of a lender to a request for credit."""
 
-    LENT = "lent"
+    GRANTED = "lent"
     """The request is within the limit and was counted."""
-    OVER = "over"
+    OVER_LIMIT = "over"
     """The tenant is over its limit."""
-    NOT_MINE = "not_mine"
+    NOT_OWNER = "not_mine"
     """Other nodes are this tenant's lenders."""
 
 
 @dataclass(frozen=True, slots=True)
-class Loan:
+class CreditDecision:
     """Decision on one request for credit."""
 
-    lending: Lending
+    outcome: CreditOutcome
     wait: float = 0.0
     """Seconds after which a refused client should retry. Retries of refused clients are spread
     out."""
@@ -179,30 +179,30 @@
         """Fleet sizes seen, as time and number of nodes, the largest first."""
         self._primary: dict[str, _Account] = {}
         self._secondary: dict[str, _Account] = {}
-        self.known = 1
+        self.fleet_size = 1
         """Number of nodes in the fleet, as far as this node knows."""
 
     @property
-    def heard(self) -> int:
+    def live_nodes(self) -> int:
         """Number of live nodes that this node knows, including itself."""
         return len(self._views[-1].live)
 
-    def starts(self, now: float) -> bool:
+    def is_starting(self, now: float) -> bool:
         """Return whether this node started so recently that it may not hear all others yet."""
         return now < self._started_at + SETTLE_TIME
 
     @property
     def share(self) -> float:
         """Share of the fleet that this node has heard recently."""
-        return min(1.0, len(self._recently_heard) / max(1, self.known))
+        return min(1.0, len(self._recently_heard) / max(1, self.fleet_size))
 
     @property
     def zone_share(self) -> float:
         """Share of the fleet that this node has heard recently in its own zone."""
         near = self._views[-1].near & self._recently_heard
-        return min(1.0, len(near) / max(1, self.known))
+        return min(1.0, len(near) / max(1, self.fleet_size))
 
-    def look(
+    def update_view(
         self,
         live: Iterable[str],
         announced: int,
@@ -226,7 +226,7 @@
                 all were. Of the two sides of a partition, one detects it up to a report interval
                 before the other: its lender starts only after the other side's share has ended.
         """
-        suspended = now - self._updated_at > STALL
+        suspended = now - self._updated_at > STALL_THRESHOLD
         if suspended:
             self._drop_all(now)
         self._updated_at = now
@@ -235,7 +235,7 @@
         if nodes != view.live or near != view.near:
             self._views.append(_View(now, nodes, near))
             self._drop_lost()
-        while len(self._views) > 1 and self._views[1].since < now - VIEW_TIME:
+        while len(self._views) > 1 and self._views[1].since < now - VIEW_RETENTION:
             self._views.popleft()
         self._recently_heard = nodes if certain is None else nodes.intersection(certain)
         self._record_size(len(nodes), announced, now)
@@ -246,17 +246,17 @@
         history, share, zone_share = self._share_history, self.share, self.zone_share
         if (share, zone_share) != (history[-1].share, history[-1].zone_share):
             history.append(_ShareRecord(now, share, zone_share))
-        while len(history) > 1 and history[1].since < now - VIEW_TIME:
+        while len(history) > 1 and history[1].since < now - VIEW_RETENTION:
             history.popleft()
 
     def _record_size(self, heard: int, announced: int, now: float) -> None:
-        while self._sizes and self._sizes[0][0] < now - KNOWN_TIME:
+        while self._sizes and self._sizes[0][0] < now - FLEET_SIZE_RETENTION:
             self._sizes.popleft()
         while self._sizes and self._sizes[-1][1] <= heard:
             self._sizes.pop()
         self._sizes.append((now, heard))
-        started_recently = now - self._started_at < KNOWN_TIME
-        self.known = max(self._sizes[0][1], announced if started_recently else 0)
+        started_recently = now - self._started_at < FLEET_SIZE_RETENTION
+        self.fleet_size = max(self._sizes[0][1], announced if started_recently else 0)
 
     def _drop_all(self, now: float) -> None:
         """Drop all buckets after a suspension, during which other nodes have lent."""
@@ -279,11 +279,11 @@
         """Return the nodes to ask for a tenant's credit, the primary lender first; at most two."""
         return self._views[-1].choices_of(tenant)
 
-    def lend(self, tenant: str, terms: LimitTerms, now: float) -> Loan:
+    def try_acquire(self, tenant: str, terms: LimitTerms, now: float) -> CreditDecision:
         """Take credit for one request of a tenant."""
         choices = self.choices(tenant)
         if self._node_id not in choices:
-            return Loan(Lending.NOT_MINE)
+            return CreditDecision(CreditOutcome.NOT_OWNER)
         is_secondary = choices[0] != self._node_id
         accounts = self._secondary if is_secondary else self._primary
         account = accounts.get(tenant)
@@ -296,8 +296,8 @@
         share = record.zone_share if is_secondary else record.share
         wait = account.bucket.take(now)
         if not wait:
-            return Loan(Lending.LENT, share=share)
-        return Loan(Lending.OVER, self._retry_time(account, now, wait), share)
+            return CreditDecision(CreditOutcome.GRANTED, share=share)
+        return CreditDecision(CreditOutcome.OVER_LIMIT, self._retry_time(account, now, wait), share)
 
     def _fill(self, account: _Account, is_secondary: bool) -> _ShareRecord:
         """Refill a bucket at each share that applied since its last use; returns the current share.
@@ -325,22 +325,22 @@
     def _set_secondary_share(self, account: _Account, record: _ShareRecord) -> None:
         """Set the rate and capacity of a secondary lender's bucket."""
         share, bucket = record.zone_share, account.bucket
-        credit = self._bounds.deputies_credit(account.terms) * share
-        bucket.rate = max(credit * (1 - FILLED_PART) / self._bounds.window, 1e-6)
+        credit = self._bounds.secondary_credit(account.terms) * share
+        bucket.rate = max(credit * (1 - SECONDARY_BURST_SHARE) / self._bounds.window, 1e-6)
         # At most one zone can hold more than half of the fleet, so rounding up to one request there
         # cannot add up across zones.
         min_burst = 1.0 if share > 0.5 else 0.0
-        bucket.burst = max(min_burst, credit * FILLED_PART)
+        bucket.burst = max(min_burst, credit * SECONDARY_BURST_SHARE)
 
     def _retry_time(self, account: _Account, now: float, wait: float) -> float:
         """Return the seconds until a refused client may retry; successive clients are spaced
         out."""
         gap, earliest = 1.0 / account.bucket.rate, now + wait
         settled_at = self._started_at + SETTLE_TIME
-        if self.starts(now):
+        if self.is_starting(now):
             gap = 1.0 / max(account.terms.rate, 1e-6)
             earliest = min(earliest, settled_at + gap)
-        account.next_retry = min(max(account.next_retry + gap, earliest), now + MAX_RETURN)
+        account.next_retry = min(max(account.next_retry + gap, earliest), now + MAX_RETRY_AFTER)
         return account.next_retry - now
 
     def _lender_since(self, tenant: str, is_secondary: bool) -> float:
--- a/postvalve/core/admission/holding.py
+++ b/postvalve/core/admission/online_admission.py
@@ -14,24 +14,28 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from postvalve.core.admission.service_pace import ServicePace
-from postvalve.core.routing.expectation import EngineRoom, any_place, timely
+from postvalve.core.admission.service_latency import ServiceLatency
+from postvalve.core.routing.latency_estimate import (
+    EngineOccupancy,
+    any_has_capacity,
+    expected_in_time,
+)
 
 REFUSE_SHARE = 0.12
 """Share of its target latency within which a request is refused, if at all."""
 HOLD_SHARE = 0.8
 """Share of its target latency for which a request is held at most before it is sent to an engine. A
 retried request must reach an engine while its client is still waiting."""
-FRESH_SHARE = 0.97
+FIRST_TRY_SHARE = 0.97
 """Share of the longest deadline that clients set from which a request counts as a first try. It is
-more than a client has left that retried after `LEAST_RETURN`, for any deadline up to 10 s."""
-LEAST_RETURN = 0.3
+more than a client has left that retried after `MIN_RETRY_AFTER`, for any deadline up to 10 s."""
+MIN_RETRY_AFTER = 0.3
 """Shortest retry time, in seconds, told to a refused client."""
-RETURN_SHARE = 0.3
+RETRY_AFTER_SHARE = 0.3
 """Share of the client's remaining time that the retry time may take at most."""
-RETURN_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Seconds over which the retries of clients refused together are spread."""
-UNKNOWN_QUEUE = 1
+UNKNOWN_LATENCY_QUEUE = 1
 """Online requests that may queue at an engine while its latencies are unknown."""
 PERSISTENT_AFTER = 2.5
 """Seconds after which an overload counts as persistent, so that waiting does not help clients. By
@@ -40,11 +44,11 @@
 """Weight of a new overload in the moving average of overload lengths."""
 EPISODE_GAP = 0.5
 """Seconds in which every request finds capacity, after which an overload is over."""
-FIRST_EPISODE = 1.0
+INITIAL_EPISODE_LENGTH = 1.0
 """Expected length, in seconds, of the first overload."""
 
 
-class Ruling(enum.Enum):
+class AdmissionAction(enum.Enum):
     """What to do with an online request now."""
 
     START = "start"
@@ -53,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldRequest:
+class PendingRequest:
     """Properties of an online request that the decision depends on; times in monotonic seconds."""
 
     arrived_at: float
@@ -61,33 +65,33 @@
     deadline: float
     tokens: int
     """Prompt tokens that an engine may have to process for it."""
-    may_return: bool
+    may_retry: bool
     """Whether its client has time for a retry if it is refused."""
 
 
 def finds_room(
-    req: HeldRequest, rooms: Sequence[EngineRoom], pace: ServicePace, now: float
+    req: PendingRequest, rooms: Sequence[EngineOccupancy], pace: ServiceLatency, now: float
 ) -> bool:
     """Return whether a request should be sent to an engine now, regardless of other requests."""
-    if not rooms or any_place(rooms, pace):
+    if not rooms or any_has_capacity(rooms, pace):
         # An engine has a slot that no online work needs: even if the request will be late, it
         # cannot do better elsewhere.
         return True
     if not pace.known:
         # Without estimates of the queueing delay, risk a queue of one request.
-        return min(room.online - room.places(pace) for room in rooms) < UNKNOWN_QUEUE
+        return min(room.online - room.capacity(pace) for room in rooms) < UNKNOWN_LATENCY_QUEUE
     left = req.arrived_at + req.target_latency - now
-    return any(timely(rooms, req.tokens, pace, left))
+    return any(expected_in_time(rooms, req.tokens, pace, left))
 
 
-def rule(
-    req: HeldRequest,
-    rooms: Sequence[EngineRoom],
-    pace: ServicePace,
+def decide(
+    req: PendingRequest,
+    rooms: Sequence[EngineOccupancy],
+    pace: ServiceLatency,
     now: float,
     *,
     persistent: bool = False,
-) -> Ruling:
+) -> AdmissionAction:
     """Decide on a request at `now`; the same rule applies to all waiting requests.
 
     Args:
@@ -99,13 +103,17 @@
             served.
     """
     if persistent or finds_room(req, rooms, pace, now):
-        return Ruling.START
+        return AdmissionAction.START
     waited = now - req.arrived_at
-    if pace.known and req.may_return and waited <= req.target_latency * REFUSE_SHARE * 2:
-        return Ruling.REFUSE if waited >= req.target_latency * REFUSE_SHARE else Ruling.HOLD
+    if pace.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
+        return (
+            AdmissionAction.REFUSE
+            if waited >= req.target_latency * REFUSE_SHARE
+            else AdmissionAction.HOLD
+        )
     if waited >= req.target_latency * HOLD_SHARE:
-        return Ruling.START
-    return Ruling.HOLD
+        return AdmissionAction.START
+    return AdmissionAction.HOLD
 
 
 class OverloadEpisodes:
@@ -114,9 +122,9 @@
     def __init__(self) -> None:
         self._since: float | None = None
         self._last = 0.0
-        self._length = FIRST_EPISODE
+        self._length = INITIAL_EPISODE_LENGTH
 
-    def note_full(self, now: float) -> None:
+    def record_full(self, now: float) -> None:
         """Record that a request found no capacity in time at `now`.
 
         Slots become free all through an overload. It is over only when no request has been short of
@@ -146,7 +154,7 @@
     def retry_after(self, now: float, time_left: float, random_fraction: float) -> float:
         """Return the retry time, in seconds, for a refused client; `drawn` is a random number from
         0 to 1."""
-        latest = time_left * RETURN_SHARE
+        latest = time_left * RETRY_AFTER_SHARE
         return min(
-            latest, max(LEAST_RETURN, self.seconds_left(now)) + RETURN_SPREAD * random_fraction
+            latest, max(MIN_RETRY_AFTER, self.seconds_left(now)) + RETRY_JITTER * random_fraction
         )
--- a/postvalve/core/admission/online_means.py
+++ b/postvalve/core/admission/online_averages.py
@@ -38,7 +38,7 @@
         self.count = self.total = 0
 
 
-class OnlineMeans:
+class OnlineAverages:
     """Average online requests by engine, over the last complete window."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         known.total += online
         known.last = online
 
-    def roll(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Set the current window from monotonic time `now`. Called before each look-up of free
         slots."""
         self._window = int(now / WINDOW)
@@ -64,7 +64,7 @@
             self._cleaned = self._window
             self._forget_idle()
 
-    def at(self, engine: int) -> float:
+    def average(self, engine: int) -> float:
         """Return the average of an engine; 0 if nothing is known of it."""
         known = self._engines.get(engine)
         if known is None:
--- a/postvalve/core/admission/quarantine.py
+++ b/postvalve/core/admission/quarantine.py
@@ -30,40 +30,40 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.ownership import preferred_owner
 
-DOUBTFUL_ENDS = 2
+SUSPECT_AFTER = 2
 """Failed engines from which on a request runs alone: it was interrupted twice in a row."""
-HELD_ENDS = 3
+HOLD_AFTER = 3
 """Failed engines from which on a request is held back. An innocent request gets there only if it
 was running at three engines that failed, the third of which ran no other known suspect request."""
 HOLD_TIME = 60.0
 """Seconds for which a request is held back after the third failure. The time doubles with each
 further one, so a request ends one engine in the first minute, one in the next two, and so on."""
 MAX_HOLD_TIME = 3600.0
-DOUBT_TIME = 30.0
+SUSPICION_TIME = 30.0
 """Seconds after its last failure for which a request stays suspect if it is not held back. Engines
 that fail for other reasons rarely run the same request twice in so short a time."""
-BEGIN_TIME = 1.0
+FATAL_START_TIME = 1.0
 """Seconds after the first event of a run from which the run is not taken for the cause of its
 engine's failure. Requests that crash engines do so as they begin to run: after 50 to 140 ms where
 this was observed."""
-ANSWER_TIME = 30.0
+ANSWER_RETENTION = 30.0
 """Seconds for which an answer counts in favour of the same request when it is sent again. A request
 that many clients send runs at all engines at all times, so it is there whenever one fails: beside a
 request that crashed all three engines of a run, 84 of 100 such common requests got a 502 without
 this rule, and 23 with it."""
-LISTED_TIME = 1.0
+LISTING_DELAY = 1.0
 """Seconds after its first answer in which a restarted engine may not be listed yet."""
 MAX_ANSWERS = 4_096
 """Answers remembered: 136 a second, which is twice a node's share of the planned load."""
-MAX_CASES = 512
+MAX_ENTRIES = 512
 """Entries kept. Each engine failure adds as many as the engine has slots, 8 to 20."""
-ENOUGH_VARIANTS = 3
+HOLD_ALL_VARIANTS_AFTER = 3
 """Number of failing variants from which on all variants of a request are held back."""
-MAX_FACTS = 12
+MAX_FAILURES = 12
 """Observations kept per entry."""
 
 
-class Ruling(enum.Enum):
+class RunPermission(enum.Enum):
     """Whether a request may run."""
 
     FREE = "free"
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FactId:
+class FailureId:
     """Identifies one observation: an engine instance, and a number unique within that instance."""
 
     engine: EngineLife
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class Fact:
+class EngineFailure:
     """An observation: an engine failed while it ran a request, or is about to run a suspect one."""
 
     ended_at: float
@@ -99,86 +99,92 @@
 
 
 @dataclass(slots=True)
-class Case:
+class QuarantineEntry:
     """What is known of one request."""
 
-    facts: dict[FactId, Fact] = field(default_factory=dict)
+    failures: dict[FailureId, EngineFailure] = field(default_factory=dict)
 
     def engines(self) -> dict[EngineLife, float]:
         """Return the engine instances that failed, with the time of each failure."""
         found: dict[EngineLife, float] = {}
-        for name, fact in self.facts.items():
-            if not fact.excused:
-                found[name.engine] = min(found.get(name.engine, fact.ended_at), fact.ended_at)
+        for name, failure in self.failures.items():
+            if not failure.excused:
+                found[name.engine] = min(found.get(name.engine, failure.ended_at), failure.ended_at)
         return found
 
     def variants(self) -> set[int]:
         """Return the variants under which engines failed."""
-        return {fact.variant for fact in self.facts.values() if not fact.excused}
+        return {failure.variant for failure in self.failures.values() if not failure.excused}
 
-    def of(self, variant: int) -> list[Fact]:
+    def of(self, variant: int) -> list[EngineFailure]:
         """Return the observations of one variant."""
-        return [fact for fact in self.facts.values() if fact.variant == variant]
+        return [failure for failure in self.failures.values() if failure.variant == variant]
 
     @property
     def on_trial(self) -> bool:
         """Whether a run of the request is in progress, as far as is known."""
-        return any(fact.trial and not fact.excused for fact in self.facts.values())
+        return any(failure.trial and not failure.excused for failure in self.failures.values())
 
-    def concerns(self, variant: int) -> bool:
+    def applies_to(self, variant: int) -> bool:
         """Return whether a variant is restricted by this entry, for example by a run in
         progress."""
         known = self.variants()
-        return self.on_trial or variant in known or len(known) >= ENOUGH_VARIANTS
+        return self.on_trial or variant in known or len(known) >= HOLD_ALL_VARIANTS_AFTER
 
     def held_until(self) -> float:
         """Return until when the request is held back, in monotonic seconds; in the past if it is
         not."""
         ends = self.engines()
-        if len(ends) < HELD_ENDS:
+        if len(ends) < HOLD_AFTER:
             return float("-inf")
         return max(ends.values()) + hold_time(len(ends))
 
-    def forgotten_at(self) -> float:
+    def expires_at(self) -> float:
         """Return the monotonic time from which the entry may be dropped.
 
         An entry that was held back is kept for the same time again, so that the next failure counts
         as a further one.
         """
         ends = self.engines()
-        latest = max((fact.ended_at for fact in self.facts.values()), default=float("-inf"))
-        if len(ends) < HELD_ENDS:
-            return latest + DOUBT_TIME
+        latest = max(
+            (failure.ended_at for failure in self.failures.values()), default=float("-inf")
+        )
+        if len(ends) < HOLD_AFTER:
+            return latest + SUSPICION_TIME
         return self.held_until() + hold_time(len(ends))
 
-    def merge(self, other: Case) -> bool:
+    def merge(self, other: QuarantineEntry) -> bool:
         """Merge another node's knowledge of the same request; returns whether anything was new."""
-        before = {name: fact.excused for name, fact in self.facts.items()}
-        for name, fact in other.facts.items():
-            known = self.facts.setdefault(name, Fact(fact.ended_at, fact.variant, fact.trial))
-            known.ended_at = min(known.ended_at, fact.ended_at)
-            known.excused |= fact.excused
+        before = {name: failure.excused for name, failure in self.failures.items()}
+        for name, failure in other.failures.items():
+            known = self.failures.setdefault(
+                name, EngineFailure(failure.ended_at, failure.variant, failure.trial)
+            )
+            known.ended_at = min(known.ended_at, failure.ended_at)
+            known.excused |= failure.excused
         self._prune()
-        return any(before.get(name) != fact.excused for name, fact in self.facts.items())
+        return any(before.get(name) != failure.excused for name, failure in self.failures.items())
 
     def _prune(self) -> None:
         """Drop the least important observations. If they are reported again, they are dropped
         again."""
-        while len(self.facts) > MAX_FACTS:
-            facts = self.facts
-            del facts[min(facts, key=lambda one: (not facts[one].excused, facts[one].ended_at))]
+        while len(self.failures) > MAX_FAILURES:
+            failures = self.failures
+            del failures[
+                min(failures, key=lambda one: (not failures[one].excused, failures[one].ended_at))
+            ]
 
 
 def hold_time(ends: int) -> float:
     """Return for how many seconds a request is held back after the given number of failures."""
-    return min(MAX_HOLD_TIME, HOLD_TIME * 2.0 ** min(16, ends - HELD_ENDS))
+    return min(MAX_HOLD_TIME, HOLD_TIME * 2.0 ** min(16, ends - HOLD_AFTER))
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
+class QuarantineDecision:
     """Permission to run a request, and what it was based on."""
 
-    ruling: Ruling
+    permission: RunPermission
     ends: int = 0
     """Number of engines that failed under the request."""
     age: float = 0.0
@@ -187,7 +193,7 @@
     """Seconds for which the request is still held back."""
 
 
-_FREE = Decision(Ruling.FREE)
+_FREE = QuarantineDecision(RunPermission.FREE)
 
 
 @dataclass(frozen=True, slots=True)
@@ -220,7 +226,7 @@
     """One run of a suspect request, announced before it starts."""
 
     digest: bytes
-    fact: FactId
+    failure: FailureId
 
 
 class Quarantine:
@@ -228,7 +234,7 @@
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
-        self._cases: dict[bytes, Case] = {}
+        self._entries: dict[bytes, QuarantineEntry] = {}
         self._stamps = 0
         self._answered: dict[RequestIdentity, float] = {}
         """Time of the last answer of each request, in order of these times."""
@@ -241,42 +247,42 @@
         """Called with the digest of a request about which something new is known."""
 
     def __len__(self) -> int:
-        return len(self._cases)
+        return len(self._entries)
 
     def digests(self) -> list[bytes]:
         """Return the digests of all requests with an entry."""
-        return list(self._cases)
+        return list(self._entries)
 
-    def case(self, digest: bytes) -> Case | None:
+    def entry(self, digest: bytes) -> QuarantineEntry | None:
         """Return the entry of a request."""
-        return self._cases.get(digest)
+        return self._entries.get(digest)
 
-    def rule(self, identity: RequestIdentity, now: float) -> Decision:
+    def check_request(self, identity: RequestIdentity, now: float) -> QuarantineDecision:
         """Decide whether a request may run."""
-        case = self._cases.get(identity.digest)
-        if case is None:
+        entry = self._entries.get(identity.digest)
+        if entry is None:
             return _FREE
-        ends = case.engines()
-        if len(ends) < DOUBTFUL_ENDS:
+        ends = entry.engines()
+        if len(ends) < SUSPECT_AFTER:
             return _FREE
         age = now - max(ends.values())
-        if len(ends) < HELD_ENDS:
-            ruling = Ruling.FREE if age >= DOUBT_TIME else Ruling.ALONE
-            return Decision(ruling, len(ends), age)
-        seconds = case.held_until() - now
-        if seconds <= 0 or not case.concerns(identity.variant):
-            return Decision(Ruling.ALONE, len(ends), age)
-        return Decision(Ruling.HELD, len(ends), age, seconds)
+        if len(ends) < HOLD_AFTER:
+            ruling = RunPermission.FREE if age >= SUSPICION_TIME else RunPermission.ALONE
+            return QuarantineDecision(ruling, len(ends), age)
+        seconds = entry.held_until() - now
+        if seconds <= 0 or not entry.applies_to(identity.variant):
+            return QuarantineDecision(RunPermission.ALONE, len(ends), age)
+        return QuarantineDecision(RunPermission.HELD, len(ends), age, seconds)
 
     def summary(self, digest: bytes, now: float) -> Summary:
         """Return a summary of what is known of a request."""
-        case = self._cases.get(digest, Case())
-        ends = case.engines()
+        entry = self._entries.get(digest, QuarantineEntry())
+        ends = entry.engines()
         age = now - max(ends.values(), default=now)
-        seconds = max(0.0, case.held_until() - now)
-        return Summary(len(ends), len(case.variants()), age, seconds, case.on_trial)
+        seconds = max(0.0, entry.held_until() - now)
+        return Summary(len(ends), len(entry.variants()), age, seconds, entry.on_trial)
 
-    def note_end(
+    def record_end(
         self, identity: RequestIdentity, engine: EngineLife, sent_at: float, now: float
     ) -> bool:
         """Record that an engine's connection broke during a request, before the answer was
@@ -286,7 +292,7 @@
             Whether the failure counts against the request. It does not if the request was answered
                 recently, or was sent after the engine had failed under another request.
         """
-        if any(fact.ended_at < sent_at for _, _, fact in self._failures_of(engine)):
+        if any(failure.ended_at < sent_at for _, _, failure in self._failures_of(engine)):
             return False
         if self._was_answered(identity, now):
             return False
@@ -304,11 +310,11 @@
     def end_trial(self, trial: Trial) -> None:
         """End a run of a suspect request. What the run revealed about the engine was recorded
         before."""
-        case = self._cases.get(trial.digest)
-        if case is not None and trial.fact in case.facts:
-            self._excuse(trial.digest, case, [case.facts[trial.fact]])
+        entry = self._entries.get(trial.digest)
+        if entry is not None and trial.failure in entry.failures:
+            self._excuse(trial.digest, entry, [entry.failures[trial.failure]])
 
-    def note_answered(self, identity: RequestIdentity, now: float) -> bool:
+    def record_answer(self, identity: RequestIdentity, now: float) -> bool:
         """Record that an engine ran the request to its end, or for long: it did not cause a
         failure.
 
@@ -319,13 +325,15 @@
         self._answered[identity] = now
         if len(self._answered) > MAX_ANSWERS:
             del self._answered[next(iter(self._answered))]
-        case = self._cases.get(identity.digest)
-        return case is not None and self._excuse(identity.digest, case, case.of(identity.variant))
+        entry = self._entries.get(identity.digest)
+        return entry is not None and self._excuse(
+            identity.digest, entry, entry.of(identity.variant)
+        )
 
     def _was_answered(self, identity: RequestIdentity, at: float) -> bool:
-        return at - self._answered.get(identity, float("-inf")) < ANSWER_TIME
+        return at - self._answered.get(identity, float("-inf")) < ANSWER_RETENTION
 
-    def note_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
+    def record_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
         """Record that an engine answered a request sent to it at `sent_at`, so it had not failed.
 
         If engines restart under the same id, the answer may be the next instance's. So it counts
@@ -336,7 +344,7 @@
         elif engine in self._implicated:
             self._unconfirmed[engine] = (sent_at, now)
 
-    def confirm(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
+    def confirm_alive(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
         """Excuse the instances that answered and are still listed by the directory.
 
         Args:
@@ -346,27 +354,29 @@
         for engine, (sent_at, answered_at) in list(self._unconfirmed.items()):
             if not listed(engine):
                 del self._unconfirmed[engine]
-            elif known_at >= answered_at + LISTED_TIME:
+            elif known_at >= answered_at + LISTING_DELAY:
                 del self._unconfirmed[engine]
                 self._excuse_ends(engine, sent_at)
 
     def _excuse_ends(self, engine: EngineLife, sent_at: float) -> None:
         ends = self._failures_of(engine)
-        for digest, case, fact in ends:
-            if fact.ended_at < sent_at:
-                self._excuse(digest, case, [fact])
-        if all(fact.ended_at < sent_at for _, _, fact in ends):
+        for digest, entry, failure in ends:
+            if failure.ended_at < sent_at:
+                self._excuse(digest, entry, [failure])
+        if all(failure.ended_at < sent_at for _, _, failure in ends):
             self._implicated.discard(engine)
 
-    def _failures_of(self, engine: EngineLife) -> list[tuple[bytes, Case, Fact]]:
+    def _failures_of(
+        self, engine: EngineLife
+    ) -> list[tuple[bytes, QuarantineEntry, EngineFailure]]:
         """Return the observations of an engine instance that have not been excused."""
         if engine not in self._implicated:
             return []
         return [
-            (digest, case, fact)
-            for digest, case in self._cases.items()
-            for name, fact in case.facts.items()
-            if name.engine == engine and not fact.trial and not fact.excused
+            (digest, entry, failure)
+            for digest, entry in self._entries.items()
+            for name, failure in entry.failures.items()
+            if name.engine == engine and not failure.trial and not failure.excused
         ]
 
     def preferred_engine(
@@ -376,63 +386,67 @@
         engines."""
         return preferred_owner(identity.digest.hex(), list(engines))
 
-    def merge(self, digest: bytes, other: Case, now: float) -> bool:
+    def merge(self, digest: bytes, other: QuarantineEntry, now: float) -> bool:
         """Merge what another node or the store knows of a request; returns whether anything was
         new."""
-        if other.forgotten_at() <= now:
+        if other.expires_at() <= now:
             return False
-        case = self._cases.get(digest) or Case()
-        if not case.merge(other):
+        entry = self._entries.get(digest) or QuarantineEntry()
+        if not entry.merge(other):
             return False
-        self._implicated.update(name.engine for name in other.facts)
-        self._store(digest, case)
+        self._implicated.update(name.engine for name in other.failures)
+        self._store(digest, entry)
         self.on_change(digest)
-        self._excuse_answered(digest, case)
+        self._excuse_answered(digest, entry)
         return True
 
-    def _excuse_answered(self, digest: bytes, case: Case) -> None:
+    def _excuse_answered(self, digest: bytes, entry: QuarantineEntry) -> None:
         """Excuse reported failures of a request that this node has seen answered recently."""
-        for variant in case.variants():
-            facts = case.of(variant)
-            first = min(fact.ended_at for fact in facts if not fact.excused)
+        for variant in entry.variants():
+            failures = entry.of(variant)
+            first = min(failure.ended_at for failure in failures if not failure.excused)
             if self._was_answered(RequestIdentity(digest, variant), first):
-                self._excuse(digest, case, facts)
+                self._excuse(digest, entry, failures)
 
-    def expire(self, now: float) -> list[tuple[bytes, Case]]:
+    def expire(self, now: float) -> list[tuple[bytes, QuarantineEntry]]:
         """Drop entries that are no longer needed and return them. Called about once a second."""
-        cases = self._cases.items()
-        expired = [(digest, case) for digest, case in cases if case.forgotten_at() <= now]
+        cases = self._entries.items()
+        expired = [(digest, entry) for digest, entry in cases if entry.expires_at() <= now]
         for digest, _ in expired:
-            del self._cases[digest]
-        self._implicated = {name.engine for case in self._cases.values() for name in case.facts}
+            del self._entries[digest]
+        self._implicated = {
+            name.engine for entry in self._entries.values() for name in entry.failures
+        }
         return expired
 
     def _add(
         self, identity: RequestIdentity, engine: EngineLife, now: float, *, trial: bool
-    ) -> FactId:
+    ) -> FailureId:
         digest = identity.digest
         self._stamps += 1
         stamp = xxhash.xxh32_intdigest(f"{self._node_id} {now} {self._stamps}".encode())
-        name = FactId(engine, stamp)
-        case = self._cases.get(digest) or Case()
-        case.merge(Case({name: Fact(now, identity.variant, trial)}))
+        name = FailureId(engine, stamp)
+        entry = self._entries.get(digest) or QuarantineEntry()
+        entry.merge(QuarantineEntry({name: EngineFailure(now, identity.variant, trial)}))
         self._implicated.add(engine)
-        self._store(digest, case)
+        self._store(digest, entry)
         self.on_change(digest)
         return name
 
-    def _excuse(self, digest: bytes, case: Case, facts: Iterable[Fact]) -> bool:
-        newly_excused = [fact for fact in facts if not fact.excused]
-        for fact in newly_excused:
-            fact.excused = True
+    def _excuse(
+        self, digest: bytes, entry: QuarantineEntry, failures: Iterable[EngineFailure]
+    ) -> bool:
+        newly_excused = [failure for failure in failures if not failure.excused]
+        for failure in newly_excused:
+            failure.excused = True
         if newly_excused:
             self.on_change(digest)
         return bool(newly_excused)
 
-    def _store(self, digest: bytes, case: Case) -> None:
+    def _store(self, digest: bytes, entry: QuarantineEntry) -> None:
         """Store an entry. If there are too many, drop an old one of little importance."""
-        self._cases[digest] = case
-        if len(self._cases) <= MAX_CASES:
+        self._entries[digest] = entry
+        if len(self._entries) <= MAX_ENTRIES:
             return
-        minor = (one for one, kept in self._cases.items() if len(kept.engines()) < DOUBTFUL_ENDS)
-        del self._cases[next(minor, next(iter(self._cases)))]
+        minor = (one for one, kept in self._entries.items() if len(kept.engines()) < SUSPECT_AFTER)
+        del self._entries[next(minor, next(iter(self._entries)))]
--- a/postvalve/core/admission/service_pace.py
+++ b/postvalve/core/admission/service_latency.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class ServicePace:
+class ServiceLatency:
     """Latency estimates for one service; times in seconds."""
 
     _first: _DecayedLine = field(default_factory=_DecayedLine)
@@ -72,7 +72,7 @@
         """Whether there are enough samples to base decisions on."""
         return min(self._first.weight, self._held.weight) >= LEAST_SAMPLES
 
-    def observe_first(self, tokens: int, seconds: float) -> None:
+    def observe_first_event(self, tokens: int, seconds: float) -> None:
         """Record the latency of the first event of an attempt that found a free slot.
 
         Args:
@@ -85,7 +85,7 @@
             seconds = min(seconds, mean * LONGEST_FACTOR)
         self._first.add(tokens / 1000, seconds)
 
-    def observe_held(self, seconds: float) -> None:
+    def observe_slot_time(self, seconds: float) -> None:
         """Record how long a request occupied its slot."""
         self._held.add(0.0, seconds)
 
@@ -111,15 +111,15 @@
             seconds: Time from sending the request to its first event, minus the latency expected
                 with a free slot.
         """
-        usual = places * self.held / max(1, slots)
+        usual = places * self.slot_time / max(1, slots)
         if usual <= 0:
             return
         factor = min(LONGEST_QUEUE_FACTOR, max(0.0, seconds) / usual)
         self._queue_factor += QUEUE_WEIGHT * (factor - self._queue_factor)
 
-    def queue_step(self, slots: int) -> float:
+    def queue_delay_per_place(self, slots: int) -> float:
         """Return the delay in seconds per place in the queue of an engine with so many slots."""
-        return self.held / max(1, slots) * max(1.0, self._queue_factor)
+        return self.slot_time / max(1, slots) * max(1.0, self._queue_factor)
 
     def observe_error(self, expected: float, seconds: float) -> None:
         """Record the latency of a first event for which `expected` seconds were estimated."""
@@ -143,7 +143,7 @@
         return self._longest_pause.at(running) if known else 0.0
 
     @property
-    def held(self) -> float:
+    def slot_time(self) -> float:
         """Mean seconds for which a request occupies its slot."""
         return self._held.mean
 
--- a/postvalve/core/batch/item_order.py
+++ b/postvalve/core/batch/item_order.py
@@ -25,7 +25,7 @@
 NEARLY_ENDED_BONUS_MS = 600_000
 """Milliseconds by which running items that nearly end go before the others: cut, they would have
 taken a slot for almost a whole run, and take one again."""
-HOPELESS_PENALTY_MS = 600_000
+MISSED_DUE_PENALTY_MS = 600_000
 """Milliseconds by which items that can't end in time rank behind those that can."""
 ESTIMATE_MARGIN = 1.15
 """Estimates are taken so many times longer than they are."""
@@ -42,7 +42,7 @@
 _DUE_BITS = 24
 _TAG_BITS = 34
 _PRIORITY_BITS = 4
-LEAST_LEFT = 0.15
+MIN_REMAINING_FRACTION = 0.15
 """Share of its estimate that an item needs at least, however long it has run."""
 
 
@@ -63,7 +63,7 @@
         else:
             self._own = known + ESTIMATE_WEIGHT * (sample - known)
 
-    def hear(self, parts: Iterable[bytes]) -> None:
+    def learn_from_peers(self, parts: Iterable[bytes]) -> None:
         """Take in what peers have learnt, as their `pack` gives it."""
         paces = _read_paces(parts)
         if paces:
@@ -84,7 +84,7 @@
         return 0 < self.seconds_left(output_tokens, run_seconds) <= self._least(output_tokens)
 
     def _least(self, output_tokens: int) -> float:
-        return self._whole(output_tokens) * LEAST_LEFT
+        return self._whole(output_tokens) * MIN_REMAINING_FRACTION
 
     def _whole(self, output_tokens: int) -> float:
         pace = self._own if self._own is not None else self._told
@@ -95,7 +95,7 @@
     return [_PACE.unpack(part)[0] for part in parts if len(part) == _PACE.size]
 
 
-def merge_paces(parts: Iterable[bytes]) -> bytes:
+def merge_token_times(parts: Iterable[bytes]) -> bytes:
     """What the nodes of a zone have learnt, as one part for its digest."""
     paces = _read_paces(parts)
     return _PACE.pack(int(median(paces))) if paces else b""
@@ -108,7 +108,7 @@
     others late, so it ranks behind all that can still be in time.
     """
     if now_ms + seconds_left * 1000 > due_at_ms:
-        return due_at_ms + HOPELESS_PENALTY_MS
+        return due_at_ms + MISSED_DUE_PENALTY_MS
     return due_at_ms
 
 
@@ -136,7 +136,7 @@
     start while they keep coming.
     """
     late = now_ms + seconds_left * 1000 > due_at_ms
-    hopeless = late and now_ms < due_at_ms + HOPELESS_PENALTY_MS
+    hopeless = late and now_ms < due_at_ms + MISSED_DUE_PENALTY_MS
     priority = min(rank.priority, (1 << _PRIORITY_BITS) - 1)
     step = 0 if rank.by_due else min(rank.tag // TAG_STEP + 1, (1 << _TAG_BITS) - 1)
     due = due_at_ms // _DUE_STEP_MS % (1 << _DUE_BITS)
@@ -161,7 +161,7 @@
     return seconds_left <= left < PRESSING_FACTOR * seconds_left * (1 + queue)
 
 
-def startable(own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], room: int) -> int:
+def count_startable(own_due: Sequence[int], peers_due: Iterable[tuple[int, int]], room: int) -> int:
     """How many of this node's items may start.
 
     Args:
--- a/postvalve/core/batch/item_shares.py
+++ b/postvalve/core/batch/item_shares.py
@@ -20,7 +20,7 @@
 MAX_DUE_SECONDS = 1_024
 """Seconds whose due items are counted, beside those with items that have no result: a node that
 works on no item looks at none of them."""
-EQUAL_WEIGHT = 1.0
+DEFAULT_WEIGHT = 1.0
 """Of a tenant that the configuration doesn't name."""
 
 
@@ -51,7 +51,7 @@
     end: float = 0.0
     """Tag that follows the last of them."""
 
-    def take_back(self) -> list[_Item]:
+    def remove_all(self) -> list[_Item]:
         """Take all items off; what has ended of others beside them stays counted."""
         items, self.items = self.items, []
         self.end -= sum(one.cost for one in items)
@@ -63,7 +63,7 @@
     """Items that are due in the same second; those of jobs that were ended don't count."""
 
     items: int = 0
-    left: int = 0
+    unfinished: int = 0
     """Of them, that have no result."""
 
 
@@ -94,7 +94,7 @@
         item = self._items.get((job_id, index))
         return int(item.tag) if item is not None else self.clock
 
-    def accepted(
+    def add_job(
         self, job_id: str, tenant: str, clock: int, due_at_ms: int, tokens: Sequence[int]
     ) -> None:
         """A job was accepted.
@@ -119,7 +119,7 @@
         else:
             self._lay_by_due(tenant, line, new)
 
-    def ended(self, job_id: str, index: int, *, ran: bool) -> None:
+    def end_item(self, job_id: str, index: int, *, ran: bool) -> None:
         """An item has a result; one that was given up says nothing of how far the fleet is."""
         item = self._items.pop((job_id, index), None)
         if item is None:
@@ -129,7 +129,7 @@
         if ran:
             self._clock = max(self._clock, item.tag)
 
-    def closed(self, job_id: str) -> None:
+    def close_job(self, job_id: str) -> None:
         """Nothing more of a job is run: what its tenant sent after it moves up."""
         tenant = self._tenants.pop(job_id, None)
         if tenant is None:
@@ -141,10 +141,10 @@
         for item in gone:
             del self._items[item.key]
             self._count(item, -1, -1)
-        items = line.take_back()
+        items = line.remove_all()
         self._lay(tenant, line, [one for one in items if one.job_id != job_id])
 
-    def reweigh(self, weights: Mapping[str, float]) -> None:
+    def set_weights(self, weights: Mapping[str, float]) -> None:
         """Weights have changed: tenants go on side by side from the clock."""
         relative = _relative(weights)
         if relative == self._weights:
@@ -159,23 +159,23 @@
         for second in [one for one in self.due if one < before]:
             del self.due[second]
 
-    def _count(self, item: _Item, items: int, left: int) -> None:
+    def _count(self, item: _Item, items: int, unfinished: int) -> None:
         count = self.due.setdefault(item.due_at_ms // 1000, DueCount())
         count.items += items
-        count.left += left
+        count.unfinished += unfinished
         if len(self.due) > MAX_DUE_SECONDS:
-            done = [second for second, one in self.due.items() if one.left <= 0]
+            done = [second for second, one in self.due.items() if one.unfinished <= 0]
             if done:
                 del self.due[min(done)]
 
     def _lay_by_due(self, tenant: str, line: _Line, new: Sequence[_Item]) -> None:
         """Let all items of a tenant stand by due time; what it has been given stays."""
-        items = sorted([*line.take_back(), *new], key=lambda one: one.due_at_ms)
+        items = sorted([*line.remove_all(), *new], key=lambda one: one.due_at_ms)
         self._lay(tenant, line, items)
 
     def _lay(self, tenant: str, line: _Line, items: Sequence[_Item]) -> None:
         """Add items with tags one after the other, from the line's end on."""
-        weight = self._weights.get(tenant, EQUAL_WEIGHT)
+        weight = self._weights.get(tenant, DEFAULT_WEIGHT)
         for item in items:
             item.cost = item.tokens / weight
             item.tag = max(line.end, item.clock)
--- a/postvalve/core/batch/job_board.py
+++ b/postvalve/core/batch/job_board.py
@@ -147,7 +147,7 @@
     def _drop(self, kind: str, rest: str) -> str | None:
         job_id = rest.partition("/")[0]
         if kind == RecordKind.ACCEPT and self.jobs.pop(job_id, None) is not None:
-            self.shares.closed(job_id)
+            self.shares.close_job(job_id)
             return job_id
         return None
 
@@ -164,7 +164,7 @@
         if isinstance(message, ItemEnd):
             return self._end_item(job, message)
         job.ended = True
-        self.shares.closed(job.job_id)
+        self.shares.close_job(job.job_id)
         return job.job_id
 
     def _accept(self, key: str, message: gateway.JobAccepted) -> str | None:
@@ -184,7 +184,7 @@
             keys=[key],
             claims=[(message.claim_id, message.node_id)],
         )
-        self.shares.accepted(
+        self.shares.add_job(
             message.job_id,
             message.tenant,
             message.share_clock,
@@ -199,7 +199,7 @@
             return None
         job.finished.add(index)
         job.results.append(message)
-        self.shares.ended(job.job_id, index, ran=message.state is ItemState.COMPLETED)
+        self.shares.end_item(job.job_id, index, ran=message.state is ItemState.COMPLETED)
         return job.job_id
 
     def open_jobs(self) -> list[BoardJob]:
--- a/postvalve/core/batch/lateness.py
+++ b/postvalve/core/batch/lateness.py
@@ -12,12 +12,12 @@
 
 from postvalve.core.batch.item_shares import DueCount
 
-WINDOW = 10
+LATENESS_WINDOW = 10
 """Seconds of due times that are looked back at: longer than a heap of online work and its lull."""
-MOST, FEW = 0.5, 0.25
+LATE_SHARE_ON, LATE_SHARE_OFF = 0.5, 0.25
 """Shares of late items above which most count as late, and below which they don't any more: in
 between it stays, since the order by shares itself makes some items late."""
-LEAST_ITEMS = 20
+MIN_ITEMS = 20
 """Due in a window, from which their share says something."""
 
 
@@ -32,10 +32,10 @@
         """Due in the window."""
         self.late = 0
         """Of these."""
-        self.mostly = False
+        self.mostly_late = False
         """Whether most items end late."""
 
-    def look(self, due: Mapping[int, DueCount], now: float) -> None:
+    def update(self, due: Mapping[int, DueCount], now: float) -> None:
         """Take in counts by due second; some times a second.
 
         Args:
@@ -44,17 +44,21 @@
                 where it was.
         """
         second = int(now)
-        first = second if self._looked_at is None else max(self._looked_at, second - WINDOW)
+        first = (
+            second if self._looked_at is None else max(self._looked_at, second - LATENESS_WINDOW)
+        )
         for passed in range(first, second):
             count = due.get(passed)
             if count is not None:
-                self._seen[passed] = count.items, count.left
+                self._seen[passed] = count.items, count.unfinished
         self._looked_at = max(second, first)
-        for old in [one for one in self._seen if one < second - WINDOW]:
+        for old in [one for one in self._seen if one < second - LATENESS_WINDOW]:
             del self._seen[old]
         self.items = sum(items for items, _ in self._seen.values())
         self.late = sum(late for _, late in self._seen.values())
-        if self.items >= LEAST_ITEMS:
-            self.mostly = self.late > self.items * (FEW if self.mostly else MOST)
+        if self.items >= MIN_ITEMS:
+            self.mostly_late = self.late > self.items * (
+                LATE_SHARE_OFF if self.mostly_late else LATE_SHARE_ON
+            )
         elif not self.items:
-            self.mostly = False
+            self.mostly_late = False
--- a/postvalve/core/batch/giving_way.py
+++ b/postvalve/core/batch/preemption.py
@@ -16,12 +16,12 @@
 """Engine's hash, urgency in milliseconds of the epoch."""
 _ZONE_ENTRY = struct.Struct("!IQH")
 """The same, and which of the zone's members runs the item."""
-TOLD_TIME = 0.4
+PREEMPT_NOTICE_TIMEOUT = 0.4
 """Seconds within which an item that was told to give way has left the reports; if it has not, the
 message was lost, and it is told again."""
 
 
-class RunningItems:
+class PeerRunningItems:
     """Urgencies of the items that peers run, by engine."""
 
     def __init__(self) -> None:
@@ -89,7 +89,7 @@
     return b"".join(_ENTRY.pack(engine, due) for engine, due in items)
 
 
-def giving_way(
+def count_preempted(
     node_id: str, own: Sequence[int], others: Sequence[tuple[int, str]], excess: int
 ) -> int:
     """How many of a node's items at an engine give way; its least urgent ones.
@@ -106,7 +106,7 @@
     return sum(1 for _, owner in order[:excess] if owner == node_id)
 
 
-class VictimChooser:
+class VictimSelector:
     """Which items the node that watches over an engine tells to give way.
 
     What it told stands in the reports for a while, so it remembers it, and tells nobody twice.
@@ -116,7 +116,7 @@
         self._told: dict[int, list[tuple[float, tuple[int, str]]]] = {}
         """When each item was told, by engine."""
 
-    def choose(
+    def select(
         self, engine: int, running: Sequence[tuple[int, str]], excess: int, now: float
     ) -> list[tuple[int, str]]:
         """Urgency and node of the items that are to be told now.
@@ -133,7 +133,7 @@
         left = sorted(running, reverse=True)
         waited_for = []
         for told_at, item in self._told.get(engine, ()):
-            if now - told_at < TOLD_TIME and item in left:
+            if now - told_at < PREEMPT_NOTICE_TIMEOUT and item in left:
                 left.remove(item)
                 waited_for.append((told_at, item))
         chosen = left[: max(0, excess - len(waited_for))]
--- a/postvalve/core/batch/scheduler.py
+++ b/postvalve/core/batch/scheduler.py
@@ -51,7 +51,7 @@
     """Wall-clock seconds."""
     cursor: int = 0
     returned: deque[int] = field(default_factory=deque)
-    held_back: set[int] = field(default_factory=set)
+    withheld: set[int] = field(default_factory=set)
     mean_service: float = INITIAL_ITEM_SECONDS
 
     def next_item(self) -> int | None:
@@ -63,7 +63,7 @@
         while self.cursor < self.ledger.accepted.items:
             index = self.cursor
             self.cursor += 1
-            if not self.ledger.is_finished(index) and index not in self.held_back:
+            if not self.ledger.is_finished(index) and index not in self.withheld:
                 return index
         return None
 
@@ -183,7 +183,7 @@
             job.mean_service += SERVICE_TIME_WEIGHT * (sample - job.mean_service)
         self._forget(dispatch)
 
-    def give_back(self, key: ItemKey) -> None:
+    def requeue(self, key: ItemKey) -> None:
         """Put a taken item back in front; it did not run, or may run again."""
         dispatch = self._dispatches.get(key)
         if dispatch is not None:
@@ -194,12 +194,12 @@
         if job is not None:
             job.returned.append(key.item_index)
 
-    def hold_back(self, key: ItemKey) -> None:
+    def withhold(self, key: ItemKey) -> None:
         """Keep a taken item from being handed out: an earlier start of it may still run."""
         self._uncount(key)
         job = self._jobs.get(key.job_id)
         if job is not None:
-            job.held_back.add(key.item_index)
+            job.withheld.add(key.item_index)
 
     def _forget(self, dispatch: Dispatch) -> None:
         del self._dispatches[dispatch.key]
--- a/postvalve/core/batch/shard_state.py
+++ b/postvalve/core/batch/shard_state.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobCancelAsked:
+class JobCancelPending:
     """Effect: a job's stream may hold a cancel; its running items must stop."""
 
     job_id: str
 
 
-ShardEffect = JobOpened | JobCancelAsked
+ShardEffect = JobOpened | JobCancelPending
 
 
 class ShardState:
@@ -60,7 +60,7 @@
         if isinstance(body, records.JobClosed):
             self._close(body.job_id)
         elif isinstance(body, records.JobCancelRequested) and body.job_id in self._open_jobs:
-            return [JobCancelAsked(body.job_id)]
+            return [JobCancelPending(body.job_id)]
         elif isinstance(body, records.ShardCheckpoint):
             return self._restore(body)
         return []
--- a/postvalve/core/membership/engine_directory.py
+++ b/postvalve/core/membership/engine_directory.py
@@ -15,10 +15,10 @@
 
 from postvalve.core.membership.shared_freshness import SharedFreshness
 
-RETURN_TIME = 2.0
+REREGISTRATION_TIME = 2.0
 """Seconds after an outage within which lapsed entries are registered again, according to the
 platform's documentation."""
-KEEP_TIME = 1.8
+LAPSED_ENTRY_RETENTION = 1.8
 """Seconds after an outage for which a lapsed entry is kept. An engine that has left must not get
 requests for longer than the shortest drain time of a deployment (2 s); the difference is a margin
 for requests on their way."""
@@ -60,7 +60,7 @@
         for `REREGISTRATION_TIME` after the first read, since entries may have lapsed just before.
         """
         recovered_at = max(self._recovered_at, self._shared.returned_at)
-        return not self._read or self._store_lost or now - recovered_at < RETURN_TIME
+        return not self._read or self._store_lost or now - recovered_at < REREGISTRATION_TIME
 
     def observe(
         self, changes: Iterable[tuple[str, Entry | None]], whole: bool, now: float
@@ -75,7 +75,7 @@
         Returns:
             Ids of engines whose entries have disappeared but are kept for a while.
         """
-        retain_until = self._shared.returned_at + KEEP_TIME
+        retain_until = self._shared.returned_at + LAPSED_ENTRY_RETENTION
         retains = self._read and now < retain_until
         if not self._read:
             self._read = True
@@ -98,7 +98,7 @@
         """Return the entry of an engine if it is listed."""
         return self._listed.get(engine_id)
 
-    def seconds_kept(self, now: float) -> float | None:
+    def seconds_to_expiry(self, now: float) -> float | None:
         """Return the seconds until the first retained entry expires; None if none is retained."""
         expiries = [one.until for one in self._lapsed.values()]
         return max(0.0, min(expiries) - now) if expiries else None
--- a/postvalve/core/membership/feature_gate.py
+++ b/postvalve/core/membership/feature_gate.py
@@ -21,22 +21,22 @@
 
     def __init__(self, own: Feature = OWN_FEATURES) -> None:
         self.own = own
-        self.on = Feature.NONE
+        self.enabled = Feature.NONE
         """Features in use."""
         self._supported_since: dict[Feature, float] = {}
         """Time since which all nodes that are heard have supported a feature; no key while one does
         not."""
         self._updated_at: float | None = None
 
-    def lower(self, features: Feature) -> None:
+    def restrict(self, features: Feature) -> None:
         """Disable all features other than those that a node just heard supports."""
         if self.own & ~features:
-            self.on &= features
+            self.enabled &= features
             for one in list(self._supported_since):
                 if one not in features:
                     del self._supported_since[one]
 
-    def look(self, common: Feature, now: float) -> None:
+    def update(self, common: Feature, now: float) -> None:
         """Update which features are enabled; called several times a second.
 
         Args:
@@ -45,14 +45,14 @@
                 more of the others than one that has just started, and begins anew like that.
         """
         if self._updated_at is not None and now - self._updated_at > SETTLE_TIME:
-            self.on, self._supported_since = Feature.NONE, {}
+            self.enabled, self._supported_since = Feature.NONE, {}
         self._updated_at = now
-        self.lower(common)
+        self.restrict(common)
         for one in common & self.own:
             if now - self._supported_since.setdefault(one, now) >= SETTLE_TIME:
-                self.on |= one
+                self.enabled |= one
 
-    def waiting(self, feature: Feature, now: float) -> float:
+    def seconds_to_enable(self, feature: Feature, now: float) -> float:
         """Return the seconds until a feature that all support is enabled, unless another node is
         heard."""
         since = self._supported_since.get(feature)
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -20,7 +20,7 @@
 REPORTER_SILENT_AFTER = 1.2
 """Seconds without a digest after which a digest of another reporter is accepted even if that one
 hears fewer members."""
-STALL = 1.0
+STALL_THRESHOLD = 1.0
 """Seconds between two updates from which this node itself must have been suspended."""
 STORE_SILENT_AFTER = 4.0
 """Seconds without the store after which a node's jobs are better processed elsewhere."""
@@ -42,14 +42,14 @@
         return self.report.node_id
 
     @property
-    def works(self) -> bool:
+    def can_run_jobs(self) -> bool:
         """Whether the node can process jobs: it is not leaving and reaches the store."""
         report = self.report
         return not report.leaving and report.log_silence_ms < STORE_SILENT_AFTER * 1000
 
 
 @dataclass(slots=True)
-class FarZone:
+class RemoteZone:
     """Another zone, as known from its last digest."""
 
     digest: ZoneDigest
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
+class SilentPeers:
     """Nodes and zones dropped because they were silent for too long."""
 
     nodes: list[str] = field(default_factory=list)
@@ -88,7 +88,7 @@
         self.node_id = node_id
         """Id of this node."""
         self._peers: dict[str, Peer] = {}
-        self._zones: dict[str, FarZone] = {}
+        self._zones: dict[str, RemoteZone] = {}
         self._leaving: set[str] = set()
         """Peers known by their own reports that are leaving."""
         self._updated_at: float | None = None
@@ -105,7 +105,7 @@
         waiting = decode_groups(report.items_waiting)
         self._peers[report.node_id] = Peer(report, now, waiting)
         (self._leaving.add if report.leaving else self._leaving.discard)(report.node_id)
-        self.gate.lower(features_of(report.extensions))
+        self.gate.restrict(features_of(report.extensions))
         return True
 
     def observe_zone(self, digest: ZoneDigest, now: float) -> bool:
@@ -114,7 +114,7 @@
         if zone is not None and not _supersedes(digest, zone, now):
             return False
         if zone is None:
-            zone = self._zones[digest.zone] = FarZone(digest, now)
+            zone = self._zones[digest.zone] = RemoteZone(digest, now)
         zone.digest, zone.heard_at = digest, now
         zone.waiting = decode_groups(digest.items_waiting)
         if digest.members is not None and digest.members_version != zone.members_version:
@@ -127,7 +127,7 @@
             }
         for peer in zone.members.values():
             peer.heard_at = now
-        self.gate.lower(features_of(digest.extensions))
+        self.gate.restrict(features_of(digest.extensions))
         return True
 
     def drop(self, node_id: str) -> None:
@@ -135,13 +135,13 @@
         self._peers.pop(node_id, None)
         self._leaving.discard(node_id)
 
-    def expire(self, now: float) -> Silence:
+    def expire(self, now: float) -> SilentPeers:
         """Drop silent peers and zones, and return them. Called several times a second.
 
         If this node was suspended, it has received nothing meanwhile, which says nothing about the
         others: their time-outs start again.
         """
-        if self._updated_at is not None and now - self._updated_at > STALL:
+        if self._updated_at is not None and now - self._updated_at > STALL_THRESHOLD:
             for peer in self._peers.values():
                 peer.heard_at = now
             for zone in self._zones.values():
@@ -159,8 +159,8 @@
         ]
         for name in zones:
             del self._zones[name]
-        self.gate.look(self.common_features(), now)
-        return Silence(nodes, zones)
+        self.gate.update(self.common_features(), now)
+        return SilentPeers(nodes, zones)
 
     def all(self) -> list[Peer]:
         """Return all peers heard recently, directly or in a digest."""
@@ -175,7 +175,7 @@
 
     def features(self) -> Feature:
         """Return the features in use that need all nodes: see `core/membership/feature_gate`."""
-        return self.gate.on
+        return self.gate.enabled
 
     def common_features(self) -> Feature:
         """Return the features that all nodes that are heard support.
@@ -184,11 +184,11 @@
         older: a node with an older build may have replaced one of them.
         """
         common = self.gate.own
-        for _, features in self.features_heard():
+        for _, features in self.peer_features():
             common &= features
         return common
 
-    def features_heard(self) -> Iterator[tuple[str, Feature]]:
+    def peer_features(self) -> Iterator[tuple[str, Feature]]:
         """Yield the features of each node known by its reports, and of each zone known by
         digests."""
         for peer in self._peers.values():
@@ -206,7 +206,7 @@
         """Return the peers of a zone that are known by their own reports."""
         return [one for one in self._peers.values() if one.report.zone == zone]
 
-    def zones(self) -> dict[str, FarZone]:
+    def zones(self) -> dict[str, RemoteZone]:
         """Return the zones known by digests, by name."""
         return self._zones
 
@@ -218,24 +218,24 @@
                 found = found or zone.members.get(node_id)
         return found
 
-    def reports(self, node_id: str) -> bool:
+    def reports_directly(self, node_id: str) -> bool:
         """Return whether a node is known by its own reports; that node then knows this one in the
         same way."""
         return node_id in self._peers
 
-    def works(self, node_id: str, incarnation: int) -> bool:
+    def can_run_jobs(self, node_id: str, incarnation: int) -> bool:
         """Return whether the given incarnation of a node can process its jobs."""
         peer = self.get(node_id)
-        return peer is not None and peer.report.incarnation == incarnation and peer.works
+        return peer is not None and peer.report.incarnation == incarnation and peer.can_run_jobs
 
     def successor(self, job_id: str, *, self_works: bool) -> str | None:
         """Return the node that takes over a job; the same on all nodes with the same view."""
-        candidates = [peer.node_id for peer in self.all() if peer.works]
+        candidates = [peer.node_id for peer in self.all() if peer.can_run_jobs]
         if self_works:
             candidates.append(self.node_id)
         return preferred_owner(job_id, candidates)
 
-    def running_at_leaving(self) -> set[tuple[str, int]]:
+    def running_on_leaving_peers(self) -> set[tuple[str, int]]:
         """Return job id and index of the items that leaving peers still run."""
         running: list[RunningItem] = []
         for node_id in self._leaving:
@@ -267,7 +267,7 @@
     return report.sequence > known.sequence
 
 
-def _supersedes(digest: ZoneDigest, zone: FarZone, now: float) -> bool:
+def _supersedes(digest: ZoneDigest, zone: RemoteZone, now: float) -> bool:
     known = zone.digest
     if (digest.reporter, digest.incarnation) == (known.reporter, known.incarnation):
         return digest.sequence > known.sequence
--- a/postvalve/core/membership/report_pace.py
+++ b/postvalve/core/membership/report_schedule.py
@@ -10,24 +10,24 @@
 
 from dataclasses import dataclass
 
-LEAST_INTERVAL = 0.08
+MIN_INTERVAL = 0.08
 """Least seconds between two reports to a peer, during which changes are collected."""
 IDLE_INTERVAL = 0.5
 """Seconds between two reports to a peer when nothing changes."""
-NEAR_RATE = 120.0
+ZONE_REPORT_RATE = 120.0
 """Most reports per second that a node receives from its own zone."""
-FAR_RATE = 120.0
+REMOTE_REPORT_RATE = 120.0
 """Most reports per second that a node receives from all other zones."""
 GATHER_SHARE = 1 / 6
 """Share of a peer's report interval for which received reports are collected before they are
 processed. It makes the knowledge of a peer older by a twelfth of the interval on average; with 38
 peers a node then wakes up 19 times a second instead of 48."""
-LEAST_GATHER_TIME = 0.02
+MIN_GATHER_TIME = 0.02
 """Least time, in seconds, for which received reports are collected."""
 
 
 @dataclass(slots=True)
-class ReportPace:
+class ReportSchedule:
     """Schedule of the reports to one group of peers."""
 
     rate: float
@@ -35,7 +35,7 @@
     _sent_at: float = float("-inf")
     _changed: bool = True
 
-    def note_change(self) -> None:
+    def record_change(self) -> None:
         """Record that there is something new to report."""
         self._changed = True
 
@@ -58,7 +58,7 @@
     def interval(self, peers: int) -> float:
         """Return the seconds between two reports to a group of `peers` nodes while there are
         changes."""
-        return min(IDLE_INTERVAL, max(LEAST_INTERVAL, peers / self.rate))
+        return min(IDLE_INTERVAL, max(MIN_INTERVAL, peers / self.rate))
 
     def seconds_left(self, peers: int, now: float) -> float:
         """Return the seconds from `now` until the next report to a group of `peers` nodes."""
--- a/postvalve/core/membership/shared_freshness.py
+++ b/postvalve/core/membership/shared_freshness.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-AWAY_AFTER = 2.0
+UNAVAILABLE_AFTER = 2.0
 """Seconds without news at any node after which the store counts as unavailable. It is longer than a
 follower goes without news when its path to the store breaks."""
-STALL = 1.5
+STALL_THRESHOLD = 1.5
 """Seconds between two updates from which this node itself must have been suspended."""
 
 
@@ -26,28 +26,28 @@
         nodes."""
 
     @property
-    def away(self) -> bool:
+    def unavailable(self) -> bool:
         """Whether the store is unavailable to all nodes that are heard."""
         return self._unavailable
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Take in the current time; called several times a second.
 
         If this node was suspended, it has received nothing meanwhile, which says nothing about the
         others.
         """
-        if now - self._updated_at > STALL:
+        if now - self._updated_at > STALL_THRESHOLD:
             self._fresh_at = max(self._fresh_at, now)
         self._updated_at = now
-        if now - self._fresh_at >= AWAY_AFTER:
+        if now - self._fresh_at >= UNAVAILABLE_AFTER:
             self._unavailable = True
 
     def note(self, fresh_at: float, now: float) -> None:
         """Record that a node knows everything acknowledged until monotonic time `fresh_at`."""
-        self.look(now)
+        self.update(now)
         if fresh_at <= self._fresh_at:
             return
         self._fresh_at = fresh_at
-        if self._unavailable and now - fresh_at < AWAY_AFTER:
+        if self._unavailable and now - fresh_at < UNAVAILABLE_AFTER:
             self._unavailable = False
             self.returned_at = fresh_at
--- a/postvalve/core/membership/store_path.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -20,16 +20,16 @@
 s, and one may be lost. The limit also bounds how long a suspended peer is asked."""
 AVOID_TIME = 2.0
 """Seconds for which a peer that did not answer is not asked again."""
-PROMPT_ANSWER = 0.5
+MIN_RELAY_TIMEOUT = 0.5
 """First time-out in seconds for a relayed read, in addition to the time that the read may wait. It
 applies unless the store has been slow."""
-SLOW_ANSWER = 2.0
+MAX_RELAY_TIMEOUT = 2.0
 """Longest such time-out, and the time-out of all calls other than waiting reads."""
-PROMPT_TRIES = 2
+DOUBLE_TIMEOUT_AFTER = 2
 """Consecutive unanswered reads from which a slow store is more likely than a lost peer."""
 
 
-class StorePath:
+class StoreReachability:
     """Whether this node's own calls reach the store."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self._failures = 0 if answered else self._failures + 1
         return self.failing is not before
 
-    def try_own(self, now: float) -> bool:
+    def use_direct(self, now: float) -> bool:
         """Return whether this node makes the next call itself, at monotonic time `now`."""
         if not self.failing:
             return True
@@ -57,7 +57,7 @@
         return True
 
 
-class RelayPatience:
+class RelayTimeout:
     """Time-out for reads relayed by a peer.
 
     A follower learns nothing while it waits for a suspended peer, so the first reads are given up
@@ -70,8 +70,8 @@
     @property
     def seconds(self) -> float:
         """Time-out in seconds, in addition to the time that the read may wait."""
-        doubled = max(0, self._unanswered - PROMPT_TRIES + 1)
-        return min(SLOW_ANSWER, PROMPT_ANSWER * 2**doubled)
+        doubled = max(0, self._unanswered - DOUBLE_TIMEOUT_AFTER + 1)
+        return min(MAX_RELAY_TIMEOUT, MIN_RELAY_TIMEOUT * 2**doubled)
 
     def note(self, answered: bool) -> None:
         """Record whether the last relayed read was answered."""
--- a/postvalve/core/membership/zone_reporting.py
+++ b/postvalve/core/membership/zone_reporting.py
@@ -1,7 +1,7 @@
 """Which node of a zone sends its digests to other zones, when, and with what content.
 
 Nodes of other zones get each node's own reports while they are few: that costs no more and is more
-current. Beyond `DIRECT_PEERS` a node's own reports to all of them would be less frequent than
+current. Beyond `MAX_DIRECT_PEERS` a node's own reports to all of them would be less frequent than
 digests, so others' knowledge of it does not get worse at the switch.
 """
 
@@ -10,8 +10,13 @@
 from collections.abc import Iterable, Sequence
 from types import MappingProxyType
 
-from postvalve.core.batch.giving_way import encode_zone_running
-from postvalve.core.batch.item_order import decode_groups, encode_groups, merge_groups, merge_paces
+from postvalve.core.batch.item_order import (
+    decode_groups,
+    encode_groups,
+    merge_groups,
+    merge_token_times,
+)
+from postvalve.core.batch.preemption import encode_zone_running
 from postvalve.core.membership.extensions import (
     OWN_FEATURES,
     Extension,
@@ -22,23 +27,23 @@
 from postvalve.core.membership.load_report import LoadReport
 from postvalve.core.membership.ownership import preferred_owner
 from postvalve.core.membership.peers import STORE_SILENT_AFTER, Peer
-from postvalve.core.membership.report_pace import FAR_RATE
+from postvalve.core.membership.report_schedule import REMOTE_REPORT_RATE
 from postvalve.core.membership.zone_digest import ZoneDigest, ZoneMember, members_version
-from postvalve.core.scheduling.waiting_order import merge_news
+from postvalve.core.scheduling.queue_order import merge_share_updates
 
 DIGEST_INTERVAL = 0.25
 """Least seconds between two digests of a zone."""
 MAX_DIGEST_INTERVAL = 1.0
 """Most seconds between two digests of a zone. Four in a row must be lost before the zone counts as
 silent."""
-FAR_BYTES = 5_000.0
+REMOTE_DIGEST_RATE = 5_000.0
 """Approximate bytes per second of other zones' digests that a node receives. The design limit is 7
 KB/s for all control traffic of a node, and reports of its own zone take the rest."""
-DIRECT_PEERS = int(FAR_RATE * DIGEST_INTERVAL)
+MAX_DIRECT_PEERS = int(REMOTE_REPORT_RATE * DIGEST_INTERVAL)
 """Number of nodes in other zones up to which each node reports to them itself."""
-LOOK_INTERVAL = 0.08
+CHECK_INTERVAL = 0.08
 """Seconds between the reporter's checks whether a digest is due."""
-IDLE_LOOK_INTERVAL = 0.5
+IDLE_CHECK_INTERVAL = 0.5
 """Seconds between the checks of other nodes whether they have become the reporter."""
 MEMBERS_INTERVAL = 2.0
 """Seconds after which the list of members is sent again although it has not changed."""
@@ -46,16 +51,16 @@
 """Seconds after its start in which a node sends no digest: it must first hear its neighbours."""
 HEARD_WITHIN = 1.2
 """Seconds without a report after which a neighbour is not considered for reporter."""
-ZONE_GROUPS = 48
+MAX_DUE_GROUPS = 48
 """Most due times of waiting items in a digest."""
 
 
-EMPTY: Extensions = MappingProxyType({})
+NO_EXTENSIONS: Extensions = MappingProxyType({})
 
 
-def tells_by_digest(far_peers: int) -> bool:
+def uses_digests(far_peers: int) -> bool:
     """Return whether nodes of other zones get digests, given the number of these nodes."""
-    return far_peers > DIRECT_PEERS
+    return far_peers > MAX_DIRECT_PEERS
 
 
 def reporter_of(zone: str, node_ids: Iterable[str]) -> str | None:
@@ -92,17 +97,17 @@
     def is_due(self, zones: int, now: float) -> bool:
         """Return whether the next digest is due, given the number of zones whose digests nodes
         receive."""
-        interval = zones * self._size / FAR_BYTES
+        interval = zones * self._size / REMOTE_DIGEST_RATE
         interval = min(MAX_DIGEST_INTERVAL, max(DIGEST_INTERVAL, interval))
         return now - self._sent_at >= interval
 
-    def make(
+    def build_digest(
         self,
         own: LoadReport,
         neighbours: Sequence[Peer],
         engine_use: bytes,
         now: float,
-        told: Extensions = EMPTY,
+        told: Extensions = NO_EXTENSIONS,
     ) -> bytes:
         """Build the next digest and pack it.
 
@@ -150,9 +155,9 @@
         features &= features_of(report.extensions)
     parts: dict[int, bytes] = {Extension.FEATURES: pack_features(features)}
     told = [one.extensions.get(Extension.ITEM_PACE, b"") for one in reports]
-    if pace := merge_paces(told):
+    if pace := merge_token_times(told):
         parts[Extension.ITEM_PACE] = pace
-    shares = merge_news(one.extensions.get(Extension.SHARE_CLOCK, b"") for one in reports)
+    shares = merge_share_updates(one.extensions.get(Extension.SHARE_CLOCK, b"") for one in reports)
     if shares:
         parts[Extension.SHARE_CLOCK] = shares
     return parts
@@ -160,7 +165,7 @@
 
 def _waiting(own: LoadReport, neighbours: Sequence[Peer]) -> list[tuple[int, int]]:
     groups = [one for peer in neighbours for one in peer.waiting]
-    return merge_groups([*decode_groups(own.items_waiting), *groups])[:ZONE_GROUPS]
+    return merge_groups([*decode_groups(own.items_waiting), *groups])[:MAX_DUE_GROUPS]
 
 
 def _member(report: LoadReport) -> ZoneMember:
--- a/postvalve/core/routing/attempt_times.py
+++ b/postvalve/core/routing/attempt_times.py
@@ -8,10 +8,10 @@
 
 from dataclasses import dataclass
 
-LEAST_WAIT = 0.001
+MIN_WAIT = 0.001
 """Seconds from asking for an event to its coming from which it counts as waited for: one that lies
 in a buffer comes sooner."""
-LEAST_PAUSES = 4
+MIN_PAUSES = 4
 """Pauses of an attempt from which their mean says something."""
 
 
@@ -27,14 +27,14 @@
     """Those that were measured."""
     pauses_sum: float = 0.0
     longest_pause: float = 0.0
-    asked_at: float = 0.0
+    requested_at: float = 0.0
     """When the next event was asked for; 0 where nobody tells, since each is read as it comes."""
     _last_at: float = 0.0
     """When the last event came; 0 where that is not known."""
 
-    def note_event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """An event was read at `now`."""
-        awaited = not self.asked_at or now - self.asked_at >= LEAST_WAIT
+        awaited = not self.requested_at or now - self.requested_at >= MIN_WAIT
         if not self.first_at:
             self.first_at = now
         elif self._last_at and awaited:
@@ -47,7 +47,7 @@
     @property
     def mean_pause(self) -> float:
         """Seconds between events; 0 where too few pauses were measured."""
-        return self.pauses_sum / self.pauses if self.pauses >= LEAST_PAUSES else 0.0
+        return self.pauses_sum / self.pauses if self.pauses >= MIN_PAUSES else 0.0
 
     @property
     def first_event(self) -> float:
--- a/postvalve/core/routing/connect_patience.py
+++ b/postvalve/core/routing/connect_timeout.py
@@ -9,30 +9,30 @@
 
 from collections import deque
 
-MULTIPLE = 8.0
+TIMEOUT_MULTIPLE = 8.0
 """Of the longest time that one of the last connections took to open."""
-LEAST = 0.1
+MIN_TIMEOUT = 0.1
 """Seconds that one may take however fast others came up: a busy machine stands still for some tens
 of milliseconds."""
-SAMPLES = 64
+MAX_SAMPLES = 64
 """Connections that are looked back at: the slow ones of a machine that turned slow are among them
 soon, and gone soon after it."""
-LEAST_SAMPLES = 8
+MIN_SAMPLES = 8
 """Connections without which nothing is known of what is usual."""
 
 
-class ConnectPatience:
+class ConnectTimeout:
     """What connections to engines took to open at this node."""
 
     def __init__(self) -> None:
-        self._seconds: deque[float] = deque(maxlen=SAMPLES)
+        self._seconds: deque[float] = deque(maxlen=MAX_SAMPLES)
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """A connection came up after so long."""
         self._seconds.append(seconds)
 
     def seconds(self, most: float) -> float:
         """Seconds after which one is given up for another engine; `most` while little is known."""
-        if len(self._seconds) < LEAST_SAMPLES:
+        if len(self._seconds) < MIN_SAMPLES:
             return most
-        return min(most, max(LEAST, MULTIPLE * max(self._seconds)))
+        return min(most, max(MIN_TIMEOUT, TIMEOUT_MULTIPLE * max(self._seconds)))
--- a/postvalve/core/routing/engine_choice.py
+++ b/postvalve/core/routing/engine_choice.py
@@ -16,28 +16,28 @@
 
 AFFINITY_TOKENS = 1_000
 """Shared prompt tokens from which it pays to go where they were read before."""
-ZONE_TOKENS = 4_000
+REMOTE_ZONE_TOKENS = 4_000
 """Tokens that may wait at an engine of the own zone before another zone's is better."""
 COLD_TOKENS = 4_000
 """Tokens that may wait at a warm engine before one that is slow from its start is better: as many
 as another zone costs. Tried on a copy of a site whose engines take 3 times as long for 6 s."""
-FULL_TOKENS = 4_000
+ALMOST_FULL_TOKENS = 4_000
 """Tokens that an engine counts for which online work almost fills: requests that are under way
 elsewhere, and that this node has not heard of yet, may take its last slots."""
-GIVE_WAY_TOKENS = 2_000
+PREEMPTION_TOKENS = 2_000
 """Tokens that could be read while a batch item gives way: less than another zone costs, since the
 node that watches over an engine hears of requests from its own zone at once."""
-OWN_TOKENS = 750
+OWN_ENGINE_TOKENS = 750
 """Tokens that may wait more at an engine that this node watches over: half the load of a full one.
 It knows at once what others send there, where its counts of other engines are some tenths of a
 second old, and sends nobody a report out of turn. Of the requests in heaps at 20 nodes and 24
 engines 0.067 waited for a slot without this, 0.039 with it, and 0.95 and 0.47 went to engines that
 another node watches over."""
-SLOT_TOKENS = 4_000
+QUEUED_REQUEST_TOKENS = 4_000
 """Tokens that could be read while a request waits for a slot, for each that waits before it."""
 LOAD_TOKENS = 1_500
 """Tokens by which a full engine is worse than an empty one, since each step takes longer."""
-DRAWN = 2
+SAMPLE_SIZE = 2
 """Engines of the own zone, and of all others, that one choice looks at."""
 ALMOST_FULL = 0.85
 """Share of its slots that online work has from which an engine counts as almost full."""
@@ -60,7 +60,7 @@
     """Whether it is still slow from its start."""
     memory_short: int = 0
     """Tokens by which the engine's memory is too small for this request beside the others."""
-    extra_places: float = 0.0
+    queue_penalty: float = 0.0
     """By how much it is worse than an even engine of the same load; see `core/routing/expectation`.
     Below 0 where it is better."""
 
@@ -122,7 +122,7 @@
         for option in self._drawn(options, holder, own):
             read = holder is None or option.life == holder
             unread = 0 if read else shared_tokens
-            cost = unread + self._cost(option) - (OWN_TOKENS if option.life in own else 0)
+            cost = unread + self._cost(option) - (OWN_ENGINE_TOKENS if option.life in own else 0)
             choices.append(EngineChoice(option, unread, cost))
         return min(choices, key=lambda one: one.cost)
 
@@ -132,27 +132,27 @@
         near = [one for one in options if one.zone == self._zone]
         far = [one for one in options if one.zone != self._zone]
         return [
-            *self._random.sample(near, min(DRAWN, len(near))),
-            *self._random.sample(far, min(DRAWN, len(far))),
+            *self._random.sample(near, min(SAMPLE_SIZE, len(near))),
+            *self._random.sample(far, min(SAMPLE_SIZE, len(far))),
             *(one for one in options if one.life == holder or one.life in own),
         ]
 
     def _cost(self, option: EngineOption) -> float:
         cost = option.unread + LOAD_TOKENS * option.load
         if option.zone != self._zone:
-            cost += ZONE_TOKENS
-        if option.extra_places:
-            cost += SLOT_TOKENS * option.extra_places
+            cost += REMOTE_ZONE_TOKENS
+        if option.queue_penalty:
+            cost += QUEUED_REQUEST_TOKENS * option.queue_penalty
         if option.cold:
             cost += COLD_TOKENS
         if option.online >= ALMOST_FULL * option.slots:
-            cost += FULL_TOKENS
+            cost += ALMOST_FULL_TOKENS
         elif option.in_flight >= option.slots:
-            cost += GIVE_WAY_TOKENS
+            cost += PREEMPTION_TOKENS
         if option.memory_short > 0:
             # It waits for others to end, or makes the engine put another one back.
-            cost += SLOT_TOKENS + option.memory_short
-        return cost + SLOT_TOKENS * max(0, option.online - option.slots + 1)
+            cost += QUEUED_REQUEST_TOKENS + option.memory_short
+        return cost + QUEUED_REQUEST_TOKENS * max(0, option.online - option.slots + 1)
 
     def _holder(self, options: Sequence[EngineOption], prefix_key: str) -> str | None:
         """The engine that likely keeps the shared parts; alike at all nodes of a zone."""
--- a/postvalve/core/routing/engine_pace.py
+++ b/postvalve/core/routing/engine_pace.py
@@ -23,34 +23,34 @@
 meanwhile, is like the others again within half a minute."""
 PRIOR_WEIGHT = 1.0
 """Weight at which a life that nothing is known of is like the others."""
-LEAST_WEIGHT = 3.0
+MIN_WEIGHT = 3.0
 """Weight of samples from which a life may differ."""
-BEGINS_ERRORS = 3.0
+ENTER_ERRORS = 3.0
 """Errors of its mean by which a life must differ to be treated so."""
-CEASES_ERRORS = 1.5
+EXIT_ERRORS = 1.5
 """The same to stay so."""
-LEAST_DIFFERENCE = 0.1
+MIN_DIFFERENCE = 0.1
 """Of the logarithm: an engine that is slower by less is worse by less than one request more is."""
-FIRST_SPREAD = 0.5
+INITIAL_DEVIATION = 0.5
 """Standard deviation of a sample before any was seen."""
-SPREAD_WEIGHT = 0.05
+VARIANCE_WEIGHT = 0.05
 """Weight of a new sample in the deviation."""
-LARGEST_FACTOR = 4.0
+MAX_FACTOR = 4.0
 """Factors, and single samples, are at most this, and at least its inverse: a dark engine is for its
 standing to tell, and must not need hours to be forgiven."""
 MAX_WEIGHT = 60.0
 """What one node's samples may weigh: as much as a report can tell."""
-FADED_WEIGHT = 0.05
+NEGLIGIBLE_WEIGHT = 0.05
 """Weight below which what a peer showed is forgotten."""
-MOST_JUDGED = 64
+MAX_EVALUATED = 64
 """Lives that one look judges; those of which something new was shown go first, then those that were
 judged longest ago. Each takes some 3 us for each node that showed something of it."""
 
 Kept = TypeVar("Kept")
-_LARGEST_LOG = math.log(LARGEST_FACTOR)
+_LARGEST_LOG = math.log(MAX_FACTOR)
 
 
-class Aspect(enum.IntEnum):
+class PaceMetric(enum.IntEnum):
     """What may differ."""
 
     FIRST = 0
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Shown:
+class WeightedMean:
     """Samples of one aspect."""
 
     weight: float = 0.0
@@ -77,27 +77,29 @@
 
 
 @dataclass(slots=True)
-class LifeShown:
+class EngineSamples:
     """Samples of one life by one node, or several."""
 
     at: float
     """Monotonic seconds to which the weights are decayed."""
     newest_at: float
     """Monotonic seconds of the newest sample."""
-    aspects: tuple[Shown, Shown, Shown] = field(default_factory=lambda: (Shown(), Shown(), Shown()))
+    metrics: tuple[WeightedMean, WeightedMean, WeightedMean] = field(
+        default_factory=lambda: (WeightedMean(), WeightedMean(), WeightedMean())
+    )
 
     def decay(self, now: float) -> None:
         """Let the weights fall as time does."""
         if now > self.at:
             left = 0.5 ** ((now - self.at) / HALF_LIFE)
-            for one in self.aspects:
+            for one in self.metrics:
                 one.weight *= left
             self.at = now
 
     @property
     def weight(self) -> float:
         """Of the aspect that is known best."""
-        return max(one.weight for one in self.aspects)
+        return max(one.weight for one in self.metrics)
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +110,7 @@
     pause: float = 1.0
     held: float = 1.0
 
-    def times(self, now: float) -> PaceFactors:
+    def scaled(self, now: float) -> PaceFactors:
         """With what the engine tells to be now.
 
         That may be over before a request ends, so its slot is expected to be held as usual there.
@@ -116,7 +118,7 @@
         return PaceFactors(self.first * now, self.pause * now, self.held)
 
 
-EVEN = PaceFactors()
+UNIFORM = PaceFactors()
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,14 +133,14 @@
     """Seconds since the newest sample."""
 
 
-class EnginePace:
+class PaceEstimator:
     """What the lives of all services showed."""
 
     def __init__(self) -> None:
         self._lives: dict[int, EngineLife] = {}
         self._services: dict[int, str] = {}
-        self._own: dict[int, LifeShown] = {}
-        self._peers: dict[int, dict[str, LifeShown]] = {}
+        self._own: dict[int, EngineSamples] = {}
+        self._peers: dict[int, dict[str, EngineSamples]] = {}
         """What each peer told, by life and the peer's name."""
         self._factors: dict[int, PaceFactors] = {}
         """Of those that differ."""
@@ -146,11 +148,11 @@
         """Monotonic seconds of the newest sample of each life, by anybody."""
         self._judged: dict[int, float] = {}
         """When each life was judged last."""
-        self._variance: dict[tuple[str, Aspect], float] = {}
+        self._variance: dict[tuple[str, PaceMetric], float] = {}
         self._differing: set[str] = set()
         """Services of which an engine differs."""
 
-    def keep(self, services: Mapping[EngineLife, str]) -> None:
+    def retain(self, services: Mapping[EngineLife, str]) -> None:
         """Take the directory's present list in: what was shown of other lives is forgotten."""
         self._lives = {engine_hash(life): life for life in services}
         self._services = {engine_hash(life): name for life, name in services.items()}
@@ -175,10 +177,10 @@
 
     def factors(self, life: int) -> PaceFactors:
         """Of a life; 1 where it doesn't differ."""
-        return self._factors.get(life, EVEN)
+        return self._factors.get(life, UNIFORM)
 
     def observe(
-        self, life: EngineLife, aspect: Aspect, seconds: float, expected: float, now: float
+        self, life: EngineLife, aspect: PaceMetric, seconds: float, expected: float, now: float
     ) -> None:
         """Note what an attempt of this node showed.
 
@@ -197,95 +199,95 @@
         self._note_spread(key, aspect, value)
         shown = self._own.get(key)
         if shown is None:
-            shown = self._own[key] = LifeShown(now, now)
+            shown = self._own[key] = EngineSamples(now, now)
         shown.decay(now)
         shown.newest_at = self._newest[key] = now
-        one = shown.aspects[aspect]
+        one = shown.metrics[aspect]
         one.add(1.0, value)
         one.weight = min(MAX_WEIGHT, one.weight)
 
-    def _note_spread(self, key: int, aspect: Aspect, value: float) -> None:
+    def _note_spread(self, key: int, aspect: PaceMetric, value: float) -> None:
         """Learn how much samples of one life differ from each other."""
         known = self._own.get(key)
-        if known is None or known.aspects[aspect].weight <= 0:
+        if known is None or known.metrics[aspect].weight <= 0:
             return
-        one = known.aspects[aspect]
+        one = known.metrics[aspect]
         # Both the sample and the mean that it is held against err.
         square = (value - one.mean) ** 2 * one.weight / (one.weight + 1.0)
         at = (self._services[key], aspect)
-        variance = self._variance.get(at, FIRST_SPREAD**2)
-        self._variance[at] = variance + SPREAD_WEIGHT * (square - variance)
+        variance = self._variance.get(at, INITIAL_DEVIATION**2)
+        self._variance[at] = variance + VARIANCE_WEIGHT * (square - variance)
 
-    def error(self, service: str, aspect: Aspect, weight: float) -> float:
+    def error(self, service: str, aspect: PaceMetric, weight: float) -> float:
         """Standard error of the mean of samples of so much weight."""
-        variance = self._variance.get((service, aspect), FIRST_SPREAD**2)
+        variance = self._variance.get((service, aspect), INITIAL_DEVIATION**2)
         return math.sqrt(variance / weight) if weight > 0 else math.inf
 
     # What peers tell
 
-    def hear(self, peer: str, life: int, shown: LifeShown) -> None:
+    def receive_samples(self, peer: str, life: int, shown: EngineSamples) -> None:
         """Take in what a peer showed of a life, in place of what it told before."""
         if life in self._lives:
             self._peers.setdefault(life, {})[peer] = shown
             self._newest[life] = max(shown.newest_at, self._newest.get(life, float("-inf")))
 
-    def forget(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """What a peer told comes by another way now; of one that is gone it fades by itself."""
         for shown in self._peers.values():
             shown.pop(peer, None)
 
-    def own_newest(self) -> Iterator[tuple[int, float]]:
+    def own_sample_times(self) -> Iterator[tuple[int, float]]:
         """Lives that this node's attempts showed something of, and the time of the newest."""
         return ((life, shown.newest_at) for life, shown in self._own.items())
 
-    def newest(self) -> Iterator[tuple[int, float]]:
+    def sample_times(self) -> Iterator[tuple[int, float]]:
         """Lives that anybody showed something of, and the time of the newest."""
         return iter(self._newest.items())
 
-    def own(self, life: int, now: float) -> LifeShown:
+    def own_samples(self, life: int, now: float) -> EngineSamples:
         """What this node's attempts showed of a life."""
         return self._total(life, now, set())
 
-    def sum_of(self, life: int, peers: set[str], now: float) -> LifeShown:
+    def samples_of(self, life: int, peers: set[str], now: float) -> EngineSamples:
         """What this node and some of its peers showed of a life, together."""
         return self._total(life, now, peers)
 
-    def total(self, life: int, now: float) -> LifeShown:
+    def all_samples(self, life: int, now: float) -> EngineSamples:
         """What all showed of a life."""
         return self._total(life, now, None)
 
-    def _total(self, life: int, now: float, names: set[str] | None) -> LifeShown:
-        total = LifeShown(now, float("-inf"))
+    def _total(self, life: int, now: float, names: set[str] | None) -> EngineSamples:
+        total = EngineSamples(now, float("-inf"))
         told = self._peers.get(life, {})
         parts = [one for name, one in told.items() if names is None or name in names]
         own = self._own.get(life)
         for part in (*parts, own) if own is not None else parts:
             part.decay(now)
             total.newest_at = max(total.newest_at, part.newest_at)
-            for sums, one in zip(total.aspects, part.aspects, strict=True):
+            for sums, one in zip(total.metrics, part.metrics, strict=True):
                 if one.weight > 0:
                     sums.add(one.weight, one.mean)
         return total
 
     # What follows
 
-    def look(self, now: float) -> list[PaceChange]:
+    def update(self, now: float) -> list[PaceChange]:
         """Work out which lives differ; returns those that begin or cease to."""
         changes = []
         for life in self._due():
             self._judged[life] = now
             self._drop_faded(life, now)
-            former = self._factors.get(life, EVEN)
-            total = self.total(life, now)
+            former = self._factors.get(life, UNIFORM)
+            total = self.all_samples(life, now)
             factors = self._judge(life, total, former)
-            if factors == EVEN:
+            if factors == UNIFORM:
                 self._factors.pop(life, None)
             else:
                 self._factors[life] = factors
-            if (factors == EVEN) is not (former == EVEN):
+            if (factors == UNIFORM) is not (former == UNIFORM):
                 age = max(0.0, now - total.newest_at)
                 name = self._lives[life]
-                changes.append(PaceChange(name, factors != EVEN, factors, total.weight, age))
+                changes.append(PaceChange(name, factors != UNIFORM, factors, total.weight, age))
         self._note_services()
         return changes
 
@@ -296,29 +298,31 @@
             (self._judged.get(life, never) >= newest, self._judged.get(life, never), life)
             for life, newest in self._newest.items()
         )
-        return [life for _, _, life in order[:MOST_JUDGED]]
+        return [life for _, _, life in order[:MAX_EVALUATED]]
 
     def _drop_faded(self, life: int, now: float) -> None:
         told = self._peers.get(life, {})
         for name, shown in list(told.items()):
             shown.decay(now)
-            if shown.weight < FADED_WEIGHT:
+            if shown.weight < NEGLIGIBLE_WEIGHT:
                 del told[name]
 
-    def _judge(self, life: int, total: LifeShown, former: PaceFactors) -> PaceFactors:
+    def _judge(self, life: int, total: EngineSamples, former: PaceFactors) -> PaceFactors:
         before = (former.first, former.pause, former.held)
         first, pause, held = (
-            self._factor(self._services[life], aspect, total.aspects[aspect], before[aspect])
-            for aspect in Aspect
+            self._factor(self._services[life], aspect, total.metrics[aspect], before[aspect])
+            for aspect in PaceMetric
         )
         return PaceFactors(first, pause, held)
 
-    def _factor(self, service: str, aspect: Aspect, shown: Shown, before: float) -> float:
+    def _factor(
+        self, service: str, aspect: PaceMetric, shown: WeightedMean, before: float
+    ) -> float:
         differed = before != 1.0
-        if shown.weight < (PRIOR_WEIGHT if differed else LEAST_WEIGHT):
+        if shown.weight < (PRIOR_WEIGHT if differed else MIN_WEIGHT):
             return 1.0
-        errors = CEASES_ERRORS if differed else BEGINS_ERRORS
-        least = LEAST_DIFFERENCE / 2 if differed else LEAST_DIFFERENCE
+        errors = EXIT_ERRORS if differed else ENTER_ERRORS
+        least = MIN_DIFFERENCE / 2 if differed else MIN_DIFFERENCE
         error = self.error(service, aspect, shown.weight)
         if abs(shown.mean) < max(least, errors * error):
             return 1.0
--- a/postvalve/core/routing/pace_telling.py
+++ b/postvalve/core/routing/pace_gossip.py
@@ -14,21 +14,21 @@
 from dataclasses import dataclass, field
 
 from postvalve.core.routing.engine_load import PaceReading
-from postvalve.core.routing.engine_pace import Aspect, LifeShown
+from postvalve.core.routing.engine_pace import EngineSamples, PaceMetric
 
-HEARD_RATE = 1_000.0
+MAX_RECEIVE_RATE = 1_000.0
 """Bytes a second of these parts that a node hears from its zone, and the same from all others: the
 planned size leaves 7 KB/s for all control of a node."""
-MOST_BYTES = 240
+MAX_PACE_PART_BYTES = 240
 """Of one part: a report stays within a datagram."""
-READING_AGE = 0.5
+MAX_READING_AGE = 0.5
 """Seconds after which a reading isn't told any more."""
-LEAST_DEVIATION = 0.1
+MIN_DEVIATION = 0.1
 """Of the logarithm: readings that deviate less, from what the engine tells usually, are told only
 after one that did."""
-LEAST_WEIGHT = 0.2
+MIN_WEIGHT = 0.2
 """Weight of samples from which they are told."""
-TELL_AGAIN = 5.0
+RESEND_INTERVAL = 5.0
 """Seconds after which a life is told again though nothing new was shown: a node that starts hears
 of all in a while, and what a lost datagram held comes late."""
 
@@ -46,16 +46,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldPace:
+class PacePart:
     """A part, as a peer told it; times in monotonic seconds of this node."""
 
-    lives: tuple[tuple[int, LifeShown], ...]
+    lives: tuple[tuple[int, EngineSamples], ...]
     readings: tuple[tuple[int, float, float], ...]
     """Hash, pace (1.0 as usual) and time of each."""
 
 
 @dataclass(slots=True)
-class PaceTeller:
+class PacePartWriter:
     """Makes the parts for one group of peers."""
 
     _lives_allowance: float = 0.0
@@ -67,10 +67,10 @@
     """When each life was told last."""
     _told_readings: dict[int, PaceReading] = field(default_factory=dict)
 
-    def part(
+    def next_part(
         self,
         lives: Iterable[tuple[int, float]],
-        shown: Callable[[int], LifeShown],
+        shown: Callable[[int], EngineSamples],
         readings: Iterable[tuple[int, PaceReading]],
         sources: int,
         now: float,
@@ -87,9 +87,9 @@
         """
         elapsed = min(1.0, now - self._at)
         self._at = now
-        more = elapsed * HEARD_RATE / max(1, sources) / 2
-        self._lives_allowance = min(MOST_BYTES / 2, self._lives_allowance + more)
-        self._readings_allowance = min(MOST_BYTES / 2, self._readings_allowance + more)
+        more = elapsed * MAX_RECEIVE_RATE / max(1, sources) / 2
+        self._lives_allowance = min(MAX_PACE_PART_BYTES / 2, self._lives_allowance + more)
+        self._readings_allowance = min(MAX_PACE_PART_BYTES / 2, self._readings_allowance + more)
         packed_lives = self._lives(
             lives, shown, int((self._lives_allowance - _LIVES.size) / _LIFE.size), now
         )
@@ -110,26 +110,26 @@
         due = [
             (abs(one.deviation), life, one)
             for life, one in readings
-            if now - one.at <= READING_AGE and self._is_news(life, one)
+            if now - one.at <= MAX_READING_AGE and self._is_news(life, one)
         ]
         due.sort(key=lambda one: -one[0])
         chosen = due[:most]
         for _, life, one in chosen:
-            self._told_readings[life] = PaceReading(one.at, one.value, one.usual)
+            self._told_readings[life] = PaceReading(one.at, one.value, one.baseline)
         return b"".join(_pack_reading(life, one, now) for _, life, one in chosen)
 
     def _is_news(self, life: int, reading: PaceReading) -> bool:
         told = self._told_readings.get(life)
         if told is None:
-            return abs(reading.deviation) >= LEAST_DEVIATION
+            return abs(reading.deviation) >= MIN_DEVIATION
         if told.at >= reading.at:
             return False
-        return max(abs(reading.deviation), abs(told.deviation)) >= LEAST_DEVIATION
+        return max(abs(reading.deviation), abs(told.deviation)) >= MIN_DEVIATION
 
     def _lives(
         self,
         lives: Iterable[tuple[int, float]],
-        shown: Callable[[int], LifeShown],
+        shown: Callable[[int], EngineSamples],
         most: int,
         now: float,
     ) -> bytes:
@@ -140,7 +140,7 @@
         due = [
             (told >= at, told, life)
             for life, at in newest.items()
-            if (told := self._told.get(life, never)) < at or now - told >= TELL_AGAIN
+            if (told := self._told.get(life, never)) < at or now - told >= RESEND_INTERVAL
         ]
         chosen = [(life, shown(life)) for _, _, life in sorted(due)[:most]]
         self._told = {life: at for life, at in self._told.items() if life in newest}
@@ -150,13 +150,13 @@
         for life, _ in chosen:
             self._told[life] = now
         return b"".join(
-            _pack_life(life, one, now) for life, one in chosen if one.weight >= LEAST_WEIGHT
+            _pack_life(life, one, now) for life, one in chosen if one.weight >= MIN_WEIGHT
         )
 
 
-def _pack_life(life: int, shown: LifeShown, now: float) -> bytes:
-    means = [_signed(one.mean / _MEAN_UNIT) for one in shown.aspects]
-    weights = [_unsigned(one.weight / _WEIGHT_UNIT) for one in shown.aspects]
+def _pack_life(life: int, shown: EngineSamples, now: float) -> bytes:
+    means = [_signed(one.mean / _MEAN_UNIT) for one in shown.metrics]
+    weights = [_unsigned(one.weight / _WEIGHT_UNIT) for one in shown.metrics]
     return _LIFE.pack(life, *means, *weights, _unsigned((now - shown.newest_at) / _LIFE_AGE_UNIT))
 
 
@@ -173,8 +173,8 @@
     return round(min(255.0, max(0.0, value)))
 
 
-def unpack_told(data: bytes, now: float) -> ToldPace:
-    """Undo `PaceTeller.part`.
+def unpack_pace_part(data: bytes, now: float) -> PacePart:
+    """Undo `PacePartWriter.part`.
 
     Raises:
         struct.error: the bytes are cut.
@@ -188,13 +188,13 @@
         (life, math.exp(value * _VALUE_UNIT), now - age * _READING_AGE_UNIT)
         for life, value, age in _READING.iter_unpack(data[end:])
     )
-    return ToldPace(lives, readings)
+    return PacePart(lives, readings)
 
 
-def _life(fields: tuple[int, ...], now: float) -> tuple[int, LifeShown]:
+def _life(fields: tuple[int, ...], now: float) -> tuple[int, EngineSamples]:
     life, *rest = fields
-    shown = LifeShown(now, now - rest[-1] * _LIFE_AGE_UNIT)
-    for aspect in Aspect:
-        shown.aspects[aspect].mean = rest[aspect] * _MEAN_UNIT
-        shown.aspects[aspect].weight = rest[len(Aspect) + aspect] * _WEIGHT_UNIT
+    shown = EngineSamples(now, now - rest[-1] * _LIFE_AGE_UNIT)
+    for aspect in PaceMetric:
+        shown.metrics[aspect].mean = rest[aspect] * _MEAN_UNIT
+        shown.metrics[aspect].weight = rest[len(PaceMetric) + aspect] * _WEIGHT_UNIT
     return life, shown
--- a/postvalve/core/routing/route_table.py
+++ b/postvalve/core/routing/route_table.py
@@ -61,7 +61,7 @@
         return next((one for one in self.configuration.routes if one.name == name), None)
 
     @property
-    def names_callers(self) -> bool:
+    def requires_api_key(self) -> bool:
         """Whether requests need an API key, but for routes that say otherwise."""
         return self.configuration.tenants is not None
 
--- a/postvalve/core/scheduling/accounts.py
+++ b/postvalve/core/scheduling/accounts.py
@@ -1,9 +1,9 @@
 """What each tenant asked for and got at one node: counts of bounded size, and no decisions.
 
 Every request counts once, when it ends, so that what was asked is at all times the sum of the ways
-in which it ended. A tenant has an account of its own while it is among the first `RANKED` in one of
+in which it ended. A tenant has an account of its own while it is among the first `TOP_TENANTS` in one of
 three orders of the last `WINDOW` seconds: who asked most, who held engines longest, who was served
-worst. There may be `MOST_OWN` accounts; when one more tenant comes, all that are in none of these
+worst. There may be `MAX_ACCOUNTS` accounts; when one more tenant comes, all that are in none of these
 orders are summed in one account, and a tenant among them begins anew when it comes again. So a
 newcomer has the time of many others to show what it asks for, and a node's sums are exact.
 """
@@ -17,18 +17,18 @@
 from dataclasses import dataclass, field
 from typing import Any, Self
 
-SLICE = 5.0
+SLICE_SECONDS = 5.0
 """Seconds of one slice of the window."""
 SLICES = 6
 """Slices of the window, the one under way among them."""
-WINDOW = SLICE * SLICES
+WINDOW = SLICE_SECONDS * SLICES
 """Seconds of which `Row.lately` tells at the most, and a slice less at the least: a heap of
 requests and what came of it."""
-RANKED = 24
+TOP_TENANTS = 24
 """Tenants of each order that keep accounts of their own."""
-MOST_OWN = 128
+MAX_ACCOUNTS = 128
 """Accounts of single tenants."""
-PRIOR = 2
+PRIOR_REQUESTS = 2
 """Requests served in time that are added to all when tenants are ordered by how they were served:
 one refused request must not rank before a hundred of them."""
 OTHERS = "all others"
@@ -83,7 +83,7 @@
     End.INVALID,
     End.REFUSED_ELSE,
 )
-NOT_OWED = (End.LEFT, End.OVER_LIMIT, End.KEY_UNKNOWN, End.INVALID)
+CALLER_CAUSED = (End.LEFT, End.OVER_LIMIT, End.KEY_UNKNOWN, End.INVALID)
 """Ends that are the caller's own doing, passed over in the order of who is served worst."""
 
 
@@ -115,19 +115,19 @@
         return sum(self.ends.get(one, 0) for one in REFUSED)
 
     @property
-    def owed(self) -> int:
+    def eligible(self) -> int:
         """Requests that should have been served."""
-        return self.asked - sum(self.ends.get(one, 0) for one in NOT_OWED)
+        return self.asked - sum(self.ends.get(one, 0) for one in CALLER_CAUSED)
 
     @property
     def in_time_share(self) -> float:
         """Share of what was owed that was served in time; 1 where nothing was."""
-        return self.ends.get(End.IN_TIME, 0) / self.owed if self.owed else 1.0
+        return self.ends.get(End.IN_TIME, 0) / self.eligible if self.eligible else 1.0
 
     @property
-    def standing(self) -> float:
+    def in_time_score(self) -> float:
         """The same, nearer to 1 the fewer requests it is made of."""
-        return (self.ends.get(End.IN_TIME, 0) + PRIOR) / (self.owed + PRIOR)
+        return (self.ends.get(End.IN_TIME, 0) + PRIOR_REQUESTS) / (self.eligible + PRIOR_REQUESTS)
 
     def add(self, other: Counts) -> None:
         """Add what others came to."""
@@ -156,7 +156,7 @@
         }
 
     @classmethod
-    def read(cls, fields: Mapping[str, Any]) -> Self:
+    def from_fields(cls, fields: Mapping[str, Any]) -> Self:
         """Counts from `fields` of this or another build: what is missing counts as nothing."""
         plain = [one.name for one in dataclasses.fields(cls) if one.name not in ("ends", "items")]
         return cls(
@@ -181,7 +181,7 @@
     tenant: str
     total: Counts
     """Since the node's start, or since the tenant last got an account."""
-    lately: Counts
+    recent: Counts
     """Of the last `WINDOW` seconds."""
     running: int = 0
     """Online requests that are at engines now."""
@@ -192,7 +192,7 @@
             "tenant": self.tenant,
             "running": self.running,
             "total": self.total.fields(),
-            "lately": self.lately.fields(),
+            "lately": self.recent.fields(),
         }
 
 
@@ -217,7 +217,7 @@
         while self._slices and self._slices[0][0] <= number - SLICES:
             self._past.add(self._slices.popleft()[1])
 
-    def lately(self, number: int) -> Counts:
+    def recent(self, number: int) -> Counts:
         """Counts of the window that ends with the slice of that number."""
         self._expire(number)
         return total_of(counts for _, counts in self._slices)
@@ -244,14 +244,14 @@
         self._own: dict[str, _Account] = {}
         self._others: _Account | None = None
         self._running: dict[str, int] = {}
-        self.noted = 0
+        self.change_count = 0
         """Times that anything was counted."""
 
     def __len__(self) -> int:
         """Number of tenants that have accounts of their own."""
         return len(self._own)
 
-    def note_request(
+    def record_request(
         self,
         tenant: str,
         end: End,
@@ -280,11 +280,11 @@
             counts.worst_wait = waited
         counts.online_seconds += engine_seconds
 
-    def note_started(self, tenant: str) -> None:
+    def record_start(self, tenant: str) -> None:
         """An engine gets an online request of a tenant."""
         self._running[tenant] = self._running.get(tenant, 0) + 1
 
-    def note_stopped(self, tenant: str) -> None:
+    def record_stop(self, tenant: str) -> None:
         """That engine is done with it."""
         self._running[tenant] -= 1
         if not self._running[tenant]:
@@ -295,29 +295,29 @@
         first_ones = sorted(self._running.items(), key=lambda one: (-one[1], one[0]))[:count]
         return dict(first_ones)
 
-    def note_item_run(self, tenant: str, seconds: float, now: float) -> None:
+    def record_item_run(self, tenant: str, seconds: float, now: float) -> None:
         """A batch item was at an engine for some time, whether it ended there or not."""
         self._counts(tenant, now).item_seconds += seconds
 
-    def note_item_end(self, tenant: str, outcome: ItemOutcome, now: float) -> None:
+    def record_item_end(self, tenant: str, outcome: ItemOutcome, now: float) -> None:
         """A batch item ended."""
         items = self._counts(tenant, now).items
         items[outcome] = items.get(outcome, 0) + 1
 
     def _counts(self, tenant: str, now: float) -> Counts:
-        self.noted += 1
-        number = int(now // SLICE)
+        self.change_count += 1
+        number = int(now // SLICE_SECONDS)
         account = self._own.get(tenant)
         if account is None:
-            if len(self._own) >= MOST_OWN:
+            if len(self._own) >= MAX_ACCOUNTS:
                 self._fold(number)
             account = self._own[tenant] = _Account()
         return account.at(number)
 
     def _fold(self, number: int) -> None:
         """Sum the accounts of all that are in none of the orders."""
-        lately = {tenant: account.lately(number) for tenant, account in self._own.items()}
-        kept = set().union(*(first(lately, order, RANKED) for order in ORDERS))
+        lately = {tenant: account.recent(number) for tenant, account in self._own.items()}
+        kept = set().union(*(top_tenants(lately, order, TOP_TENANTS) for order in ORDERS))
         for tenant in lately.keys() - kept:
             if self._others is None:
                 self._others = _Account()
@@ -328,16 +328,16 @@
 
         Tenants whose first request still runs are among the others.
         """
-        number = int(now // SLICE)
+        number = int(now // SLICE_SECONDS)
         rows = [
-            Row(tenant, account.total(), account.lately(number), self._running.get(tenant, 0))
+            Row(tenant, account.total(), account.recent(number), self._running.get(tenant, 0))
             for tenant, account in self._own.items()
         ]
-        rows.sort(key=lambda row: (row.lately.standing, row.total.standing, row.tenant))
+        rows.sort(key=lambda row: (row.recent.in_time_score, row.total.in_time_score, row.tenant))
         running = sum(self._running.values()) - sum(row.running for row in rows)
         if self._others is not None or running:
             others = self._others or _Account()
-            rows.append(Row(OTHERS, others.total(), others.lately(number), running))
+            rows.append(Row(OTHERS, others.total(), others.recent(number), running))
         return rows
 
 
@@ -351,14 +351,16 @@
     return -counts.engine_seconds
 
 
-def by_standing(counts: Counts) -> float:
+def by_in_time_score(counts: Counts) -> float:
     """Order of who was served worst."""
-    return counts.standing
+    return counts.in_time_score
 
 
-ORDERS: tuple[Callable[[Counts], float], ...] = (by_asked, by_engine_seconds, by_standing)
+ORDERS: tuple[Callable[[Counts], float], ...] = (by_asked, by_engine_seconds, by_in_time_score)
 
 
-def first(lately: Mapping[str, Counts], order: Callable[[Counts], float], count: int) -> list[str]:
+def top_tenants(
+    lately: Mapping[str, Counts], order: Callable[[Counts], float], count: int
+) -> list[str]:
     """The first tenants in an order, by name among equals."""
     return sorted(lately, key=lambda tenant: (order(lately[tenant]), tenant))[:count]
--- a/postvalve/core/scheduling/waiting_order.py
+++ b/postvalve/core/scheduling/queue_order.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Place:
+class QueuePosition:
     """Where a request stands: the least goes first."""
 
     rank: tuple[int, int]
@@ -40,41 +40,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShareNews:
+class ShareUpdate:
     """What a node tells of the fair shares."""
 
     clock: float
-    first: Mapping[int, Place]
+    queue_heads: Mapping[int, QueuePosition]
     """The first that waits there, by the hash of its service."""
 
     def pack(self) -> bytes:
         """For the wire."""
-        told = sorted(self.first.items())[:MAX_SERVICES]
+        told = sorted(self.queue_heads.items())[:MAX_SERVICES]
         return _CLOCK.pack(self.clock) + b"".join(
             _FIRST.pack(key, *(min(MAX_RANK, one) for one in place.rank), place.tag)
             for key, place in told
         )
 
 
-def unpack_news(data: bytes) -> ShareNews | None:
-    """Undo `ShareNews.pack`; None for bytes that are none."""
+def unpack_share_update(data: bytes) -> ShareUpdate | None:
+    """Undo `ShareUpdate.pack`; None for bytes that are none."""
     if len(data) < _CLOCK.size or (len(data) - _CLOCK.size) % _FIRST.size:
         return None
     (clock,) = _CLOCK.unpack_from(data)
     entries = _FIRST.iter_unpack(data[_CLOCK.size :])
-    first = {key: Place((own, route), tag) for key, own, route, tag in entries}
+    first = {key: QueuePosition((own, route), tag) for key, own, route, tag in entries}
     if not all(math.isfinite(one) for one in (clock, *(place.tag for place in first.values()))):
         return None
-    return ShareNews(clock, first)
+    return ShareUpdate(clock, first)
 
 
-def merge_news(parts: Iterable[bytes]) -> bytes:
+def merge_share_updates(parts: Iterable[bytes]) -> bytes:
     """What a zone tells: the newest clock, and the first of all its nodes; empty for no news."""
-    known = [one for one in map(unpack_news, parts) if one is not None]
+    known = [one for one in map(unpack_share_update, parts) if one is not None]
     if not known:
         return b""
-    first: dict[int, Place] = {}
+    first: dict[int, QueuePosition] = {}
     for news in known:
-        for key, place in news.first.items():
+        for key, place in news.queue_heads.items():
             first[key] = min(place, first.get(key, place))
-    return ShareNews(max(one.clock for one in known), first).pack()
+    return ShareUpdate(max(one.clock for one in known), first).pack()
--- a/postvalve/core/scheduling/weights.py
+++ b/postvalve/core/scheduling/weights.py
@@ -6,11 +6,11 @@
 
 from postvalve.settings.routes import RoutedTenant
 
-EQUAL_WEIGHT = 1.0
+DEFAULT_WEIGHT = 1.0
 """Of a tenant where the configuration says nothing by which tenants could differ."""
 
 
-def weights_of(tenants: Iterable[RoutedTenant]) -> dict[str, float]:
+def tenant_weights(tenants: Iterable[RoutedTenant]) -> dict[str, float]:
     """Weight by the tenant's name.
 
     Rates are what operators have agreed on with tenants, so they are the weights where every tenant
@@ -18,4 +18,4 @@
     """
     known = list(tenants)
     rated = all(one.rate > 0 for one in known)
-    return {one.name: one.rate if rated else EQUAL_WEIGHT for one in known}
+    return {one.name: one.rate if rated else DEFAULT_WEIGHT for one in known}
--- a/postvalve/core/scheduling/line.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -19,21 +19,21 @@
 
 from postvalve.core.membership.feature_gate import SETTLE_TIME
 from postvalve.core.membership.ownership import preferred_owner
-from postvalve.core.scheduling.waiting_order import MAX_RANK, Place
+from postvalve.core.scheduling.queue_order import MAX_RANK, QueuePosition
 
-MAX_TOLD = 4
+MAX_REPORTED = 4
 """Requests that a node tells of at once, the first in its order: more than it gets slots until it
 tells again."""
 STATES_PER_SECOND = 150.0
 """States that a keeper reads at the most; with as many answers they stay within 3% of a core."""
-LEAST_INTERVAL = 0.06
+MIN_STATE_INTERVAL = 0.06
 """Seconds between two states of a node at the least: with the answers these are 2.5 KB/s."""
 STATE_TIME = 0.5
 """Seconds for which a state counts, or two intervals where these are longer. A node that is gone
 keeps grants from the others for no longer than `GRANT_TIME` after its last one."""
 GRANT_TIME = 0.25
 """Seconds after which a grant that nothing shows counts as not used: reports come sooner."""
-KEEPER_PATIENCE = 0.1
+COORDINATOR_TIMEOUT = 0.1
 """Seconds without an answer after which a node goes by its own order."""
 LISTEN_TIME = 1.0
 """Seconds after its start in which a node keeps no line: it must hear what engines run first."""
@@ -46,10 +46,10 @@
 """Hash of the service; number of the grant; numbers of granted and of waiting requests."""
 _NUMBER = struct.Struct("!I")
 _AHEAD = struct.Struct("!IH")
-MAX_NEW = 1000
+MAX_TRACKED_NODES = 1000
 """Nodes whose starts are remembered, the last ones: several times as many as a zone has."""
 MAX_AHEAD = 0xFFFF
-MAX_FOLLOWED = 0xF0000000
+MAX_ADOPTED_GRANT = 0xF0000000
 """Largest number of another keeper beyond which this one goes on: the rest of 32 bits is left for
 its own, also where a node tells a wrong one."""
 
@@ -62,7 +62,7 @@
         self._lives: dict[str, tuple[int, float]] = {}
         """Incarnation of each node, and when it was first heard."""
 
-    def hear(self, node_id: str, incarnation: int, now: float) -> None:
+    def record(self, node_id: str, incarnation: int, now: float) -> None:
         """A node reported itself."""
         known = self._lives.get(node_id)
         if known is not None and known[0] == incarnation:
@@ -71,36 +71,36 @@
         first = -math.inf if known is None and now < self._listens_until else now
         self._lives.pop(node_id, None)
         self._lives[node_id] = incarnation, first
-        if len(self._lives) > MAX_NEW:
+        if len(self._lives) > MAX_TRACKED_NODES:
             del self._lives[next(iter(self._lives))]
 
-    def has(self, node_id: str, now: float) -> bool:
+    def includes(self, node_id: str, now: float) -> bool:
         """Whether it is one."""
         known = self._lives.get(node_id)
         return known is not None and now - known[1] < SETTLE_TIME
 
 
-def keeper_of(zone: str, service: int, node_ids: Iterable[str]) -> str | None:
+def coordinator_of(zone: str, service: int, node_ids: Iterable[str]) -> str | None:
     """The node that keeps a line, alike at all nodes with the same view."""
     return preferred_owner(f"line {zone} {service}", node_ids)
 
 
 def state_interval(nodes: int) -> float:
     """Seconds between two states of a node where a zone has so many."""
-    return max(LEAST_INTERVAL, nodes / STATES_PER_SECOND)
+    return max(MIN_STATE_INTERVAL, nodes / STATES_PER_SECOND)
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingRequest:
     """A request that waits at a node."""
 
     number: int
     """By which that node knows it."""
-    place: Place
+    place: QueuePosition
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class QueueState:
     """Those that wait at one node for one service, the first in order."""
 
     service: int
@@ -108,16 +108,16 @@
     node_id: str
     incarnation: int
     number: int
-    taken: int
+    last_grant: int
     """Number of the last grant that this node has taken in."""
-    waiting: tuple[Waiting, ...] = ()
+    waiting: tuple[WaitingRequest, ...] = ()
 
     def pack(self) -> bytes:
         """For the wire."""
         node = self.node_id.encode()[:0xFF]
-        told = self.waiting[:MAX_TOLD]
+        told = self.waiting[:MAX_REPORTED]
         head = _STATE.pack(
-            self.service, self.incarnation, self.number, self.taken, len(node), len(told)
+            self.service, self.incarnation, self.number, self.last_grant, len(node), len(told)
         )
         entries = (
             _ENTRY.pack(one.number, *(min(MAX_RANK, r) for r in one.place.rank), one.place.tag)
@@ -140,17 +140,17 @@
 
     def pack(self) -> bytes:
         """For the wire."""
-        granted, ahead = self.granted[:0xFF], self.ahead[:MAX_TOLD]
+        granted, ahead = self.granted[:0xFF], self.ahead[:MAX_REPORTED]
         head = _GRANT.pack(self.service, self.number, len(granted), len(ahead))
         numbers = b"".join(map(_NUMBER.pack, granted))
         return head + numbers + b"".join(_AHEAD.pack(n, min(MAX_AHEAD, a)) for n, a in ahead)
 
 
-class LineMessageError(ValueError):
+class QueueMessageError(ValueError):
     """Bytes that are no state, or no grant."""
 
 
-def unpack_state(data: bytes) -> State:
+def unpack_state(data: bytes) -> QueueState:
     """Undo `State.pack`.
 
     Raises:
@@ -161,16 +161,16 @@
         start = _STATE.size + length
         node = data[_STATE.size : start].decode()
         if len(data) != start + count * _ENTRY.size:
-            raise LineMessageError("a state of a wrong length")
+            raise QueueMessageError("a state of a wrong length")
         entries = _ENTRY.iter_unpack(data[start:])
     except (struct.error, UnicodeDecodeError) as exc:
-        raise LineMessageError(f"no state: {exc}") from exc
+        raise QueueMessageError(f"no state: {exc}") from exc
     waiting = tuple(
-        Waiting(one, Place((own, route), tag))
+        WaitingRequest(one, QueuePosition((own, route), tag))
         for one, own, route, tag in entries
         if math.isfinite(tag)
     )
-    return State(service, node, incarnation, number, taken, waiting)
+    return QueueState(service, node, incarnation, number, taken, waiting)
 
 
 def unpack_grant(data: bytes) -> Grant:
@@ -182,10 +182,10 @@
     try:
         service, number, granted, ahead = _GRANT.unpack_from(data)
     except struct.error as exc:
-        raise LineMessageError(f"no grant: {exc}") from exc
+        raise QueueMessageError(f"no grant: {exc}") from exc
     middle = _GRANT.size + granted * _NUMBER.size
     if len(data) != middle + ahead * _AHEAD.size:
-        raise LineMessageError("a grant of a wrong length")
+        raise QueueMessageError("a grant of a wrong length")
     numbers = tuple(one for (one,) in _NUMBER.iter_unpack(data[_GRANT.size : middle]))
     return Grant(service, number, numbers, tuple(_AHEAD.iter_unpack(data[middle:])))
 
@@ -208,7 +208,7 @@
 class _Member:
     """What the keeper knows of one node."""
 
-    state: State
+    state: QueueState
     heard_at: float
     given: list[_Given] = field(default_factory=list)
     open: list[_Key] = field(default_factory=list)
@@ -224,7 +224,7 @@
         ]
 
 
-class LineKeeper:
+class QueueCoordinator:
     """The line of one service, at the node that keeps it. Times are monotonic seconds."""
 
     def __init__(self, service: int, first_grant: int) -> None:
@@ -233,12 +233,12 @@
         self._members: dict[str, _Member] = {}
         self._grants = first_grant
 
-    def hear(self, state: State, now: float) -> bool:
+    def receive(self, state: QueueState, now: float) -> bool:
         """Take in who waits at a node; returns whether it is newer than what was known."""
         known = self._members.get(state.node_id)
-        if self._grants < state.taken <= MAX_FOLLOWED:
+        if self._grants < state.last_grant <= MAX_ADOPTED_GRANT:
             # Another keeper's: this one's must be larger, else they would count as taken unseen.
-            self._grants = state.taken
+            self._grants = state.last_grant
         if known is None:
             known = self._members[state.node_id] = _Member(state, now)
             known.update()
@@ -250,7 +250,7 @@
             known.given = []
         known.state, known.heard_at = state, now
         # A report that shows what it has taken goes before each state.
-        known.given = [one for one in known.given if one.grant > state.taken]
+        known.given = [one for one in known.given if one.grant > state.last_grant]
         known.update()
         return True
 
@@ -266,7 +266,7 @@
                 member.update()
 
     @property
-    def stands(self) -> bool:
+    def has_waiting(self) -> bool:
         """Whether anybody waits."""
         return any(one.state.waiting for one in self._members.values())
 
@@ -311,11 +311,11 @@
         return {node_id: self._answer(one, order) for node_id, one in members if one is not None}
 
     def _answer(self, member: _Member, order: list[_Key]) -> Grant:
-        last = max((one.grant for one in member.given), default=member.state.taken)
+        last = max((one.grant for one in member.given), default=member.state.last_grant)
         before = tuple((key[3], bisect.bisect_left(order, key)) for key in member.open)
         return Grant(self._service, last, tuple(one.request for one in member.given), before)
 
 
-def told_first(waiting: Sequence[tuple[int, Place]]) -> tuple[Waiting, ...]:
+def first_waiting(waiting: Sequence[tuple[int, QueuePosition]]) -> tuple[WaitingRequest, ...]:
     """What a node tells of those that wait there, given in its order."""
-    return tuple(Waiting(number, place) for number, place in waiting[:MAX_TOLD])
+    return tuple(WaitingRequest(number, place) for number, place in waiting[:MAX_REPORTED])
--- a/postvalve/core/serving/read_ahead.py
+++ b/postvalve/core/serving/client_buffer.py
@@ -15,21 +15,21 @@
 BUDGET_SHARE = 1 / 16
 """Share of a machine's memory held for slow clients. A node at rest takes nearly three quarters of
 the smallest machines, and requests under way want most of what is left."""
-USUAL_MACHINE_MB = 256.0
+DEFAULT_MACHINE_MB = 256.0
 """Memory reckoned with where the settings don't tell a machine's."""
 STREAM_SHARE = 1 / 4
 """Share of the budget that one stream may hold, so that one client doesn't use it up."""
 EVENT_OVERHEAD = 56
 """Bytes that an event takes beside its own: the object's head, its place in the store, and what the
 allocator rounds up. Events of a token are shorter than this."""
-HOLD_BACK = 2.0
+MAX_BACKPRESSURE = 2.0
 """Seconds for which a full store may keep an engine's answer waiting, all its waits together.
 Engines cut answers off that lie unread for some seconds, and a slot is held meanwhile."""
 
 
 def slow_client_bytes(memory_mb: float | None) -> int:
     """The budget of a node on a machine with so many MB."""
-    return int((memory_mb or USUAL_MACHINE_MB) * 1e6 * BUDGET_SHARE)
+    return int((memory_mb or DEFAULT_MACHINE_MB) * 1e6 * BUDGET_SHARE)
 
 
 class CutCause(enum.StrEnum):
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Holding:
+class BufferAccount:
     """What is held for one connection."""
 
     tenant: str
@@ -77,23 +77,23 @@
         self.stream_share = STREAM_SHARE
         self.held = 0
         """Bytes; never above the limit."""
-        self._holdings: dict[Holding, None] = {}
+        self._holdings: dict[BufferAccount, None] = {}
 
     @property
     def stream_limit(self) -> int:
         """Bytes that one stream may hold."""
         return int(self.limit * self.stream_share)
 
-    def holdings(self) -> list[Holding]:
+    def holdings(self) -> list[BufferAccount]:
         """Whoever something is held for."""
         return list(self._holdings)
 
-    def take(self, holding: Holding, size: int, now: float) -> list[Holding]:
+    def take(self, holding: BufferAccount, size: int, now: float) -> list[BufferAccount]:
         """Hold `size` bytes more; returns who is given up for it, `holding` itself perhaps.
 
         What those held counts no more. Nothing is added to one that was given up.
         """
-        given_up: list[Holding] = []
+        given_up: list[BufferAccount] = []
         if holding.cause is None and holding.size + size > self.limit:
             given_up.append(self._give_up(holding))
         while holding.cause is None and self.held + size > self.limit:
@@ -102,23 +102,23 @@
             self._change(holding, size, now)
         return given_up
 
-    def give(self, holding: Holding, size: int, now: float) -> None:
+    def give(self, holding: BufferAccount, size: int, now: float) -> None:
         """Hold `size` bytes less; nothing is held any more for one that was given up."""
         if holding.cause is None:
             self._change(holding, -size, now)
 
-    def cut(self, holding: Holding, cause: CutCause) -> None:
+    def cut(self, holding: BufferAccount, cause: CutCause) -> None:
         """Give a holding up."""
         self.release(holding)
         holding.cause = cause
 
-    def release(self, holding: Holding) -> None:
+    def release(self, holding: BufferAccount) -> None:
         """Hold nothing for it any more."""
         self.held -= holding.size
         holding.size = 0
         self._holdings.pop(holding, None)
 
-    def _change(self, holding: Holding, size: int, now: float) -> None:
+    def _change(self, holding: BufferAccount, size: int, now: float) -> None:
         self.held += size
         holding.change(size, now)
         if holding.size:
@@ -126,11 +126,11 @@
         else:
             self._holdings.pop(holding, None)
 
-    def _give_up(self, holding: Holding) -> Holding:
+    def _give_up(self, holding: BufferAccount) -> BufferAccount:
         self.cut(holding, CutCause.MEMORY_SHORT)
         return holding
 
-    def _worst(self, asking: Holding, size: int, now: float) -> Holding:
+    def _worst(self, asking: BufferAccount, size: int, now: float) -> BufferAccount:
         """Of the tenant that holds most, who holds most for longest.
 
         Tenants count alike: it is for engines' time that they agree on rates. The bytes asked for
@@ -146,10 +146,10 @@
         return max(candidates or [asking], key=lambda one: (one.byte_seconds(now), one.size))
 
 
-class EventStore:
+class EventBuffer:
     """Events of one stream that its client hasn't taken yet, in order, and how the stream ended."""
 
-    def __init__(self, budget: MemoryBudget, holding: Holding) -> None:
+    def __init__(self, budget: MemoryBudget, holding: BufferAccount) -> None:
         self.holding = holding
         self._budget = budget
         self._events: deque[bytes] = deque()
@@ -160,7 +160,7 @@
         self.error: PostvalveError | None = None
         """What ended the stream before its end."""
 
-    def patience(self, size: int, now: float) -> float:
+    def max_wait(self, size: int, now: float) -> float:
         """Seconds for which an event of `size` bytes must wait for room, at the most.
 
         None are left, and the store is given up, when the client has been too slow for too long.
@@ -172,12 +172,12 @@
         self._full_since = now if full else None
         if not full:
             return 0.0
-        left = HOLD_BACK - self._held_back
+        left = MAX_BACKPRESSURE - self._held_back
         if left <= 0 and self.holding.cause is None:
             self._budget.cut(self.holding, CutCause.STORE_FULL)
         return max(0.0, left)
 
-    def put(self, event: bytes, now: float) -> list[Holding]:
+    def put(self, event: bytes, now: float) -> list[BufferAccount]:
         """Keep an event; returns who is given up for it, this store's own holding perhaps."""
         given_up = self._budget.take(self.holding, len(event) + EVENT_OVERHEAD, now)
         if self.holding.cause is None:
@@ -188,7 +188,7 @@
         """The event that the client gets next, or nothing."""
         return self._events[0] if self._events and self.holding.cause is None else b""
 
-    def drop_first(self, now: float) -> None:
+    def pop_first(self, now: float) -> None:
         """The client has taken it."""
         if self._events:
             size = len(self._events.popleft()) + EVENT_OVERHEAD
--- a/postvalve/core/serving/transfer_pace.py
+++ b/postvalve/core/serving/transfer_rate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class TransferPace:
+class MinTransferRate:
     """Whether a transfer keeps up with the slowest pace allowed.
 
     It may fall behind by a stated time, and what went early is no credit for later: else somebody
@@ -17,11 +17,11 @@
         self._left = allowance
         self._told_at = now
 
-    def went(self, size: int, now: float) -> None:
+    def record(self, size: int, now: float) -> None:
         """So many bytes went over."""
-        self._left = min(self._allowance, self.left(now) + size / self._rate)
+        self._left = min(self._allowance, self.seconds_left(now) + size / self._rate)
         self._told_at = now
 
-    def left(self, now: float) -> float:
+    def seconds_left(self, now: float) -> float:
         """Seconds until it is too slow if nothing goes over; 0 or less: it is."""
         return self._left - (now - self._told_at)
--- a/postvalve/gateway/engines/engine_connections.py
+++ b/postvalve/gateway/engines/engine_connections.py
@@ -16,9 +16,9 @@
 from geventhttpclient.response import HTTPParseError, HTTPResponse
 
 from postvalve.clock import Clock
-from postvalve.core.admission.connection_share import MAX_RESTING
-from postvalve.core.routing.connect_patience import ConnectPatience
-from postvalve.core.serving.transfer_pace import TransferPace
+from postvalve.core.admission.connection_share import MAX_IDLE_CONNECTIONS
+from postvalve.core.routing.connect_timeout import ConnectTimeout
+from postvalve.core.serving.transfer_rate import MinTransferRate
 from postvalve.exceptions import AttemptError, EngineCutError, Verdict
 from postvalve.gateway.interfaces import Headers
 from postvalve.sockets import send_at_once
@@ -171,7 +171,7 @@
         """Whether the next event, or the end, needs no more bytes."""
         return self._parser.has_event() or self._parser.message_complete
 
-    def rest_of_body(self) -> bytes:
+    def take_remaining_body(self) -> bytes:
         """What a stream has after its last event."""
         return self._parser.take_body()
 
@@ -220,7 +220,7 @@
         if self.aborted or parser.surplus or parser.should_close():
             self._connection.close()
             return
-        self._pool.rest(self._address, self._connection, self.header("keep-alive"))
+        self._pool.release(self._address, self._connection, self.header("keep-alive"))
 
 
 class ConnectionPool:
@@ -229,20 +229,20 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self._engines: dict[str, _Engine] = defaultdict(_Engine)
-        self._resting_limit = MAX_RESTING
-        self._patience = ConnectPatience()
+        self._resting_limit = MAX_IDLE_CONNECTIONS
+        self._patience = ConnectTimeout()
         self.opened = 0
         """Connections opened since the start."""
 
-    def start(
+    def send_request(
         self,
         address: str,
         request: bytes,
         deadline: float,
         *,
-        wanted: Callable[[], bool],
-        fresh: bool = False,
-        hurried: bool = False,
+        still_usable: Callable[[], bool],
+        new_connection: bool = False,
+        fail_over_early: bool = False,
     ) -> EngineAnswer:
         """Send a request; returns its answer, of which nothing was read yet.
 
@@ -260,9 +260,9 @@
         Raises:
             AttemptError: NOT_RUN when nothing was sent, else MAY_HAVE_RUN.
         """
-        resting = None if fresh else self._take(address)
-        connection = resting or self._open(address, deadline, hurried)
-        if not wanted():
+        resting = None if new_connection else self._take(address)
+        connection = resting or self._open(address, deadline, fail_over_early)
+        if not still_usable():
             connection.close()
             raise AttemptError("the engine takes no work any more", Verdict.NOT_RUN)
         answer = EngineAnswer(self, address, connection, deadline)
@@ -277,15 +277,15 @@
     def _send(self, connection: Any, request: bytes, deadline: float) -> None:
         """Send a request to an engine that reads it in time; mostly its socket takes it at once."""
         now = self.clock.monotonic()
-        pace = TransferPace(MIN_SEND_RATE, SEND_PATIENCE, now)
+        pace = MinTransferRate(MIN_SEND_RATE, SEND_PATIENCE, now)
         rest = memoryview(request)
         while rest:
-            connection.settimeout(max(MIN_SEND_WAIT, min(pace.left(now), deadline - now)))
+            connection.settimeout(max(MIN_SEND_WAIT, min(pace.seconds_left(now), deadline - now)))
             sent = connection.send(rest)
             rest = rest[sent:]
             now = self.clock.monotonic()
-            pace.went(sent, now)
-            if rest and (pace.left(now) <= 0 or now >= deadline):
+            pace.record(sent, now)
+            if rest and (pace.seconds_left(now) <= 0 or now >= deadline):
                 raise TimeoutError("the engine reads too slowly")
 
     def _take(self, address: str) -> Any | None:
@@ -298,10 +298,10 @@
             one.connection.close()
         return None
 
-    def _open(self, address: str, deadline: float, hurried: bool) -> Any:
+    def _open(self, address: str, deadline: float, fail_over_early: bool) -> Any:
         host, _, port = address.rpartition(":")
         started_at = self.clock.monotonic()
-        longest = self._patience.seconds(CONNECT_TIMEOUT) if hurried else CONNECT_TIMEOUT
+        longest = self._patience.seconds(CONNECT_TIMEOUT) if fail_over_early else CONNECT_TIMEOUT
         patience = min(longest, deadline - started_at)
         if patience <= 0:
             raise AttemptError("the deadline passed", Verdict.NOT_RUN)
@@ -314,11 +314,11 @@
         except OSError as error:
             connection.close()
             raise AttemptError(f"connecting failed: {error!r}", Verdict.NOT_RUN) from error
-        self._patience.note(self.clock.monotonic() - started_at)
+        self._patience.record(self.clock.monotonic() - started_at)
         self.opened += 1
         return connection
 
-    def rest(self, address: str, connection: Any, keep_alive: str | None) -> None:
+    def release(self, address: str, connection: Any, keep_alive: str | None) -> None:
         """Keep a connection whose last answer was whole."""
         resting = self._engines[address].resting
         seconds = _kept_seconds(keep_alive)
@@ -327,7 +327,7 @@
             return
         resting.append(_Resting(connection, self.clock.monotonic() + seconds))
 
-    def limit_resting(self, connections: int) -> None:
+    def set_idle_limit(self, connections: int) -> None:
         """Set how many connections to one engine may rest, from the next `expire` on."""
         self._resting_limit = connections
 
--- a/postvalve/gateway/engines/request_guard.py
+++ b/postvalve/gateway/engines/quarantine_guard.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 
 from postvalve.clock import Clock
-from postvalve.core.admission.quarantine import BEGIN_TIME, Quarantine, Ruling, Trial
+from postvalve.core.admission.quarantine import FATAL_START_TIME, Quarantine, RunPermission, Trial
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event, EventLog
 from postvalve.exceptions import EngineCutError, PostvalveError, QuarantinedError, Verdict
 
 
-class RequestGuard:
+class QuarantineGuard:
     """One request's part in the quarantine.
 
     While nothing is known it costs a digest for each answer, 13 us at 1 kB of body.
@@ -58,9 +58,9 @@
         self.alone = False
         if not len(self._quarantine):
             return
-        decision = self._quarantine.rule(self.identity, self._clock.monotonic())
-        self.alone = decision.ruling is Ruling.ALONE
-        if decision.ruling is Ruling.HELD:
+        decision = self._quarantine.check_request(self.identity, self._clock.monotonic())
+        self.alone = decision.permission is RunPermission.ALONE
+        if decision.permission is RunPermission.HELD:
             self._events.emit(
                 Event.REQUEST_QUARANTINED,
                 request=self._request_id,
@@ -85,18 +85,18 @@
                 engine=life,
             )
 
-    def note_head(self) -> None:
+    def record_head(self) -> None:
         """The engine has begun to answer."""
-        self._quarantine.note_alive(self._life, self._sent_at, self._clock.monotonic())
+        self._quarantine.record_alive(self._life, self._sent_at, self._clock.monotonic())
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """An event came."""
         if self._first_event_at is None:
             self._first_event_at = self._clock.monotonic()
         elif not self._cleared and not self._just_began:
-            self.note_answered()
+            self.record_answer()
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """The engine's answer is whole, or has gone on for so long that the request can't end it.
 
         An item runs for seconds, and is lost with its job's time where it is held back: one that
@@ -104,7 +104,7 @@
         """
         self._cleared = True
         self._end_trial()
-        if self._quarantine.note_answered(self.identity, self._clock.monotonic()):
+        if self._quarantine.record_answer(self.identity, self._clock.monotonic()):
             self._events.emit(
                 Event.QUARANTINE_CLEARED,
                 request=self._request_id,
@@ -112,7 +112,7 @@
                 engine=self._life,
             )
 
-    def note_engine_failed(self) -> None:
+    def record_engine_failure(self) -> None:
         """The engine's answer is a failure: it lives, and the next one may end all the same.
 
         Taken for an answer that clears the request, one such failure let 18 engines end for 3.
@@ -120,7 +120,7 @@
         self._cleared = True
         self._end_trial()
 
-    def note_failure(self, error: PostvalveError) -> None:
+    def record_failure(self, error: PostvalveError) -> None:
         """The run under way failed."""
         if error.verdict is Verdict.NOT_RUN:
             self._end_trial()
@@ -131,8 +131,8 @@
 
     def _note_end(self) -> None:
         now = self._clock.monotonic()
-        counts = self._quarantine.note_end(self.identity, self._life, self._sent_at, now)
-        decision = self._quarantine.rule(self.identity, now)
+        counts = self._quarantine.record_end(self.identity, self._life, self._sent_at, now)
+        decision = self._quarantine.check_request(self.identity, now)
         self._events.emit(
             Event.ENGINE_ENDED_UNDER_REQUEST,
             request=self._request_id,
@@ -141,13 +141,13 @@
             ran=round(now - self._sent_at, 3),
             counts=counts,
             ends=decision.ends,
-            ruling=decision.ruling.value,
+            ruling=decision.permission.value,
         )
 
     @property
     def _just_began(self) -> bool:
         first = self._first_event_at
-        return first is None or self._clock.monotonic() - first < BEGIN_TIME
+        return first is None or self._clock.monotonic() - first < FATAL_START_TIME
 
     def end(self) -> None:
         """No run is under way any more.
--- a/postvalve/gateway/fleet/directory_reader.py
+++ b/postvalve/gateway/fleet/directory_reader.py
@@ -59,7 +59,7 @@
             topics, clock, events, topic, self._observe, wait=READ_WAIT, pause=READ_PAUSE
         )
         self._follower.on_lost = self._entries.store_lost
-        self._follower.on_back = self._store_back
+        self._follower.on_regained = self._store_back
         fleet.directory_unsettled = lambda: self._entries.unsettled(clock.monotonic())
         fleet.directory_age = lambda: self._follower.age
 
@@ -68,9 +68,9 @@
         self._follower.run()
 
     @property
-    def store_away(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether no node that is heard could read the directory lately."""
-        return self._shared.away
+        return self._shared.unavailable
 
     def state(self) -> DirectoryState | None:
         """What peers are told; None before the directory was read."""
@@ -78,11 +78,11 @@
             return None
         return DirectoryState(self._follower.next_offset, milliseconds(self._follower.age))
 
-    def look(self) -> None:
+    def update_age(self) -> None:
         """See how old what is known is; called a few times a second."""
         self._note_fresh(self._follower.fresh_at)
 
-    def hear(self, state: DirectoryState, peer: str) -> None:
+    def receive(self, state: DirectoryState, peer: str) -> None:
         """Take in what a peer knows of the directory."""
         self._note_fresh(self._clock.monotonic() - state.age_ms / 1000)
         behind = self._follower.loaded and self._follower.next_offset < state.offset
@@ -107,19 +107,19 @@
 
     def _note_fresh(self, fresh_at: float) -> None:
         now = self._clock.monotonic()
-        was_away = self._shared.away
+        was_away = self._shared.unavailable
         self._shared.note(fresh_at, now)
-        if was_away and not self._shared.away:
+        if was_away and not self._shared.unavailable:
             self._events.emit(Event.STORE_WAS_AWAY, back=round(now - self._shared.returned_at, 3))
 
     def _store_back(self) -> None:
         """The store has answered a read of this node, after it did not."""
-        self._note_fresh(self._follower.asked_at)
+        self._note_fresh(self._follower.requested_at)
         self._entries.store_back(self._clock.monotonic())
 
-    def tell_if_old(self) -> None:
+    def log_if_stale(self) -> None:
         """See `TopicFollower`."""
-        self._follower.tell_if_old()
+        self._follower.log_if_stale()
 
     def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
         changes = self._entries_of(records)
@@ -128,7 +128,7 @@
             self._events.emit(
                 Event.ENGINES_LAPSED,
                 engines=missing,
-                seconds=round(self._entries.seconds_kept(self._clock.monotonic()) or 0.0, 3),
+                seconds=round(self._entries.seconds_to_expiry(self._clock.monotonic()) or 0.0, 3),
                 age=round(self._follower.age, 3),
             )
             gevent.spawn(self._drop_lapsed)
@@ -159,9 +159,9 @@
         """Drop entries that did not come back, each in its time.
 
         The loop's timers start from a time that is some milliseconds old and may fire that much
-        too early, so one look after `KEEP_TIME` could be the last and come too soon.
+        too early, so one look after `LAPSED_ENTRY_RETENTION` could be the last and come too soon.
         """
-        while (left := self._entries.seconds_kept(self._clock.monotonic())) is not None:
+        while (left := self._entries.seconds_to_expiry(self._clock.monotonic())) is not None:
             gevent.sleep(max(KEPT_LOOK, left))
             self._use()
 
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -7,22 +7,30 @@
 
 from postvalve.clock import Clock
 from postvalve.core.admission.engine_use import EngineUse, relaxed_slots
-from postvalve.core.admission.service_pace import ServicePace
+from postvalve.core.admission.service_latency import ServiceLatency
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.randomness import RandomSource
 from postvalve.core.routing.engine_choice import (
     AFFINITY_TOKENS,
-    DRAWN,
+    SAMPLE_SIZE,
     EngineChooser,
     EngineOption,
 )
-from postvalve.core.routing.engine_pace import EVEN
-from postvalve.core.routing.expectation import EngineRoom, expected_first, timely
+from postvalve.core.routing.engine_pace import UNIFORM
+from postvalve.core.routing.latency_estimate import (
+    EngineOccupancy,
+    expected_first_event,
+    expected_in_time,
+)
 from postvalve.events import EventLog
 from postvalve.gateway.engines.engine_connections import ConnectionPool
 from postvalve.gateway.fleet.listed_engines import ListedEngines
 from postvalve.gateway.fleet.placement import ConsideredEngine, Placement
-from postvalve.gateway.fleet.service_rooms import EVEN_ROOMS, ServiceRooms, UnevenRooms
+from postvalve.gateway.fleet.service_capacity import (
+    UNIFORM_CAPACITY,
+    MeasuredCapacity,
+    ServiceCapacity,
+)
 from postvalve.gateway.interfaces import EngineEntry, RequestTerms
 from postvalve.settings.routes import ServiceSpec
 
@@ -39,7 +47,7 @@
 
     entry: EngineEntry
     option: EngineOption
-    room: EngineRoom
+    occupancy: EngineOccupancy
 
 
 def _memory_short(used: int, tokens: int, memory_tokens: int) -> int:
@@ -57,13 +65,13 @@
 
 
 def _timely(
-    candidates: list[_Candidate], pace: ServicePace, tokens: int, left: float
+    candidates: list[_Candidate], pace: ServiceLatency, tokens: int, left: float
 ) -> list[EngineOption]:
     """Engines by which a request can be in time; else those with a free place; else all."""
-    in_time = timely((one.room for one in candidates), tokens, pace, left)
+    in_time = expected_in_time((one.occupancy for one in candidates), tokens, pace, left)
     found = [one.option for one, is_so in zip(candidates, in_time, strict=True) if is_so]
     if not found:
-        found = [one.option for one in candidates if one.room.has_place(pace)]
+        found = [one.option for one in candidates if one.occupancy.has_capacity(pace)]
     return found or [one.option for one in candidates]
 
 
@@ -82,10 +90,10 @@
         self._chooser = EngineChooser(zone, generator)
         self._random = generator
         self.use = EngineUse()
-        self.paces.counted = lambda life: self.use.total(life).total
+        self.paces.count_requests = lambda life: self.use.total(life).total
         self.pause_aim: Callable[[str], float | None] = lambda service: None
         """Gives the seconds between events that callers of a service bear; None for no bound."""
-        self.service_named: Callable[[str], ServiceSpec | None] = lambda name: None
+        self.find_service: Callable[[str], ServiceSpec | None] = lambda name: None
         """Gives a service of the configuration in force."""
         self.watched: Callable[[], Collection[EngineLife]] = tuple
         """Gives the engines of which this node hears first what others send there."""
@@ -93,30 +101,32 @@
         """Called after a request was counted in or out."""
         self.on_placed: Callable[[EngineLife], None] = lambda life: None
         """Called after a request was counted in at an engine."""
-        self.on_crowded: Callable[[EngineLife], None] = lambda life: None
+        self.on_overload: Callable[[EngineLife], None] = lambda life: None
         """Called when an online request was sent to an engine where batch must give way."""
 
     def _memory_of(self, service: str) -> int:
         """Tokens that an engine of a service holds; 0 where it is not known."""
-        spec = self.service_named(service)
+        spec = self.find_service(service)
         return spec.memory_tokens if spec is not None else 0
 
-    def pace(self, service: str) -> ServicePace:
+    def pace(self, service: str) -> ServiceLatency:
         """What this node has learnt of a service's engines."""
         return self.paces.service(service)
 
-    def _rooms_of(self, service: str) -> ServiceRooms:
+    def _rooms_of(self, service: str) -> ServiceCapacity:
         """The rooms of a service's engines as they are now."""
-        if not self.paces.uneven(service):
-            return EVEN_ROOMS
+        if not self.paces.reports_pace(service):
+            return UNIFORM_CAPACITY
         now = self._clock.monotonic()
-        return UnevenRooms(service, self.paces, self.pace(service), self.pause_aim(service), now)
+        return MeasuredCapacity(
+            service, self.paces, self.pace(service), self.pause_aim(service), now
+        )
 
-    def rooms(self, service: str) -> list[EngineRoom]:
+    def occupancies(self, service: str) -> list[EngineOccupancy]:
         """Load of each sound engine of a service; of all where none is sound."""
         entries = self._sound(self.engines(service))
         rooms = self._rooms_of(service)
-        return [rooms.room(entry, self.use.total(entry.life)) for entry in entries]
+        return [rooms.occupancy(entry, self.use.total(entry.life)) for entry in entries]
 
     def has_room(self, service: str) -> bool:
         """Whether a sound engine has a slot that no online work needs, or there is no engine.
@@ -130,20 +140,21 @@
             if self._standings.is_suspect(one.life):
                 continue
             any_sound = True
-            if rooms.has_place(one, self.use.total(one.life)):
+            if rooms.has_capacity(one, self.use.total(one.life)):
                 return True
         # Where none is sound, all count.
         return not entries or (
-            not any_sound and any(rooms.has_place(one, self.use.total(one.life)) for one in entries)
+            not any_sound
+            and any(rooms.has_capacity(one, self.use.total(one.life)) for one in entries)
         )
 
-    def places_left(self, entry: EngineEntry) -> int:
+    def spare_capacity(self, entry: EngineEntry) -> int:
         """Places of an engine that no online work has, as `rooms` tells them; below 0 where more
         run, or wait there, than it has places.
         """
         pace, count = self.pace(entry.service), self.use.total(entry.life)
-        room = self._rooms_of(entry.service).room(entry, count)
-        return room.places(pace) - room.online
+        room = self._rooms_of(entry.service).occupancy(entry, count)
+        return room.capacity(pace) - room.online
 
     def place_online(
         self, service: str, terms: RequestTerms, excluded: Iterable[EngineLife], left: float
@@ -169,15 +180,15 @@
         best = self._chooser.choose(options, terms.prefix_key, terms.shared_tokens, self.watched())
         chosen = next(one for one in candidates if one.option.life == best.life)
         unread = terms.own_tokens + best.shared_unread
-        expected = expected_first(chosen.room, unread, pace)
+        expected = expected_first_event(chosen.occupancy, unread, pace)
         placement = self._enter(chosen.entry, False, unread, memory)
         placement.expected = expected
-        if rooms is not EVEN_ROOMS:
+        if rooms is not UNIFORM_CAPACITY:
             placement.considered = [
-                ConsideredEngine(one.option.life, one.room) for one in candidates
+                ConsideredEngine(one.option.life, one.occupancy) for one in candidates
             ]
         if self.excess(best.life):
-            self.on_crowded(best.life)
+            self.on_overload(best.life)
         return placement
 
     def _looked_at(
@@ -218,11 +229,11 @@
         entry: EngineEntry,
         memory: int,
         memory_tokens: int,
-        rooms: ServiceRooms,
+        rooms: ServiceCapacity,
         tokens: int,
     ) -> _Candidate:
         count = self.use.total(entry.life)
-        room = rooms.room(entry, count)
+        room = rooms.occupancy(entry, count)
         option = EngineOption(
             entry.life,
             entry.zone,
@@ -232,7 +243,7 @@
             count.unread,
             self._is_cold(entry.life),
             _memory_short(count.memory, memory, memory_tokens),
-            0.0 if room.factors is EVEN else rooms.extra_places(room, tokens),
+            0.0 if room.factors is UNIFORM else rooms.queue_penalty(room, tokens),
         )
         return _Candidate(entry, option, room)
 
@@ -258,13 +269,13 @@
         sound = any(not self._standings.is_suspect(one.life) for one in usable.near)
         return usable.near if sound else usable.all
 
-    def _room(self, entry: EngineEntry, pressing: bool, rooms: ServiceRooms) -> int:
+    def _room(self, entry: EngineEntry, pressing: bool, rooms: ServiceCapacity) -> int:
         count = self.use.total(entry.life)
         if count.unread > START_UNREAD or self._standings.is_suspect(entry.life):
             return 0
         if not pressing and self._is_cold(entry.life):
             return 0
-        places = rooms.places(entry, count)
+        places = rooms.capacity(entry, count)
         return self.use.batch_room(entry.life, places, pressing=pressing)
 
     def place_batch(
@@ -308,15 +319,15 @@
         if not free:
             return None
         near = [one for one in free if one[1]] or free
-        drawn = self._random.sample(near, min(DRAWN, len(near)))
+        drawn = self._random.sample(near, min(SAMPLE_SIZE, len(near)))
         chosen = max(drawn, key=lambda one: one[:3])[3]
         return self._enter(chosen, True, prompt, prompt + output)
 
-    def _held_factors(self, rooms: ServiceRooms) -> Callable[[EngineEntry], float]:
+    def _held_factors(self, rooms: ServiceCapacity) -> Callable[[EngineEntry], float]:
         """Gives how many times as long as usual each engine of a service holds a slot."""
-        if rooms is EVEN_ROOMS:
+        if rooms is UNIFORM_CAPACITY:
             return lambda entry: 1.0
-        return lambda entry: rooms.room(entry, self.use.total(entry.life)).factors.held
+        return lambda entry: rooms.occupancy(entry, self.use.total(entry.life)).factors.held
 
     def excess(self, life: EngineLife) -> int:
         """Batch items of all nodes that should give way at an engine."""
@@ -342,7 +353,7 @@
         self.on_placed(entry.life)
         return placement
 
-    def leave(self, placement: Placement) -> None:
+    def release(self, placement: Placement) -> None:
         """Count an attempt out."""
         self.use.leave(
             placement.engine.life,
@@ -352,9 +363,9 @@
         )
         self.on_change()
 
-    def note_read(self, placement: Placement) -> None:
+    def record_prompt_read(self, placement: Placement) -> None:
         """An attempt's first token came: its prompt was read."""
         if placement.unread:
-            self.use.note_read(placement.engine.life, placement.unread)
+            self.use.record_prompt_read(placement.engine.life, placement.unread)
             placement.unread = 0
             self.on_change()
--- a/postvalve/gateway/fleet/engine_standing.py
+++ b/postvalve/gateway/fleet/engine_health.py
@@ -20,7 +20,7 @@
     replaced: bool = False
 
 
-class EngineStandings:
+class EngineHealth:
     """Which engines failed a moment ago, and which were replaced."""
 
     def __init__(self, clock: Clock) -> None:
@@ -29,7 +29,7 @@
         self._suspected_until = float("-inf")
         """Monotonic seconds until which any engine is suspect."""
 
-    def keep(self, listed: Container[EngineLife]) -> None:
+    def retain(self, listed: Container[EngineLife]) -> None:
         """Forget all but these: what is told of a former life later on is not kept."""
         self._by_life = {life: one for life, one in self._by_life.items() if life in listed}
 
@@ -51,12 +51,12 @@
         standing = self._by_life.get(life)
         return standing is not None and standing.replaced
 
-    def note_success(self, life: EngineLife) -> None:
+    def record_success(self, life: EngineLife) -> None:
         """An attempt went well."""
         if (standing := self._by_life.get(life)) is not None:
             standing.failures = 0
 
-    def note_failure(self, life: EngineLife) -> float:
+    def record_failure(self, life: EngineLife) -> float:
         """An attempt failed by its engine; returns the seconds for which that one is avoided."""
         standing = self._of(life)
         standing.failures += 1
@@ -65,7 +65,7 @@
         self._suspected_until = max(self._suspected_until, standing.suspect_until)
         return pause
 
-    def note_replaced(self, life: EngineLife) -> None:
+    def record_replaced(self, life: EngineLife) -> None:
         """Another engine lives at its address."""
         self._of(life).replaced = True
 
--- a/postvalve/gateway/fleet/engine_watch.py
+++ b/postvalve/gateway/fleet/engine_watch.py
@@ -14,7 +14,7 @@
 import gevent
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.batch.giving_way import RunningItems, VictimChooser
+from postvalve.core.batch.preemption import PeerRunningItems, VictimSelector
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.ownership import Owners
 from postvalve.events import Event
@@ -24,14 +24,14 @@
 
 TELL_DELAY = 0.005
 """Seconds in which requests gather before they are told: items of a job start together."""
-LOOK_AGE = 0.5
+WATCHER_REFRESH_INTERVAL = 0.5
 """Seconds after which it is worked out anew who watches over which engine."""
 
 
 class EngineWatch:
     """This node's part in it."""
 
-    def __init__(self, services: PeerServices, items: RunningItems) -> None:
+    def __init__(self, services: PeerServices, items: PeerRunningItems) -> None:
         self._identity = services.identity
         self._clock = services.clock
         self._events = services.events
@@ -39,7 +39,7 @@
         self._fleet = services.fleet
         self._peers = services.peers
         self._items = items
-        self._victims = VictimChooser()
+        self._victims = VictimSelector()
         self._watchers = Owners()
         """Nodes that watch over the engines of this zone."""
         self._watched: list[EngineLife] = []
@@ -53,14 +53,14 @@
         """Gives this node's present report, as a datagram."""
         self.own_urgencies: Callable[[EngineLife], list[int]] = lambda life: []
         """Gives the urgencies of this node's items at an engine."""
-        self.on_give_way: Callable[[int, int], None] = lambda engine, urgency: None
+        self.on_preempt: Callable[[int, int], None] = lambda engine, urgency: None
         """Takes an engine's hash, and the urgency of an item that gives way there."""
 
     def watched(self) -> list[EngineLife]:
         """Engines that this node watches over."""
         return self._watched
 
-    def note_placed(self, life: EngineLife) -> None:
+    def record_placed(self, life: EngineLife) -> None:
         """This node has sent something to an engine."""
         watcher = self._watcher_of(life)
         if watcher is None:
@@ -71,7 +71,7 @@
 
     def _watcher_of(self, life: EngineLife) -> str | None:
         now = self._clock.monotonic()
-        if now - self._looked_at >= LOOK_AGE:
+        if now - self._looked_at >= WATCHER_REFRESH_INTERVAL:
             self._looked_at = now
             self._find_watchers()
         return self._watchers.of.get(life)
@@ -92,7 +92,7 @@
         watchers, self._untold = self._untold, set()
         if self._identity.node_id in watchers:
             watchers.discard(self._identity.node_id)
-            self.look()
+            self.preempt_excess()
         if not watchers:
             return
         data = self.own_report()
@@ -101,7 +101,7 @@
             if peer is not None:
                 self._transport.send(peer.report.peer_address, data)
 
-    def look(self) -> None:
+    def preempt_excess(self) -> None:
         """Tell items to go where an engine that this node watches over runs too many."""
         for life in self._watched:
             self._relieve(life)
@@ -117,20 +117,20 @@
     def _tell_victims(self, life: EngineLife, running: list[tuple[int, str]], excess: int) -> None:
         """Tell the least urgent of the items that run at an engine to go, each once."""
         engine, now = engine_hash(life), self._clock.monotonic()
-        for urgency, node_id in self._victims.choose(engine, running, excess, now):
+        for urgency, node_id in self._victims.select(engine, running, excess, now):
             self._events.emit(Event.ITEM_TOLD_TO_GIVE_WAY, engine=life, peer=node_id, excess=excess)
             self._send(engine, urgency, node_id)
 
     def _send(self, engine: int, urgency: int, node_id: str) -> None:
         if node_id == self._identity.node_id:
-            self.on_give_way(engine, urgency)
+            self.on_preempt(engine, urgency)
             return
         peer = self._peers.get(node_id)
         if peer is not None:
             msg = gateway.GiveWay(engine=engine, urgency=urgency)
             self._transport.send(peer.report.peer_address, encode_frame(msg, 0))
 
-    def urge_far(self, life: EngineLife) -> None:
+    def preempt_remote(self, life: EngineLife) -> None:
         """An engine of another zone is crowded, as far as this node knows."""
         if life in self._watchers.of:
             return
--- a/postvalve/gateway/fleet/builds.py
+++ b/postvalve/gateway/fleet/feature_status.py
@@ -21,7 +21,7 @@
     return [one.name.lower() for one in features if one.name]
 
 
-class Builds:
+class FeatureStatus:
     """One node's view of the others' builds."""
 
     def __init__(self, peers: PeerView, clock: Clock, events: EventLog) -> None:
@@ -30,7 +30,7 @@
         self._events = events
         self._told = Feature.NONE
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Tell of what went on or off since the last look; called about twice a second."""
         on = self._peers.features()
         if on == self._told:
@@ -46,7 +46,7 @@
     def fields(self) -> dict[str, Any]:
         """For the status of the node: peers are counted, and named where they can do less."""
         own = self._peers.gate.own
-        heard = dict(self._peers.features_heard())
+        heard = dict(self._peers.peer_features())
         counts = Counter(" ".join(feature_names(one)) or "none" for one in heard.values())
         lesser = {name: one for name, one in sorted(heard.items()) if own & ~one}
         return {
@@ -63,8 +63,8 @@
         return {name: self._kept_off_by(one) for one in off for name in feature_names(one)}
 
     def _kept_off_by(self, feature: Feature) -> list[str]:
-        names = [name for name, one in self._peers.features_heard() if feature not in one]
+        names = [name for name, one in self._peers.peer_features() if feature not in one]
         if names:
             return sorted(names)[:TOLD_PEERS]
-        left = self._peers.gate.waiting(feature, self._clock.monotonic())
+        left = self._peers.gate.seconds_to_enable(feature, self._clock.monotonic())
         return [f"{SETTLING}, {left:.0f} s"]
--- a/postvalve/gateway/fleet/listed_engines.py
+++ b/postvalve/gateway/fleet/listed_engines.py
@@ -10,8 +10,8 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event, EventLog
 from postvalve.gateway.engines.engine_connections import ConnectionPool
+from postvalve.gateway.fleet.engine_health import EngineHealth
 from postvalve.gateway.fleet.engine_paces import EnginePaces
-from postvalve.gateway.fleet.engine_standing import EngineStandings
 from postvalve.gateway.fleet.usable_engines import UsableEngines
 from postvalve.gateway.interfaces import EngineEntry, EngineState
 
@@ -36,7 +36,7 @@
         """Tells whether engines may live that the directory does not list at the moment."""
         self.directory_age: Callable[[], float] = float
         """Gives the seconds of which this node does not know how the directory changed."""
-        self._standings = EngineStandings(clock)
+        self._standings = EngineHealth(clock)
         self.paces = EnginePaces(clock, events)
         self._warm_at: dict[EngineLife, float] = {}
         """Monotonic seconds at which engines that told to be cold are warm."""
@@ -50,7 +50,7 @@
                 self._events.emit(
                     Event.ENGINE_GONE, engine=life, within=round(self.directory_age(), 3)
                 )
-        self._standings.keep(engines)
+        self._standings.retain(engines)
         self._note_cold(engines)
         for life, entry in engines.items():
             known = self._engines.get(life)
@@ -64,7 +64,7 @@
                     within=round(self.directory_age(), 3),
                 )
         self._engines = engines
-        self.paces.keep({life: entry.service for life, entry in engines.items()})
+        self.paces.retain({life: entry.service for life, entry in engines.items()})
         self._usable = {}
         updated, self._updated = self._updated, GeventEvent()
         updated.set()
@@ -146,18 +146,18 @@
             return entries
         return [one for one in entries if not self._standings.is_suspect(one.life)] or entries
 
-    def note_success(self, life: EngineLife) -> None:
+    def record_success(self, life: EngineLife) -> None:
         """An attempt went well."""
-        self._standings.note_success(life)
+        self._standings.record_success(life)
 
-    def note_failure(self, life: EngineLife, reason: str) -> None:
+    def record_failure(self, life: EngineLife, reason: str) -> None:
         """An attempt failed for a cause that lies at the engine."""
-        pause = self._standings.note_failure(life)
+        pause = self._standings.record_failure(life)
         self._events.emit(Event.ENGINE_SUSPECT, engine=life, seconds=pause, reason=reason)
 
-    def note_replaced(self, life: EngineLife) -> None:
+    def record_replaced(self, life: EngineLife) -> None:
         """Another engine lives at its address: it takes no more work."""
-        self._standings.note_replaced(life)
+        self._standings.record_replaced(life)
         self._usable = {}
         entry = self._engines.get(life)
         if entry is not None:
--- a/postvalve/gateway/fleet/load_reading.py
+++ b/postvalve/gateway/fleet/load_reading.py
@@ -26,7 +26,7 @@
     try:
         load = dialect.engine_load(headers, clock.monotonic())
     except EngineLoadError as exc:
-        paces.note_bad_load(placement.engine.life, str(exc))
+        paces.record_bad_load(placement.engine.life, str(exc))
         return
     if load is not None:
-        paces.note_load(placement, load)
+        paces.record_load(placement, load)
--- a/postvalve/gateway/fleet/load_reports.py
+++ b/postvalve/gateway/fleet/load_reports.py
@@ -9,8 +9,8 @@
 import gevent
 from gevent.event import Event as GeventEvent
 
-from postvalve.core.batch.giving_way import RunningItems
 from postvalve.core.batch.item_order import encode_groups, group_by_due
+from postvalve.core.batch.preemption import PeerRunningItems
 from postvalve.core.membership.extensions import OWN_FEATURES, Extension, pack_features
 from postvalve.core.membership.load_report import (
     DirectoryState,
@@ -19,17 +19,17 @@
     RunningItem,
     unpack_report,
 )
-from postvalve.core.membership.report_pace import (
-    FAR_RATE,
+from postvalve.core.membership.report_schedule import (
     GATHER_SHARE,
     IDLE_INTERVAL,
-    LEAST_GATHER_TIME,
-    LEAST_INTERVAL,
-    NEAR_RATE,
-    ReportPace,
+    MIN_GATHER_TIME,
+    MIN_INTERVAL,
+    REMOTE_REPORT_RATE,
+    ZONE_REPORT_RATE,
+    ReportSchedule,
 )
 from postvalve.core.membership.zone_digest import ZONE_PREFIX
-from postvalve.core.membership.zone_reporting import tells_by_digest
+from postvalve.core.membership.zone_reporting import uses_digests
 from postvalve.events import Event
 from postvalve.gateway.fleet.engine_watch import EngineWatch
 from postvalve.gateway.fleet.peer_services import PeerServices
@@ -47,7 +47,7 @@
 
 TARGETS_AGE = 0.5
 """Seconds between looks at who the peers are, and which of them are silent."""
-MAX_SILENCE = 60.0
+MAX_REPORTED_SILENCE = 60.0
 """Seconds; longer silences of the store are told as this."""
 
 
@@ -68,8 +68,8 @@
         self._fleet = services.fleet
         self._peers = services.peers
         self._passed_over = PassedOver(services.events)
-        self._near = ReportPace(NEAR_RATE)
-        self._far = ReportPace(FAR_RATE)
+        self._near = ReportSchedule(ZONE_REPORT_RATE)
+        self._far = ReportSchedule(REMOTE_REPORT_RATE)
         self._sequence = 0
         self._targets: tuple[list[str], list[str]] = ([], [])
         """Addresses of the peers in this node's zone, and in all others."""
@@ -87,13 +87,13 @@
             Extension.FEATURES: lambda: pack_features(OWN_FEATURES)
         }
         """Gives each part of a report beyond its fixed layout."""
-        self.turn_parts: Callable[[bool, int], dict[int, bytes]] = lambda far, peers: {}
+        self.one_time_parts: Callable[[bool, int], dict[int, bytes]] = lambda far, peers: {}
         """Gives parts that are told once, to all peers of a group: whether it is that of the other
         zones, and how many nodes tell each peer. A report to a single peer must not use them up.
         """
-        self.on_look: Callable[[], None] = lambda: None
+        self.on_refresh: Callable[[], None] = lambda: None
         """Called about every `TARGETS_AGE` seconds."""
-        self.items = RunningItems()
+        self.items = PeerRunningItems()
         self.zones = ZoneDigests(services, self.items)
         self.zones.own_report = self._report
         self.watch = EngineWatch(services, self.items)
@@ -106,16 +106,16 @@
         self.on_line_grant: Callable[[gateway.LineGrant, str], None] = lambda msg, address: None
         self._fleet.on_change = self._changed.set
 
-    def changed(self) -> None:
+    def schedule_report(self) -> None:
         """Report soon."""
         self._changed.set()
 
     def gather_time(self) -> float:
         """Seconds in which datagrams of peers gather before they are read."""
         near, _ = self._targets
-        return max(LEAST_GATHER_TIME, GATHER_SHARE * self._near.interval(len(near)))
+        return max(MIN_GATHER_TIME, GATHER_SHARE * self._near.interval(len(near)))
 
-    def look_again(self) -> None:
+    def refresh_targets(self) -> None:
         """The peers have changed: report to them soon."""
         self._looked_at = float("-inf")
         self._changed.set()
@@ -128,12 +128,12 @@
     def run(self) -> None:
         """Report for ever."""
         while True:
-            self.look()
+            self.send_due()
             if self._near.waiting or self._far.waiting:
-                gevent.sleep(max(LEAST_INTERVAL, self._seconds_left()))
+                gevent.sleep(max(MIN_INTERVAL, self._seconds_left()))
                 continue
-            gevent.sleep(LEAST_INTERVAL)
-            self._changed.wait(IDLE_INTERVAL - LEAST_INTERVAL)
+            gevent.sleep(MIN_INTERVAL)
+            self._changed.wait(IDLE_INTERVAL - MIN_INTERVAL)
 
     def _seconds_left(self) -> float:
         """Seconds until the next report that has something to tell."""
@@ -142,19 +142,19 @@
         left = [pace.seconds_left(len(peers), now) for pace, peers in groups if pace.waiting]
         return min(left, default=0.0)
 
-    def look(self) -> None:
+    def send_due(self) -> None:
         """Report to the groups whose turn it is."""
         now = self._clock.monotonic()
         if now - self._looked_at >= TARGETS_AGE:
             self._looked_at = now
             self._expire(now)
-            self._fleet.paces.look()
-            self.on_look()
+            self._fleet.paces.update()
+            self.on_refresh()
             self._targets = self._find_targets()
         if self._changed.is_set():
             self._changed.clear()
-            self._near.note_change()
-            self._far.note_change()
+            self._near.record_change()
+            self._far.record_change()
         groups = zip((self._near, self._far), self._targets, (False, True), strict=True)
         due = [
             (far, addresses)
@@ -170,7 +170,7 @@
         report = self._report()
         usual = _packed(report)
         for far, addresses in due:
-            parts = self.turn_parts(far, sum(map(len, self._targets)))
+            parts = self.one_time_parts(far, sum(map(len, self._targets)))
             told = replace(report, extensions={**report.extensions, **parts})
             data = _packed(told) if parts else usual
             for address in addresses:
@@ -193,7 +193,7 @@
         nodes = self._services.known_nodes().values()
         near = [address for address, zone in nodes if zone == self._identity.zone]
         far = [address for address, zone in nodes if zone != self._identity.zone]
-        return near, [] if tells_by_digest(len(far)) else far
+        return near, [] if uses_digests(len(far)) else far
 
     def _report(self) -> LoadReport:
         return LoadReport(
@@ -204,7 +204,7 @@
             zone=self._identity.zone,
             leaving=self.leaving,
             engine_use=self._fleet.use.report(),
-            log_silence_ms=int(min(MAX_SILENCE, self.log_silence()) * 1000),
+            log_silence_ms=int(min(MAX_REPORTED_SILENCE, self.log_silence()) * 1000),
             revision=max(0, self.revision()),
             running=self.running_items() if self.leaving else [],
             items_running=self.items_running(),
@@ -219,13 +219,13 @@
         parts = {number: tell() for number, tell in self.extensions.items()}
         return {number: data for number, data in parts.items() if data}
 
-    def tell_pace(self) -> None:
+    def enable_pace_reports(self) -> None:
         """Tell peers how fast engines are, too."""
-        self.turn_parts = self._engine_pace
-        self.zones.engine_pace = self._fleet.paces.tell_zone
+        self.one_time_parts = self._engine_pace
+        self.zones.engine_pace = self._fleet.paces.pack_zone_digest
 
     def _engine_pace(self, far: bool, peers: int) -> dict[int, bytes]:
-        pace = self._fleet.paces.tell(peers, far=far)
+        pace = self._fleet.paces.pack_report(peers, far=far)
         return {Extension.ENGINE_PACE: pace} if pace else {}
 
     def receive(self, data: bytes, address: str) -> None:
@@ -251,7 +251,7 @@
 
     @_take.register
     def _(self, msg: gateway.GiveWay, address: str) -> None:
-        self.watch.on_give_way(msg.engine, msg.urgency)
+        self.watch.on_preempt(msg.engine, msg.urgency)
 
     @_take.register
     def _(self, msg: gateway.LineState, address: str) -> None:
@@ -269,10 +269,10 @@
         if not self._peers.observe(report, now):
             return
         self._fleet.use.observe(report.node_id, report.engine_use)
-        self._fleet.paces.hear(report.node_id, report.extensions.get(Extension.ENGINE_PACE, b""))
+        self._fleet.paces.receive(report.node_id, report.extensions.get(Extension.ENGINE_PACE, b""))
         self.items.observe(report.node_id, report.items_running)
         if first:
-            self.look_again()
+            self.refresh_targets()
             self._events.emit(Event.PEER_HEARD, peer=report.node_id, incarnation=report.incarnation)
-        self.watch.look()
+        self.watch.preempt_excess()
         self.on_report(report)
--- a/postvalve/gateway/fleet/peer_services.py
+++ b/postvalve/gateway/fleet/peer_services.py
@@ -25,13 +25,13 @@
     transport: Transport
     fleet: EngineFleet
     peers: PeerView
-    started_nodes: Callable[[], dict[str, tuple[str, str]]]
+    announced_nodes: Callable[[], dict[str, tuple[str, str]]]
     """Gives peer address and zone of all nodes that have announced themselves, by id."""
     generator: RandomSource
 
     def known_nodes(self) -> dict[str, tuple[str, str]]:
         """Peer address and zone of all other nodes that announced themselves or are heard of."""
-        nodes = dict(self.started_nodes())
+        nodes = dict(self.announced_nodes())
         for peer in self.peers.all():
             nodes[peer.node_id] = (peer.report.peer_address, peer.report.zone)
         nodes.pop(self.identity.node_id, None)
--- a/postvalve/gateway/fleet/placement.py
+++ b/postvalve/gateway/fleet/placement.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from postvalve.core.membership.engine_life import EngineLife
-from postvalve.core.routing.expectation import EngineRoom
+from postvalve.core.routing.latency_estimate import EngineOccupancy
 from postvalve.gateway.interfaces import EngineEntry
 
 
@@ -15,7 +15,7 @@
     """An engine that a request might have been sent to, as this node saw it then."""
 
     life: EngineLife
-    room: EngineRoom
+    occupancy: EngineOccupancy
 
 
 @dataclass(slots=True)
--- a/postvalve/gateway/fleet/quarantine_sharing.py
+++ b/postvalve/gateway/fleet/quarantine_gossip.py
@@ -15,7 +15,13 @@
 from gevent.event import Event as GeventEvent
 
 from postvalve.clock import milliseconds
-from postvalve.core.admission.quarantine import HELD_ENDS, Case, Fact, FactId, Quarantine
+from postvalve.core.admission.quarantine import (
+    HOLD_AFTER,
+    EngineFailure,
+    FailureId,
+    Quarantine,
+    QuarantineEntry,
+)
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event
 from postvalve.exceptions import PeerUnavailableError
@@ -41,7 +47,7 @@
 NEWS_DATAGRAMS = 1
 """Datagrams of news at once, of the requests with the most engines; rounds bring the rest. So a
 zone that is lost with all its engines costs a node 200 KB/s at the most, while it ends."""
-LEARN_PATIENCE = 1.0
+LEARN_TIMEOUT = 1.0
 """Seconds that a node which starts waits for what its peers and the store know."""
 LEARN_PEERS = 2
 """Peers that are asked at once, so that one which stands still delays nobody."""
@@ -53,12 +59,12 @@
 others read the store for it would grow with the square of the fleet."""
 CUT_TIME = 60.0
 """Seconds for which it reads the store then; after that the others count as gone."""
-STALL = 2.0
+STALL_THRESHOLD = 2.0
 """Seconds between two looks after which this node must have stood still; an idle node looks about
 once a second."""
 
 
-class QuarantineSharing:
+class QuarantineGossip:
     """One node's telling and hearing."""
 
     def __init__(self, services: PeerServices, topics: KeyedTopics, quarantine: Quarantine) -> None:
@@ -130,13 +136,13 @@
     def _messages(self, digests: Iterable[bytes]) -> list[gateway.QuarantineNews]:
         """What is known of these requests, in messages that fit into datagrams."""
         now = self._clock.monotonic()
-        known = [(one, case) for one in digests if (case := self._quarantine.case(one))]
+        known = [(one, entry) for one in digests if (entry := self._quarantine.entry(one))]
         # Those of equal weight in turns: not all of them may fit.
         known.sort(key=lambda one: (-len(one[1].engines()), self._draw()))
         messages: list[gateway.QuarantineNews] = []
         room = 0
-        for digest, case in known:
-            packed = _pack(digest, case, now)
+        for digest, entry in known:
+            packed = _pack(digest, entry, now)
             size = len(bytes(packed)) + 4
             if size > room:
                 messages.append(gateway.QuarantineNews(requests=[]))
@@ -156,12 +162,12 @@
     def reply(self) -> gateway.QuarantineNews:
         """What a peer that asks gets."""
         now = self._clock.monotonic()
-        known = [(one, self._quarantine.case(one)) for one in self._quarantine.digests()]
+        known = [(one, self._quarantine.entry(one)) for one in self._quarantine.digests()]
         return gateway.QuarantineNews(
-            requests=[_pack(digest, case, now) for digest, case in known if case]
+            requests=[_pack(digest, entry, now) for digest, entry in known if entry]
         )
 
-    def _merge(self, digest: bytes, told: Case, source: str) -> None:
+    def _merge(self, digest: bytes, told: QuarantineEntry, source: str) -> None:
         if not self._quarantine.merge(digest, told, self._clock.monotonic()):
             return
         summary = self._quarantine.summary(digest, self._clock.monotonic())
@@ -171,25 +177,25 @@
 
     # Learning
 
-    def note_nodes(self) -> None:
+    def on_peers_known(self) -> None:
         """Other nodes are known."""
         self._peers_known.set()
 
     def learn(self) -> None:
         """Ask the store and peers what they know, as this node starts."""
         asked = [gevent.spawn(self._read_store), gevent.spawn(self._ask_known_peers)]
-        gevent.joinall(asked, timeout=LEARN_PATIENCE)
+        gevent.joinall(asked, timeout=LEARN_TIMEOUT)
         self.learned.set()
         self.on_learned()
 
     def _ask_known_peers(self) -> None:
-        self._peers_known.wait(LEARN_PATIENCE)
+        self._peers_known.wait(LEARN_TIMEOUT)
         self._ask_peers()
 
-    def look(self) -> None:
+    def check_connectivity(self) -> None:
         """Called some times a second: see whether this node has stood still."""
         now = self._clock.monotonic()
-        stood_still = now - self._looked_at > STALL
+        stood_still = now - self._looked_at > STALL_THRESHOLD
         self._looked_at = now
         if stood_still and self.learned.is_set():
             gevent.spawn(self._ask_peers)
@@ -207,12 +213,12 @@
     def _ask_peers(self) -> None:
         addresses = self._some_peers(LEARN_PEERS)
         asked = [gevent.spawn(self._ask, address) for address in addresses]
-        gevent.joinall(asked, timeout=LEARN_PATIENCE, count=1)
+        gevent.joinall(asked, timeout=LEARN_TIMEOUT, count=1)
 
     def _ask(self, address: str) -> None:
         fetch = gateway.QuarantineFetch(node_id=self._services.identity.node_id)
         try:
-            reply = self._services.transport.call(address, Channel.ADMISSION, fetch, LEARN_PATIENCE)
+            reply = self._services.transport.call(address, Channel.ADMISSION, fetch, LEARN_TIMEOUT)
         except PeerUnavailableError as exc:
             self._events.emit(Event.QUARANTINE_NOT_LEARNT, source=address, error=exc.message)
             return
@@ -242,7 +248,7 @@
             return
         since = max(0, milliseconds(self._clock.wall()) - saved.written_at_ms) / 1000
         told = _unpack(saved.request, self._clock.monotonic() - since)
-        if told.forgotten_at() <= self._clock.monotonic():
+        if told.expires_at() <= self._clock.monotonic():
             self._drop_once(saved.request.digest)
         else:
             self._saved[saved.request.digest] = len(told.engines())
@@ -250,16 +256,16 @@
 
     def _keep_in_store(self, digest: bytes) -> None:
         """Let the store know of a request that is held back, or that is not any more."""
-        case = self._quarantine.case(digest)
-        if case is None or not self._keeps(digest):
+        entry = self._quarantine.entry(digest)
+        if entry is None or not self._keeps(digest):
             return
-        ends = len(case.engines())
-        if case.on_trial or ends == self._saved.get(digest, 0):
+        ends = len(entry.engines())
+        if entry.on_trial or ends == self._saved.get(digest, 0):
             return
-        if ends >= HELD_ENDS:
+        if ends >= HOLD_AFTER:
             self._saved[digest] = ends
             packed = gateway.QuarantineRecord(
-                request=_pack(digest, case, self._clock.monotonic()),
+                request=_pack(digest, entry, self._clock.monotonic()),
                 written_at_ms=milliseconds(self._clock.wall()),
             )
             gevent.spawn(self._append, digest, bytes(packed))
@@ -267,8 +273,8 @@
             self._drop(digest)
 
     def _expire(self, now: float) -> None:
-        for digest, case in self._quarantine.expire(now):
-            if len(case.engines()) >= HELD_ENDS and self._keeps(digest):
+        for digest, entry in self._quarantine.expire(now):
+            if len(entry.engines()) >= HOLD_AFTER and self._keeps(digest):
                 self._drop(digest)
 
     def _keeps(self, digest: bytes) -> bool:
@@ -295,27 +301,27 @@
             self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, topic=QUARANTINE_TOPIC)
 
 
-def _pack(digest: bytes, case: Case, now: float) -> gateway.SuspectRequest:
+def _pack(digest: bytes, entry: QuarantineEntry, now: float) -> gateway.SuspectRequest:
     return gateway.SuspectRequest(
         digest=digest,
         ends=[
             gateway.EngineEnd(
                 engine=name.engine,
                 stamp=name.stamp,
-                age_ms=milliseconds(max(0.0, now - fact.ended_at)),
-                trial=fact.trial,
-                excused=fact.excused,
-                variant=fact.variant,
+                age_ms=milliseconds(max(0.0, now - failure.ended_at)),
+                trial=failure.trial,
+                excused=failure.excused,
+                variant=failure.variant,
             )
-            for name, fact in case.facts.items()
+            for name, failure in entry.failures.items()
         ],
     )
 
 
-def _unpack(told: gateway.SuspectRequest, now: float) -> Case:
-    return Case(
+def _unpack(told: gateway.SuspectRequest, now: float) -> QuarantineEntry:
+    return QuarantineEntry(
         {
-            FactId(EngineLife(end.engine), end.stamp): Fact(
+            FailureId(EngineLife(end.engine), end.stamp): EngineFailure(
                 now - end.age_ms / 1000, end.variant, end.trial, end.excused
             )
             for end in told.ends
