--- a/postvalve/gateway/fleet/zone_digests.py
+++ b/postvalve/gateway/fleet/zone_digests.py
@@ -6,16 +6,16 @@
 
 import gevent
 
-from postvalve.core.batch.giving_way import RunningItems
+from postvalve.core.batch.preemption import PeerRunningItems
 from postvalve.core.membership.extensions import Extension
 from postvalve.core.membership.load_report import LoadReport
 from postvalve.core.membership.zone_digest import ZoneDigest, ZoneDigestError, unpack_digest
 from postvalve.core.membership.zone_reporting import (
-    IDLE_LOOK_INTERVAL,
-    LOOK_INTERVAL,
+    CHECK_INTERVAL,
+    IDLE_CHECK_INTERVAL,
     ZoneReporting,
     reporter_of,
-    tells_by_digest,
+    uses_digests,
 )
 from postvalve.events import Event
 from postvalve.gateway.fleet.peer_services import PeerServices
@@ -30,7 +30,7 @@
 class ZoneDigests:
     """Tells other zones of this one while they have many nodes, and this one of them."""
 
-    def __init__(self, services: PeerServices, items: RunningItems) -> None:
+    def __init__(self, services: PeerServices, items: PeerRunningItems) -> None:
         self._identity = identity = services.identity
         self._clock = clock = services.clock
         self._events = services.events
@@ -55,17 +55,17 @@
     def run(self) -> None:
         """Tell and pass on for ever."""
         while True:
-            gevent.sleep(LOOK_INTERVAL if self._reports else IDLE_LOOK_INTERVAL)
-            self.look()
+            gevent.sleep(CHECK_INTERVAL if self._reports else IDLE_CHECK_INTERVAL)
+            self.send_due()
 
     # Telling
 
-    def look(self) -> None:
+    def send_due(self) -> None:
         """Tell each other zone of this one, if that is this node's task, and it is time."""
         zones = self._other_zones()
         now = self._clock.monotonic()
         neighbours = self._peers.neighbours(self._identity.zone)
-        reports = tells_by_digest(sum(map(len, zones.values()))) and self._reporting.is_reporter(
+        reports = uses_digests(sum(map(len, zones.values()))) and self._reporting.is_reporter(
             neighbours, now
         )
         if reports is not self._reports:
@@ -77,7 +77,7 @@
         use = self._fleet.use.report_of(names)
         pace = self.engine_pace(names, len(zones))
         told: dict[int, bytes] = {Extension.ENGINE_PACE: pace} if pace else {}
-        packed = self._reporting.make(self.own_report(), neighbours, use, now, told)
+        packed = self._reporting.build_digest(self.own_report(), neighbours, use, now, told)
         data = encode_frame(gateway.ZoneDigest(packed=packed), 0)
         spare = now - self._spare_at >= SPARE_INTERVAL
         if spare:
@@ -93,7 +93,7 @@
                 zones.setdefault(zone, {})[node_id] = address
         return zones
 
-    def heard_all(self) -> bool:
+    def all_zones_known(self) -> bool:
         """Whether it is known of every zone with other nodes who lives there."""
         zones = self._peers.zones()
         return all(
@@ -139,7 +139,7 @@
         elif digest.members is not None:
             self._note_changes(digest, before, set(known.members))
         self._fleet.use.observe(digest.key, digest.engine_use)
-        self._fleet.paces.hear(digest.key, digest.extensions.get(Extension.ENGINE_PACE, b""))
+        self._fleet.paces.receive(digest.key, digest.extensions.get(Extension.ENGINE_PACE, b""))
         zone = self._peers.zones()[digest.zone]
         self._items.observe_zone(
             digest.key, digest.items_running, zone.order if zone.members_known else ()
--- a/postvalve/gateway/gateway.py
+++ b/postvalve/gateway/gateway.py
@@ -14,7 +14,7 @@
 from gevent.event import Event as GeventEvent
 
 from postvalve.clock import Clock, milliseconds
-from postvalve.core.admission.connection_share import resting_limit
+from postvalve.core.admission.connection_share import idle_connection_limit
 from postvalve.core.admission.quarantine import Quarantine
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.extensions import Extension, Extensions
@@ -22,16 +22,16 @@
 from postvalve.core.membership.peers import PeerView
 from postvalve.core.membership.zone_digest import ZoneDigest
 from postvalve.core.routing.route_table import RouteTable
-from postvalve.core.serving.read_ahead import MemoryBudget
+from postvalve.core.serving.client_buffer import MemoryBudget
 from postvalve.events import Event, EventLog
 from postvalve.gateway.engines.engine_connections import ConnectionPool
-from postvalve.gateway.fleet.builds import Builds
 from postvalve.gateway.fleet.directory_reader import DirectoryParser, DirectoryReader
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
-from postvalve.gateway.fleet.load_reports import MAX_SILENCE, LoadReports
+from postvalve.gateway.fleet.feature_status import FeatureStatus
+from postvalve.gateway.fleet.load_reports import MAX_REPORTED_SILENCE, LoadReports
 from postvalve.gateway.fleet.node_directory import NodeDirectory
 from postvalve.gateway.fleet.peer_services import PeerServices
-from postvalve.gateway.fleet.quarantine_sharing import QuarantineSharing
+from postvalve.gateway.fleet.quarantine_gossip import QuarantineGossip
 from postvalve.gateway.interfaces import (
     Dialect,
     GatewaySettings,
@@ -49,21 +49,21 @@
 from postvalve.gateway.jobs.job_log import JobLog
 from postvalve.gateway.jobs.job_service import JobService
 from postvalve.gateway.knowledge.configuration import ConfigurationHolder, Parser
-from postvalve.gateway.knowledge.freshness import Knowledge
 from postvalve.gateway.knowledge.relayed_topics import RelayedTopics, RelayServer
 from postvalve.gateway.knowledge.revision_fetch import RevisionFetcher
+from postvalve.gateway.knowledge.state_age import StateAge
 from postvalve.gateway.knowledge.topic_follower import TopicFollower
 from postvalve.gateway.metrics import GatewayMetrics
+from postvalve.gateway.serving.admission_queue import AdmissionQueue
 from postvalve.gateway.serving.application import GatewayApplication
 from postvalve.gateway.serving.caller_accounts import CallerAccounts
 from postvalve.gateway.serving.fair_shares import FairShares
 from postvalve.gateway.serving.http_calls import JobCalls
 from postvalve.gateway.serving.http_server import GatewayServer, plain_server
-from postvalve.gateway.serving.line import ZoneLine
 from postvalve.gateway.serving.read_ahead import SlowClients
 from postvalve.gateway.serving.routed_run import RunServices
 from postvalve.gateway.serving.tenant_credit import TenantCredit
-from postvalve.gateway.serving.waiting_room import WaitingRoom
+from postvalve.gateway.serving.zone_queue import SharedZoneQueue
 from postvalve.gateway.status import engine_rows, job_rows, peer_rows, quarantine_rows
 from postvalve.messages.generated import gateway
 from postvalve.node.transport import NetworkTransport
@@ -135,7 +135,7 @@
         self._pool = ConnectionPool(clock)
         self._fleet = EngineFleet(settings.zone, clock, events, self._pool, generator)
         self.peers = PeerView(settings.node_id)
-        self._builds = Builds(self.peers, clock, events)
+        self._feature_status = FeatureStatus(self.peers, clock, events)
         self._transport = NetworkTransport(settings.peer_listen, events)
         self.configuration = ConfigurationHolder(
             platform.configuration_key, platform.parse_configuration, events
@@ -167,7 +167,7 @@
         )
         self._reports = LoadReports(peer_services)
         self._quarantine = Quarantine(f"{settings.node_id} {self._identity.incarnation}")
-        self._sharing = QuarantineSharing(peer_services, topics, self._quarantine)
+        self._quarantine_gossip = QuarantineGossip(peer_services, topics, self._quarantine)
         self._ends = EndWriter(self._log, events, settings.call_bytes, short_id)
         self._progress = ProgressLog(
             settings.node_id,
@@ -205,14 +205,14 @@
         )
         self._accounts = CallerAccounts(clock, events)
         self._runner.ends.accounts = self._accounts.accounts
-        self._metrics.tell_tenants(self._accounts.rows)
-        waiting_room = WaitingRoom(clock, events, self._fleet, generator, self._metrics)
-        waiting_room.holders = self._accounts.holders
-        waiting_room.nodes = lambda: self.peers.count() + 1
-        waiting_room.on_served = self._shares.clock.note_served
-        self._shares.first_waiting = waiting_room.first_waiting
-        self._waiting_room = waiting_room
-        self._line = waiting_room.line = ZoneLine(peer_services)
+        self._metrics.register_tenants(self._accounts.rows)
+        admission_queue = AdmissionQueue(clock, events, self._fleet, generator, self._metrics)
+        admission_queue.holders = self._accounts.holders
+        admission_queue.nodes = lambda: self.peers.count() + 1
+        admission_queue.on_started = self._shares.clock.record_served
+        self._shares.first_waiting = admission_queue.first_waiting
+        self._admission_queue = admission_queue
+        self._line = admission_queue.zone_queue = SharedZoneQueue(peer_services)
         budget = MemoryBudget(settings.slow_client_bytes)
         self.slow_clients = SlowClients(budget, clock, events, self._metrics)
         self.application = GatewayApplication(
@@ -223,7 +223,7 @@
                 self._pool,
                 platform.dialect,
                 self._metrics,
-                waiting_room,
+                admission_queue,
                 self._quarantine,
                 self._limits,
             ),
@@ -249,49 +249,49 @@
         self._connect()
 
     def _connect(self) -> None:
-        self.configuration.listen(self._configuration_changed)
-        self._fleet.service_named = self._service_named
+        self.configuration.add_listener(self._configuration_changed)
+        self._fleet.find_service = self._service_named
         self._fleet.pause_aim = self._pause_aim
-        self._claims.heard_all = self._reports.zones.heard_all
+        self._claims.all_zones_known = self._reports.zones.all_zones_known
         self._reports.revision = lambda: self.configuration.revision
         self._reports.log_silence = self._log.silence
         self._reports.on_report = self._peer_reported
         self._reports.zones.on_digest = self._zone_reported
         self._reports.store_failing = lambda: self._topics.failing
         self._reports.directory = self._directory.state
-        self._reports.on_look = self._look
-        self._reports.on_line_state = self._line.hear_state
-        self._reports.on_line_grant = self._line.hear_grant
+        self._reports.on_refresh = self._look
+        self._reports.on_line_state = self._line.receive_state
+        self._reports.on_line_grant = self._line.receive_grant
         self._line.own_report = self._reports.next_report
-        self._line.on_granted = self._waiting_room.look
+        self._line.on_granted = self._admission_queue.reevaluate
         self._reports.extensions[Extension.SHARE_CLOCK] = self._shares.pack
-        self._reports.tell_pace()
-        self._reports.on_quarantine_news = self._sharing.receive
-        self._sharing.on_learned = self._note_usable
-        self._topics.on_change = self._reports.changed
+        self._reports.enable_pace_reports()
+        self._reports.on_quarantine_news = self._quarantine_gossip.receive
+        self._quarantine_gossip.on_learned = self._note_usable
+        self._topics.on_change = self._reports.schedule_report
         self._transport.gather_time = self._reports.gather_time
         self._nodes.on_change = self._nodes_known
-        self._fleet.on_crowded = self._engine_crowded
-        self._fleet.on_placed = self._reports.watch.note_placed
+        self._fleet.on_overload = self._engine_crowded
+        self._fleet.on_placed = self._reports.watch.record_placed
         self._fleet.watched = self._reports.watch.watched
         self._directory.on_change = self._directory_changed
-        self.application.knowledge = self._knowledge
+        self.application.state_age = self._state_age
         self.application.key_policy = self._settings.key_policy
 
     def _look(self) -> None:
-        self._directory.look()
+        self._directory.update_age()
         known_at = self._clock.monotonic() - self._fleet.directory_age()
-        self._quarantine.confirm(self._fleet.is_listed, known_at)
-        self._sharing.look()
-        self._limits.look()
-        self._builds.look()
+        self._quarantine.confirm_alive(self._fleet.is_listed, known_at)
+        self._quarantine_gossip.check_connectivity()
+        self._limits.update_view()
+        self._feature_status.update()
 
     def _nodes_known(self) -> None:
-        self._reports.look_again()
-        self._sharing.note_nodes()
+        self._reports.refresh_targets()
+        self._quarantine_gossip.on_peers_known()
 
-    def _knowledge(self) -> Knowledge:
-        return Knowledge(
+    def _state_age(self) -> StateAge:
+        return StateAge(
             self._fleet.directory_age(),
             self.configuration.revision,
             self._configuration_follower.age,
@@ -299,7 +299,7 @@
 
     def _engine_crowded(self, life: EngineLife) -> None:
         self._runner.wake()
-        self._reports.watch.urge_far(life)
+        self._reports.watch.preempt_remote(life)
 
     @property
     def ready(self) -> bool:
@@ -310,7 +310,7 @@
     def _serves(self) -> bool:
         """Whether there are a configuration and engines, and what must not run is known."""
         listed = self.configuration.table is not None and bool(self._fleet.listed_engines())
-        return listed and self._sharing.learned.is_set()
+        return listed and self._quarantine_gossip.learned.is_set()
 
     def start(self) -> None:
         """Start everything."""
@@ -328,12 +328,12 @@
             self._ends.run,
             self._claims.run,
             self._progress.run,
-            self._runner.give_up_old,
+            self._runner.expire_items,
             self._nodes.announce,
-            self._sharing.learn,
-            self._sharing.run,
+            self._quarantine_gossip.learn,
+            self._quarantine_gossip.run,
             self._follow_jobs,
-            self._keep_house,
+            self._housekeeping,
             self._purge,
             self._sweep,
             self._await_drain,
@@ -385,18 +385,18 @@
             "draining": self._draining,
             "ready": self.ready,
             "configuration_revision": self.configuration.revision,
-            "knowledge": self._knowledge().fields(),
+            "knowledge": self._state_age().fields(),
             "store": "by a peer" if self._topics.failing else "own",
-            "store_away": self._directory.store_away,
-            "store_silence": round(min(MAX_SILENCE, self._log.silence()), 2),
+            "store_away": self._directory.store_unreachable,
+            "store_silence": round(min(MAX_REPORTED_SILENCE, self._log.silence()), 2),
             "nodes": peer_rows(self.peers, self._clock.monotonic()),
             "engines": engine_rows(self._fleet, self._clock.monotonic()),
             "jobs": job_rows(self._log.board),
             "quarantine": quarantine_rows(self._quarantine, self._clock.monotonic()),
             "limits": self._limits.fields(),
             "tenants": self._accounts.documents(),
-            "waiting": self._waiting_room.rows(),
-            "builds": self._builds.fields(),
+            "waiting": self._admission_queue.rows(),
+            "builds": self._feature_status.fields(),
             "line": self._shares.fields() | self._line.fields(),
             "readers": self.slow_clients.rows(),
         }
@@ -407,7 +407,7 @@
         return self._exposition(path)
 
     def _exposition(self, path: str) -> tuple[str, bytes]:
-        knowledge = self._knowledge()
+        knowledge = self._state_age()
         self._metrics.directory_age.set(knowledge.directory_age)
         self._metrics.revision_age.set(knowledge.revision_age)
         self._metrics.connections.set(self._pool.opened)
@@ -421,7 +421,7 @@
         if isinstance(message, gateway.RevisionFetch):
             return self._revisions.reply()
         if isinstance(message, gateway.QuarantineFetch):
-            return self._sharing.reply()
+            return self._quarantine_gossip.reply()
         if isinstance(message, gateway.CreditAsk):
             return self._limits.reply(message)
         return self._relay.serve(message)
@@ -438,7 +438,7 @@
         self._runner.urgency.configure(table)
         self._server.set_head_timeout(table.configuration.limits.header_timeout)
         self._note_usable()
-        self._reports.changed()
+        self._reports.schedule_report()
 
     def _note_usable(self) -> None:
         if self._serves:
@@ -463,36 +463,36 @@
     # What peers tell
 
     def _hear_shares(self, teller: str, parts: Extensions) -> None:
-        news = self._shares.hear(parts.get(Extension.SHARE_CLOCK, b""))
+        news = self._shares.receive(parts.get(Extension.SHARE_CLOCK, b""))
         if news is not None:
-            self._waiting_room.peer_places.hear(teller, news)
+            self._admission_queue.peer_queue_heads.update(teller, news)
 
     def _peer_reported(self, report: LoadReport) -> None:
         self._hear_shares(report.node_id, report.extensions)
-        self._line.hear_report(report)
+        self._line.receive_report(report)
         self._revisions.consider(report.revision, report.node_id, report.peer_address)
         if report.directory is not None:
-            self._directory.hear(report.directory, report.node_id)
-        self._runner.note_peers()
+            self._directory.receive(report.directory, report.node_id)
+        self._runner.on_peer_update()
 
     def _zone_reported(self, digest: ZoneDigest) -> None:
         self._hear_shares(digest.key, digest.extensions)
         self._revisions.consider(digest.revision, digest.reporter, digest.peer_address)
-        self._runner.note_peers()
+        self._runner.on_peer_update()
 
     # Housekeeping
 
-    def _keep_house(self) -> None:
+    def _housekeeping(self) -> None:
         while True:
             gevent.sleep(HOUSEKEEPING_INTERVAL)
-            self._directory.tell_if_old()
-            self._configuration_follower.tell_if_old()
+            self._directory.log_if_stale()
+            self._configuration_follower.log_if_stale()
             table = self.configuration.table
             services = table.configuration.services if table else ()
             bounds = (one.max_connections for one in services)
-            self._pool.limit_resting(resting_limit(bounds, self.peers.count() + 1))
+            self._pool.set_idle_limit(idle_connection_limit(bounds, self.peers.count() + 1))
             self._pool.expire()
-            self._accounts.tell()
+            self._accounts.log_summary()
 
     def _purge(self) -> None:
         """Drop jobs that nobody may ask for any more from the store."""
@@ -543,7 +543,7 @@
         self._limits.leaving = True
         self._line.leaving = True
         gevent.spawn(self._progress.save)
-        self._reports.changed()
+        self._reports.schedule_report()
         self._events.emit(
             Event.DRAIN_STARTED,
             requests=self.application.in_progress,
@@ -553,7 +553,7 @@
         # Clients go elsewhere now; a request that comes all the same could be cut at the end.
         self.application.refusing = True
         self._server.close_listener()
-        self._server.close_resting()
+        self._server.close_idle()
         finished = self._wait_until_idle(started + self._settings.grace - DRAIN_RESERVE)
         self._events.emit(Event.DRAIN_FINISHED if finished else Event.DRAIN_TIMED_OUT)
         self._stopped.set()
--- a/postvalve/gateway/interfaces.py
+++ b/postvalve/gateway/interfaces.py
@@ -12,7 +12,7 @@
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.routing.engine_load import EngineLoad
-from postvalve.core.serving.read_ahead import slow_client_bytes
+from postvalve.core.serving.client_buffer import slow_client_bytes
 from postvalve.exceptions import PlatformError, Verdict
 
 Headers = Sequence[tuple[str, str]]
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -17,7 +17,7 @@
 from postvalve.exceptions import AttemptError, PostvalveError, QuarantinedError, Verdict
 from postvalve.gateway.engines.engine_connections import ConnectionPool, EngineAnswer, request_bytes
 from postvalve.gateway.engines.event_stream import event_data, event_id_of
-from postvalve.gateway.engines.request_guard import RequestGuard
+from postvalve.gateway.engines.quarantine_guard import QuarantineGuard
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.fleet.load_reading import read_load
 from postvalve.gateway.fleet.placement import Placement
@@ -96,8 +96,8 @@
             seconds = self._clock.monotonic() - item.started_at
             item.run_seconds += seconds
             if held:
-                self._ends.note_run(item, seconds)
-            self._fleet.leave(placement)
+                self._ends.record_run(item, seconds)
+            self._fleet.release(placement)
             self._wake()
 
     def _attempt(self, item: RunningItem, placement: Placement) -> None:
@@ -114,7 +114,7 @@
         if item.cancelled or not self._fleet.takes_work(engine.life):
             return
 
-        def wanted() -> bool:
+        def still_usable() -> bool:
             # One that was told to go has no answer to abort yet.
             return not item.preempted and self._fleet.takes_work(engine.life)
 
@@ -128,7 +128,9 @@
         data = request_bytes("POST", req.target, headers, req.body)
         deadline = self._clock.monotonic() + ITEM_TIME
         guard.begin(engine.life)
-        answer = item.answer = self._pool.start(engine.address, data, deadline, wanted=wanted)
+        answer = item.answer = self._pool.send_request(
+            engine.address, data, deadline, still_usable=still_usable
+        )
         if item.cancelled:
             answer.abort()
             return
@@ -140,9 +142,9 @@
         self._judge(item, placement, item_id, answer)
         if not item.cancelled and answer.status == 200:
             self._read_stream(item, answer)
-            self._fleet.paces.note_end(placement, item.times)
-            self._fleet.note_success(engine.life)
-            guard.note_answered()
+            self._fleet.paces.record_end(placement, item.times)
+            self._fleet.record_success(engine.life)
+            guard.record_answer()
             self._complete(item)
 
     def _guard_of(
@@ -151,9 +153,9 @@
         job: BoardJob,
         req: gateway.ItemRequest,
         headers: list[tuple[str, str]],
-    ) -> RequestGuard:
+    ) -> QuarantineGuard:
         if item.guard is None:
-            item.guard = RequestGuard(
+            item.guard = QuarantineGuard(
                 self._quarantine,
                 self._clock,
                 self._events,
@@ -178,9 +180,9 @@
         life = placement.engine.life
         guard = item.guard
         if guard is not None and judgement in ANSWERS:
-            guard.note_head()
+            guard.record_head()
         if guard is not None and judgement in (Judgement.FAILED, Judgement.HOPELESS):
-            guard.note_engine_failed()
+            guard.record_engine_failure()
         if judgement is Judgement.ACCEPTED:
             return
         if judgement is Judgement.HOPELESS:
@@ -195,7 +197,7 @@
             gevent.spawn(self._progress.save_failures, item)
             raise AttemptError(f"the item failed: {answer.status}", Verdict.RAN)
         if judgement is Judgement.REPLACED:
-            self._fleet.note_replaced(life)
+            self._fleet.record_replaced(life)
         verdict = Verdict.MAY_HAVE_RUN if judgement is Judgement.FOREIGN else Verdict.NOT_RUN
         raise AttemptError(f"the engine did not take it: {answer.status}", verdict)
 
@@ -211,7 +213,7 @@
                 continue
             self._note_event(item)
             if item.guard is not None:
-                item.guard.note_event()
+                item.guard.record_event()
             item.events.append(event_data(event))
             item.last_event_id = number
             if not answer.has_event():
@@ -219,12 +221,12 @@
 
     def _note_event(self, item: RunningItem) -> None:
         times, placement = item.times, item.placement
-        times.note_event(self._clock.monotonic())
+        times.record_event(self._clock.monotonic())
         if placement is None:
             return
-        self._fleet.note_read(placement)
+        self._fleet.record_prompt_read(placement)
         if times.events == 1:
-            self._fleet.paces.note_first_event(placement, times.first_event)
+            self._fleet.paces.record_first_event(placement, times.first_event)
 
     def _note_failure(self, item: RunningItem, placement: Placement, error: PostvalveError) -> None:
         if item.cancelled:
@@ -234,9 +236,9 @@
             return
         life = placement.engine.life
         if item.guard is not None:
-            item.guard.note_failure(error)
+            item.guard.record_failure(error)
         if item.preempted:
-            self._fleet.paces.note_end(placement, item.times, whole=False)
+            self._fleet.paces.record_end(placement, item.times, whole=False)
             self._tell_preempted(item, life)
             return
         item.failed_engine = life
@@ -245,7 +247,7 @@
         refused = item.answer is not None and error.verdict is Verdict.NOT_RUN
         if isinstance(error, AttemptError) and error.verdict is not Verdict.RAN and not refused:
             # It gave no answer, or one that can't be trusted.
-            self._fleet.note_failure(life, error.message)
+            self._fleet.record_failure(life, error.message)
         self._events.emit(
             Event.ROUTED_ITEM_FAILED,
             job=item.job_id,
@@ -267,7 +269,7 @@
             job=item.job_id,
             item=item.index,
             engine=life,
-            cause=item.stopped_by,
+            cause=item.preempted_by,
             ran=round(now - item.started_at, 3),
             left=round(self._estimate.seconds_left(item.output_tokens, item.seconds_run(now)), 3),
             events=len(item.events),
--- a/postvalve/gateway/jobs/item_ends.py
+++ b/postvalve/gateway/jobs/item_ends.py
@@ -19,7 +19,7 @@
 from postvalve.gateway.jobs.running_item import RunningItem
 from postvalve.gateway.metrics import GatewayMetrics
 
-END_SPREADS = 1.5
+END_PROPAGATION_TIME = 1.5
 """Seconds after an item's end in which other nodes may not have read it."""
 GIVE_UP_MARGIN_MS = 5_000
 """Milliseconds by which clocks may differ or have been set ahead."""
@@ -54,10 +54,10 @@
         """Ends that are not durable yet."""
         return self._writer.pending
 
-    def lately(self) -> list[load_report.RunningItem]:
+    def recent(self) -> list[load_report.RunningItem]:
         """Items whose ends may not be read everywhere yet."""
         now = self._clock.monotonic()
-        while self._ended_lately and self._ended_lately[0][0] < now - END_SPREADS:
+        while self._ended_lately and self._ended_lately[0][0] < now - END_PROPAGATION_TIME:
             self._ended_lately.popleft()
         return [item for _, item in self._ended_lately]
 
@@ -74,7 +74,7 @@
         self._metrics.items.labels(outcome).inc()
         late = self._clock.wall() - item.due_at_ms / 1000
         kind = ItemOutcome.LATE if late > 0 else ItemOutcome.IN_TIME
-        self.accounts.note_item_end(
+        self.accounts.record_item_end(
             self._tenant_of(item),
             kind if completed else ItemOutcome.GIVEN_UP,
             self._clock.monotonic(),
@@ -90,15 +90,15 @@
             late=round(late, 2),
         )
 
-    def note_run(self, item: RunningItem, seconds: float) -> None:
+    def record_run(self, item: RunningItem, seconds: float) -> None:
         """An item was at an engine for so long, whether it ended there or not."""
-        self.accounts.note_item_run(self._tenant_of(item), seconds, self._clock.monotonic())
+        self.accounts.record_item_run(self._tenant_of(item), seconds, self._clock.monotonic())
 
     def _tenant_of(self, item: RunningItem) -> str:
         job = self._log.board.jobs.get(item.job_id)
         return job.accepted.tenant if job is not None else ""
 
-    def give_up_old(self) -> None:
+    def expire_items(self) -> None:
         """End items that may be given up and can't be run, for ever."""
         while True:
             gevent.sleep(1.0)
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.batch.giving_way import RunningItems, encode_running, giving_way
+from postvalve.core.batch.preemption import PeerRunningItems, count_preempted, encode_running
 from postvalve.core.membership.engine_life import EngineLife
-from postvalve.core.membership.report_pace import GATHER_SHARE, IDLE_INTERVAL
+from postvalve.core.membership.report_schedule import GATHER_SHARE, IDLE_INTERVAL
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.fleet.engine_watch import TELL_DELAY
 from postvalve.gateway.jobs.running_item import RunningItem
 
-FOUND_TIME = TELL_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
+DUPLICATE_NOTICE_WINDOW = TELL_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
 """Seconds within which a peer's word about an excess comes that this node has seen itself: the
 request that made it is told out of turn, and datagrams gather twice on the way. A later word is
 about another online request, which waits for the item that this node doesn't stop."""
@@ -41,7 +41,7 @@
         self,
         node_id: str,
         fleet: EngineFleet,
-        peer_items: RunningItems,
+        peer_items: PeerRunningItems,
         items: Callable[[], Iterable[RunningItem]],
         urgency: Callable[[RunningItem], int],
         now: Callable[[], float],
@@ -65,7 +65,7 @@
         self._found: list[_Found] = []
         """Items that this node has stopped by its own look of late, and that nobody told to go."""
 
-    def look(self) -> None:
+    def preempt_excess(self) -> None:
         """Stop items at engines that run more than they have slots for."""
         for life, running in self._running().items():
             staying = [item for item in running if not item.preempted]
@@ -74,7 +74,7 @@
                 continue
             others = self._peer_items.at(engine_hash(life))
             urgencies = [self._urgency(item) for item in staying]
-            count = giving_way(self._node_id, urgencies, others, excess)
+            count = count_preempted(self._node_id, urgencies, others, excess)
             # Of equally urgent ones, those that have the least to read anew.
             staying.sort(key=lambda item: (-self._urgency(item), len(item.events)))
             for item in staying[:count]:
@@ -82,7 +82,7 @@
                 self._found.append(found)
                 _stop(item, "look")
 
-    def stop_one(self, engine: int, urgency: int) -> None:
+    def preempt_one(self, engine: int, urgency: int) -> None:
         """Let an item go that is one of the least urgent ones of all nodes at an engine.
 
         Args:
@@ -93,7 +93,7 @@
         if self._was_found(engine, urgency):
             return
         for life, running in self._running().items():
-            open_to = [item for item in running if not item.told_to_go]
+            open_to = [item for item in running if not item.preempt_requested]
             if engine_hash(life) != engine or not open_to:
                 continue
             # One that gives way already, or of equals the one that has the least to read anew.
@@ -102,7 +102,7 @@
             )
             if self._urgency(item) < urgency:
                 continue
-            item.told_to_go = True
+            item.preempt_requested = True
             self._found = [one for one in self._found if one.item is not item]
             if not item.preempted:
                 _stop(item, "told")
@@ -113,7 +113,7 @@
         The peer has seen the same excess, and a second item would go for it.
         """
         now = self._now()
-        self._found = [one for one in self._found if now - one.at < FOUND_TIME]
+        self._found = [one for one in self._found if now - one.at < DUPLICATE_NOTICE_WINDOW]
         for found in self._found:
             if found.gone and found.engine == engine and found.urgency >= urgency:
                 self._found.remove(found)
@@ -142,6 +142,6 @@
 
 def _stop(item: RunningItem, cause: str) -> None:
     item.preempted = True
-    item.stopped_by = cause
+    item.preempted_by = cause
     if item.answer is not None:
         item.answer.abort()
--- a/postvalve/gateway/jobs/item_progress.py
+++ b/postvalve/gateway/jobs/item_progress.py
@@ -29,19 +29,19 @@
 PROGRESS_TOPIC = "progress"
 SAVE_INTERVAL = 1.0
 """Seconds between saves; what an item gave since the last one is lost with its node."""
-LEAST_EVENTS = 12
+MIN_EVENTS_TO_SAVE = 12
 """New events from which an item is worth saving."""
 CALL_MARGIN = 8_192
 """Bytes of a call that are left for keys and lengths."""
-RESTORE_PATIENCE = 1.5
+RESTORE_TIMEOUT = 1.5
 """Seconds in which saved progress is looked for; then items begin anew."""
-RESTORE_PAUSE = 0.2
+RESTORE_RETRY_DELAY = 0.2
 SWEEP_INTERVAL = 60.0
 """Seconds between looks for segments that their writers left behind."""
 COMPRESSION_LEVEL = 1
 
 
-class Progressing(Protocol):
+class SavableItem(Protocol):
     """An item as far as its progress goes."""
 
     job_id: str
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class _Save:
-    item: Progressing
+    item: SavableItem
     record: KeyedRecord
     events: int
     last_id: int
@@ -98,7 +98,7 @@
         self._dropped: dict[int, list[str]] = defaultdict(list)
         """Keys whose records are not needed any more, by partition."""
         self._lock = RLock()
-        self.unfinished: Callable[[], Iterable[Progressing]] = list
+        self.unfinished: Callable[[], Iterable[SavableItem]] = list
 
     def _partition_of(self, node_id: str) -> int:
         # By node, so that all its items are saved with one call.
@@ -119,7 +119,7 @@
                     return
             self._drop()
 
-    def save_failures(self, item: Progressing) -> None:
+    def save_failures(self, item: SavableItem) -> None:
         """Let whoever takes the item's job over know how often the item failed."""
         segment = gateway.ItemProgress(failures=item.failures)
         record = KeyedRecord(failures_key(item.job_id, item.index), bytes(segment))
@@ -149,10 +149,10 @@
                 self._dropped[self._own_partition].append(one.record.key)
         return True
 
-    def _next(self, item: Progressing) -> _Save | None:
+    def _next(self, item: SavableItem) -> _Save | None:
         chain, last_id = item.chain, item.last_event_id
         new = item.events[chain.saved_events :]
-        if last_id is None or len(new) < LEAST_EVENTS:
+        if last_id is None or len(new) < MIN_EVENTS_TO_SAVE:
             return None
         if not chain.name:
             chain.name = self._new_id()
@@ -180,7 +180,7 @@
 
     # Dropping
 
-    def forget(self, item: Progressing) -> None:
+    def forget(self, item: SavableItem) -> None:
         """An item has ended: its segments are dropped with the next save."""
         chain = item.chain
         self._dropped[self._own_partition] += [
@@ -218,7 +218,7 @@
 
     def restore(self, job: BoardJob) -> SavedJob:
         """What is saved of a job; nothing when the store does not tell in time."""
-        deadline = self._clock.monotonic() + RESTORE_PATIENCE
+        deadline = self._clock.monotonic() + RESTORE_TIMEOUT
         partitions = {self._partition_of(node_id) for node_id in job.holders}
         while True:
             try:
@@ -229,10 +229,10 @@
                 ]
                 return assemble(found)
             except StoreUnavailableError as exc:
-                if self._clock.monotonic() + RESTORE_PAUSE >= deadline:
+                if self._clock.monotonic() + RESTORE_RETRY_DELAY >= deadline:
                     self._events.emit(Event.LOG_UNAVAILABLE, error=exc.message, job=job.job_id)
                     return SavedJob()
-            gevent.sleep(RESTORE_PAUSE)
+            gevent.sleep(RESTORE_RETRY_DELAY)
 
     def _records(self, partition: int, prefix: str) -> list[tuple[str, bytes]]:
         found: list[tuple[str, bytes]] = []
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -9,7 +9,7 @@
 
 from postvalve.clock import Clock
 from postvalve.core.admission.quarantine import Quarantine
-from postvalve.core.batch.item_order import DurationEstimate, startable
+from postvalve.core.batch.item_order import DurationEstimate, count_startable
 from postvalve.core.batch.job_board import BoardJob
 from postvalve.core.membership import load_report
 from postvalve.core.membership.extensions import Extension
@@ -74,7 +74,7 @@
         self._route_named = route_named
         self._wakeup = GeventEvent()
         self._own = OwnItems(identity, events, log, jobs, progress, self.wake)
-        self._own.on_taken = reports.changed
+        self._own.on_job_added = reports.schedule_report
         self._looked_at = float("-inf")
         estimate = DurationEstimate()
         self.urgency = ItemUrgency(clock, events, log, peers, estimate)
@@ -105,7 +105,7 @@
         reports.waiting_due = self.waiting_due
         reports.running_items = self.running_items
         reports.items_running = self._preemption.report
-        reports.watch.on_give_way = self._preemption.stop_one
+        reports.watch.on_preempt = self._preemption.preempt_one
         reports.watch.own_urgencies = self._preemption.urgencies_at
 
     @property
@@ -133,20 +133,20 @@
             for item in self._own.all()
             if item.running
         ]
-        return running + self.ends.lately()
+        return running + self.ends.recent()
 
     def wake(self) -> None:
         """Look for room soon."""
         self._wakeup.set()
 
-    def note_peers(self) -> None:
+    def on_peer_update(self) -> None:
         """Peers have told something: a look is worth it only where this node has items."""
         if self._own.by_job:
             self._wakeup.set()
 
-    def give_up_old(self) -> None:
+    def expire_items(self) -> None:
         """End items that may be given up and can't be run, for ever."""
-        self.ends.give_up_old()
+        self.ends.expire_items()
 
     def abandon(self) -> None:
         """Drop everything at once."""
@@ -162,15 +162,15 @@
                 gevent.sleep(early)
             self._wakeup.clear()
             self._looked_at = self._clock.monotonic()
-            self._fleet.use.means.roll(self._looked_at)
-            self._preemption.look()
+            self._fleet.use.online_averages.advance(self._looked_at)
+            self._preemption.preempt_excess()
             if not self.draining:
                 self._start_items()
 
     def _waiting(self) -> list[_Ranked]:
         """Items that may start, the most urgent first."""
         now = self._clock.monotonic()
-        elsewhere = self._peers.running_at_leaving()
+        elsewhere = self._peers.running_on_leaving_peers()
         waiting = [
             (self.urgency.of(item), item)
             for item in self._own.all()
@@ -199,7 +199,7 @@
         room = self._fleet.batch_room(service, pressing=pressing)
         # Items that have time stay in their zone, and rank among those of it.
         others = self._peers.waiting(None if pressing else self._identity.zone)
-        count = startable(due, others, room)
+        count = count_startable(due, others, room)
         for _, item in items[:count]:
             if not self._start(item, service, pressing=pressing):
                 break
@@ -223,7 +223,7 @@
         if placement is None:
             return False
         item.running = True
-        item.preempted = item.told_to_go = False
+        item.preempted = item.preempt_requested = False
         item.placement = placement
         item.started_at = self._clock.monotonic()
         self._events.emit(
--- a/postvalve/gateway/jobs/item_urgency.py
+++ b/postvalve/gateway/jobs/item_urgency.py
@@ -13,18 +13,18 @@
     share_urgency,
     urgency,
 )
-from postvalve.core.batch.lateness import WINDOW, Lateness
+from postvalve.core.batch.lateness import LATENESS_WINDOW, Lateness
 from postvalve.core.membership.extensions import Extension, Feature
 from postvalve.core.membership.peers import PeerView
 from postvalve.core.routing.route_table import RouteTable
-from postvalve.core.scheduling.weights import weights_of
+from postvalve.core.scheduling.weights import tenant_weights
 from postvalve.events import Event, EventLog
 from postvalve.gateway.jobs.job_log import JobLog
 from postvalve.gateway.jobs.running_item import RunningItem
-from postvalve.gateway.knowledge.topic_follower import OLD_AFTER
+from postvalve.gateway.knowledge.topic_follower import STALE_AFTER
 from postvalve.settings.routes import RoutedTenant
 
-LOOK_AGE = 0.5
+PEER_REFRESH_INTERVAL = 0.5
 """Seconds after which it is looked anew what peers tell: asked for each item."""
 
 
@@ -56,7 +56,7 @@
         tenants: Sequence[RoutedTenant] = table.configuration.tenants or ()
         self._tenants = {one.name: one for one in tenants}
         self._route_priorities = {one.name: one.priority for one in table.configuration.routes}
-        self._log.weigh(weights_of(tenants))
+        self._log.set_weights(tenant_weights(tenants))
         self._looked_at = float("-inf")
 
     @property
@@ -71,15 +71,15 @@
 
     def _look(self) -> None:
         now = self._clock.monotonic()
-        if now - self._looked_at < LOOK_AGE:
+        if now - self._looked_at < PEER_REFRESH_INTERVAL:
             return
         self._looked_at = now
-        self._estimate.hear(self._peers.extension_parts(Extension.ITEM_PACE))
+        self._estimate.learn_from_peers(self._peers.extension_parts(Extension.ITEM_PACE))
         compete = len(self._tenants) >= 2
         self._look_for_late()
         able = Feature.BATCH_SHARES in self._peers.features()
         self._by_shares = compete and able
-        order = "shares" if self._by_shares and self._lateness.mostly else "due time"
+        order = "shares" if self._by_shares and self._lateness.mostly_late else "due time"
         if order != self._order:
             self._order = order
             self._events.emit(
@@ -92,12 +92,12 @@
             )
 
     def _look_for_late(self) -> None:
-        if self._log.follower.age > OLD_AFTER:
+        if self._log.follower.age > STALE_AFTER:
             # Results are missing that came meanwhile: everything would seem late.
             return
         shares, now = self._log.board.shares, self._clock.wall()
-        self._lateness.look(shares.due, now)
-        shares.forget_due(int(now) - WINDOW)
+        self._lateness.update(shares.due, now)
+        shares.forget_due(int(now) - LATENESS_WINDOW)
 
     def of(self, item: RunningItem) -> int:
         """How urgent an item is; the lowest first."""
@@ -120,7 +120,7 @@
         job = self._log.board.jobs.get(item.job_id)
         if job is None:
             return None
-        if not self._lateness.mostly:
+        if not self._lateness.mostly_late:
             return ShareRank(0, 0, True, ends_soon)
         tenant = self._tenants.get(job.accepted.tenant)
         own = tenant.priority if tenant is not None else None
--- a/postvalve/gateway/jobs/job_claims.py
+++ b/postvalve/gateway/jobs/job_claims.py
@@ -18,10 +18,10 @@
 """Seconds between looks for jobs that nobody works on."""
 CLAIM_AFTER_START = 1.5
 """Seconds after its start before a node claims jobs of others: it must hear of them first."""
-ALL_HEARD_AFTER = 4.0
+ZONE_DISCOVERY_TIMEOUT = 4.0
 """Seconds after its start from which zones that it has not heard of count as gone: their digests
 tell now and then only who lives there."""
-STORE_SILENCE = 3.0
+MAX_STORE_SILENCE = 3.0
 """Seconds without the store after which a node claims nothing."""
 
 
@@ -45,14 +45,14 @@
         self._new_id = new_id
         self._started_at = clock.monotonic()
         self.draining = False
-        self.heard_all: Callable[[], bool] = lambda: True
+        self.all_zones_known: Callable[[], bool] = lambda: True
         """Tells whether it is known of every zone who lives there."""
 
     def run(self) -> None:
         """Look for ever."""
         while True:
             gevent.sleep(CLAIM_INTERVAL)
-            if self.draining or self._log.silence() > STORE_SILENCE:
+            if self.draining or self._log.silence() > MAX_STORE_SILENCE:
                 continue
             for job in self._log.board.open_jobs():
                 if self._should_claim(job):
@@ -65,13 +65,15 @@
             return job.incarnation != identity.incarnation
         if not self._knows_who_lives():
             return False
-        if self._peers.works(job.node_id, job.incarnation):
+        if self._peers.can_run_jobs(job.node_id, job.incarnation):
             return False
         return self._peers.successor(job.job_id, self_works=True) == identity.node_id
 
     def _knows_who_lives(self) -> bool:
         age = self._clock.monotonic() - self._started_at
-        return age >= ALL_HEARD_AFTER or (age >= CLAIM_AFTER_START and self.heard_all())
+        return age >= ZONE_DISCOVERY_TIMEOUT or (
+            age >= CLAIM_AFTER_START and self.all_zones_known()
+        )
 
     def _claim(self, job: BoardJob) -> None:
         claim = gateway.JobClaimed(
--- a/postvalve/gateway/jobs/job_log.py
+++ b/postvalve/gateway/jobs/job_log.py
@@ -64,14 +64,14 @@
             topics, clock, events, JOB_TOPIC, self._observe, wait=FOLLOW_WAIT, pause=FOLLOW_PAUSE
         )
 
-    def listen(self, listener: ChangeListener) -> None:
+    def add_listener(self, listener: ChangeListener) -> None:
         """Be told of changed jobs."""
         self._listeners.append(listener)
 
-    def weigh(self, weights: Mapping[str, float]) -> None:
+    def set_weights(self, weights: Mapping[str, float]) -> None:
         """Take weights of tenants as the configuration has them now."""
         self._weights = weights
-        self.board.shares.reweigh(weights)
+        self.board.shares.set_weights(weights)
 
     def _observe(self, records: Sequence[KeyedRecord], whole: bool) -> None:
         touched: set[str] = set()
@@ -99,7 +99,7 @@
 
     def silence(self) -> float:
         """Seconds since the store was heard last."""
-        return self._clock.monotonic() - self.follower.heard_at
+        return self._clock.monotonic() - self.follower.answered_at
 
     def is_fresh(self, patience: float) -> bool:
         """Whether all that was acknowledged `patience` seconds ago is on the board."""
@@ -143,7 +143,7 @@
             offset = self._topics.append(JOB_TOPIC, 0, records, at=self.follower.next_offset)
         except PositionTakenError:
             return False
-        if not self.follower.note_own(records, offset):
+        if not self.follower.record_own_write(records, offset):
             self.follower.catch_up()
         return True
 
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -130,7 +130,7 @@
         self.requests: dict[str, list[gateway.ItemRequest]] = {}
         """Requests of open jobs' items that came to this node, or that it works on."""
         self._in_progress: set[str] = set()
-        log.listen(self._forget_requests)
+        log.add_listener(self._forget_requests)
 
     def submit(self, submission: Submission) -> None:
         """Take a job; returns once it is durable. A resend finds it taken.
@@ -331,7 +331,7 @@
             return self._log.texts.get(ends[:count])
         except (StoreUnavailableError, NotFoundError) as exc:
             # What this node has read before is told all the same.
-            at_hand = list(itertools.takewhile(self._log.texts.cached, ends[:count]))
+            at_hand = list(itertools.takewhile(self._log.texts.is_cached, ends[:count]))
             self._events.emit(
                 Event.LOG_UNAVAILABLE, error=exc.message, texts=count, at_hand=len(at_hand)
             )
--- a/postvalve/gateway/jobs/own_items.py
+++ b/postvalve/gateway/jobs/own_items.py
@@ -40,10 +40,10 @@
         self._told_lost: set[str] = set()
         self.draining = False
         """Whether this node is about to end: what runs ends here, whoever has the job."""
-        self.on_taken: Callable[[], None] = lambda: None
+        self.on_job_added: Callable[[], None] = lambda: None
         """Called when a job was taken."""
         progress.unfinished = self.all
-        log.listen(self._jobs_changed)
+        log.add_listener(self._jobs_changed)
 
     def all(self) -> list[RunningItem]:
         """Every item that has not ended."""
@@ -91,7 +91,7 @@
             for index in job.unfinished()
         }
         self.by_job[job.job_id] = items
-        self.on_taken()
+        self.on_job_added()
         if job.taken_over:
             for item in items.values():
                 item.not_before = math.inf
--- a/postvalve/gateway/jobs/result_texts.py
+++ b/postvalve/gateway/jobs/result_texts.py
@@ -86,7 +86,7 @@
         self._cache.move_to_end(prefix)
         return unpack_text(self._cache[prefix])
 
-    def cached(self, end: ItemEnd) -> bool:
+    def is_cached(self, end: ItemEnd) -> bool:
         """Whether a text needs no read."""
         return not end.text_records or _prefix(end) in self._cache
 
--- a/postvalve/gateway/jobs/running_item.py
+++ b/postvalve/gateway/jobs/running_item.py
@@ -7,7 +7,7 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.routing.attempt_times import AttemptTimes
 from postvalve.gateway.engines.engine_connections import EngineAnswer
-from postvalve.gateway.engines.request_guard import RequestGuard
+from postvalve.gateway.engines.quarantine_guard import QuarantineGuard
 from postvalve.gateway.fleet.placement import Placement
 from postvalve.gateway.jobs.item_progress import Chain
 
@@ -32,9 +32,9 @@
     running: bool = False
     cancelled: bool = False
     preempted: bool = False
-    told_to_go: bool = False
+    preempt_requested: bool = False
     """Whether a peer has told this node to stop its present attempt."""
-    stopped_by: str = ""
+    preempted_by: str = ""
     """Who found that its attempt must give way: "look" of this node, or "told" by a peer."""
     answer: EngineAnswer | None = None
     placement: Placement | None = None
@@ -44,7 +44,7 @@
     run_seconds: float = 0.0
     """Seconds that its former attempts ran."""
     failed_engine: EngineLife | None = None
-    guard: RequestGuard | None = None
+    guard: QuarantineGuard | None = None
     """Its part in the quarantine; None until its request was read."""
     chain: Chain = field(default_factory=Chain)
     """What of it is saved."""
--- a/postvalve/gateway/knowledge/configuration.py
+++ b/postvalve/gateway/knowledge/configuration.py
@@ -37,7 +37,7 @@
         """Number of the revision in force; -1 before any."""
         return self.table.revision if self.table else -1
 
-    def listen(self, listener: Callable[[RouteTable], None]) -> None:
+    def add_listener(self, listener: Callable[[RouteTable], None]) -> None:
         """Be told of new revisions."""
         self._listeners.append(listener)
 
--- a/postvalve/gateway/knowledge/relayed_topics.py
+++ b/postvalve/gateway/knowledge/relayed_topics.py
@@ -11,11 +11,11 @@
 
 from postvalve.clock import Clock
 from postvalve.core.membership.peers import PeerView
-from postvalve.core.membership.store_path import (
-    SLOW_ANSWER,
+from postvalve.core.membership.store_reachability import (
+    MAX_RELAY_TIMEOUT,
     AvoidedPeers,
-    RelayPatience,
-    StorePath,
+    RelayTimeout,
+    StoreReachability,
     relay_address,
 )
 from postvalve.events import Event, EventLog
@@ -65,8 +65,8 @@
         self._transport = transport
         self._peers = peers
         self._metrics = metrics
-        self._path = StorePath()
-        self._patience = RelayPatience()
+        self._path = StoreReachability()
+        self._patience = RelayTimeout()
         self._avoided = AvoidedPeers()
         self._probing = False
         self._last_read = ("", 0, 0)
@@ -155,7 +155,7 @@
 
     def _look_for_own_way(self) -> None:
         """See now and then whether the store is within own reach again, beside all calls."""
-        if not self._probing and self._path.try_own(self._clock.monotonic()):
+        if not self._probing and self._path.use_direct(self._clock.monotonic()):
             self._probing = True
             gevent.spawn(self._probe)
 
@@ -183,7 +183,7 @@
 
     def _relayed(self, address: str, call: betterproto.Message, wait: float) -> gateway.StoreReply:
         self._metrics.store_calls.labels(type(call).__name__, "by a peer").inc()
-        patience = self._patience.seconds if wait else SLOW_ANSWER
+        patience = self._patience.seconds if wait else MAX_RELAY_TIMEOUT
         try:
             reply = self._transport.call(address, Channel.BATCH, call, wait + patience)
         except PeerUnavailableError as exc:
--- a/postvalve/gateway/knowledge/freshness.py
+++ b/postvalve/gateway/knowledge/state_age.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class StateAge:
     """Ages are seconds of which the node does not know what the store acknowledged in them."""
 
     directory_age: float = 0.0
--- a/postvalve/gateway/knowledge/topic_follower.py
+++ b/postvalve/gateway/knowledge/topic_follower.py
@@ -20,7 +20,7 @@
 ERROR_PAUSE_FACTOR = 4.0
 """By which each later failure makes the pause longer."""
 MAX_ERROR_PAUSE = 1.0
-OLD_AFTER = 2.0
+STALE_AFTER = 2.0
 """Seconds after which what is known of a topic counts as old: the shortest time within which a
 deployment lets acknowledged changes go unheeded."""
 MAX_AGE = 60.0
@@ -104,12 +104,12 @@
         self._told_old = False
         self.on_lost: Callable[[], None] = lambda: None
         """Called when the store does not answer, once until it does again."""
-        self.on_back: Callable[[], None] = lambda: None
+        self.on_regained: Callable[[], None] = lambda: None
         """Called when it answers again, before what it told is taken in."""
         self.next_offset = -1
-        self.asked_at = float("-inf")
+        self.requested_at = float("-inf")
         """Monotonic seconds at which the read under way, or the last one, was begun."""
-        self.heard_at = float("-inf")
+        self.answered_at = float("-inf")
         """Monotonic seconds at which the store answered last."""
         self.fresh_at = float("-inf")
         """Monotonic seconds up to which everything that was acknowledged is known."""
@@ -124,9 +124,9 @@
         """Seconds of which this node does not know what was acknowledged in them."""
         return min(MAX_AGE, self._clock.monotonic() - self.fresh_at)
 
-    def tell_if_old(self) -> None:
+    def log_if_stale(self) -> None:
         """Log, once until it is up to date again, that what is known is old."""
-        old = self.loaded and self.age > OLD_AFTER
+        old = self.loaded and self.age > STALE_AFTER
         if old and not self._told_old:
             self._events.emit(
                 Event.STORE_TOPIC_OLD,
@@ -154,7 +154,7 @@
             self._load()
             return
         offset, started = self.next_offset, self._clock.monotonic()
-        self.asked_at = started
+        self.requested_at = started
         try:
             part = self._topics.read(self._topic, 0, offset, self._wait, READ_BYTES)
         except HistoryGoneError:
@@ -190,7 +190,7 @@
                     self.fresh_at = max(self.fresh_at, started)
                     return
 
-    def note_own(self, records: Sequence[KeyedRecord], offset: int) -> bool:
+    def record_own_write(self, records: Sequence[KeyedRecord], offset: int) -> bool:
         """Take records in that this node has appended at `offset`, without reading them.
 
         Returns:
@@ -215,7 +215,7 @@
     def _load(self) -> None:
         # Another read that begins meanwhile reads pages of its own.
         pages, self._pages = self._pages or _Pages(self._clock.monotonic()), None
-        self.asked_at = self._clock.monotonic()
+        self.requested_at = self._clock.monotonic()
         try:
             pages.read(self._topics, self._topic)
         except PlatformError:
@@ -231,10 +231,10 @@
             self._listener(pages.records(), True)
 
     def _heard(self) -> None:
-        self.heard_at = self._clock.monotonic()
+        self.answered_at = self._clock.monotonic()
         if self._lost:
             self._lost = False
-            self.on_back()
+            self.on_regained()
             self._events.emit(
                 Event.STORE_REGAINED,
                 topic=self._topic,
--- a/postvalve/gateway/metrics.py
+++ b/postvalve/gateway/metrics.py
@@ -79,7 +79,7 @@
             "postvalve_log_lines_dropped", "Since the start", registry=self.registry
         )
 
-    def tell_tenants(self, rows: Callable[[], list[Row]]) -> None:
+    def register_tenants(self, rows: Callable[[], list[Row]]) -> None:
         """Tell what tenants got as well."""
         self.registry.register(_TenantCollector(rows))
 
--- a/postvalve/gateway/serving/application.py
+++ b/postvalve/gateway/serving/application.py
@@ -22,16 +22,16 @@
     Verdict,
 )
 from postvalve.gateway.engines.engine_connections import EngineAnswer
-from postvalve.gateway.knowledge.freshness import Knowledge
+from postvalve.gateway.knowledge.state_age import StateAge
 from postvalve.gateway.serving.caller_accounts import CallerAccounts, RequestAccount
-from postvalve.gateway.serving.client_watch import ClientWatch
+from postvalve.gateway.serving.disconnect_watcher import DisconnectWatcher
 from postvalve.gateway.serving.http_calls import HttpCall, HttpReply, JobCalls, error_reply
 from postvalve.gateway.serving.http_server import (
     CONNECTION_KEY,
     HEADERS_KEY,
-    LAG_KEY,
+    ON_LAG_KEY,
     TARGET_KEY,
-    CutAnswer,
+    TruncatedAnswer,
 )
 from postvalve.gateway.serving.read_ahead import ReadAhead, SlowClients
 from postvalve.gateway.serving.request_body import BodyReader, SlowBodyError
@@ -94,7 +94,7 @@
         """Whether new requests are refused."""
         self._runs: set[RoutedRun] = set()
         self.in_progress = 0
-        self.knowledge: Callable[[], Knowledge] = Knowledge
+        self.state_age: Callable[[], StateAge] = StateAge
         self.key_policy = KeyPolicy()
 
     def __call__(self, environ: dict[str, Any], start_response: StartResponse) -> Iterable[bytes]:
@@ -122,7 +122,7 @@
             table = self._usable_table(call)
             if self._jobs.matches(call):
                 caller = self._caller(call, table, needs_key=_needs_key(call, table))
-                account.dismiss()
+                account.exclude()
                 yield from self._send(start_response, self._jobs.serve(call, caller))
                 return
             route = table.match(call.host, call.path)
@@ -132,7 +132,7 @@
             account.identify(caller.name, route.target_latency)
             if route.batch is not None:
                 reply = self._jobs.submit(call, route, caller)
-                account.whole()
+                account.completed()
                 yield from self._send(start_response, reply)
                 return
             request = self._routed_request(call, route, caller, arrived_at, account)
@@ -142,7 +142,7 @@
             account.failed(error)
             self._note_failure(request_id, error, arrived_at)
             yield from self._send(start_response, self._error_reply(error))
-        except (GeneratorExit, CutAnswer):
+        except (GeneratorExit, TruncatedAnswer):
             raise
         except Exception as error:  # every failure is answered, and the process goes on
             account.failed(error)
@@ -168,7 +168,7 @@
             code=error.code,
             verdict=error.verdict.value,
             age=round(self._clock.monotonic() - arrived_at, 3),
-            **self.knowledge().fields(),
+            **self.state_age().fields(),
             error=error.message,
         )
 
@@ -205,7 +205,7 @@
         return table
 
     def _caller(self, call: HttpCall, table: RouteTable, *, needs_key: bool) -> Caller:
-        knowledge, key = self.knowledge(), None
+        knowledge, key = self.state_age(), None
         try:
             key = self._services.dialect.api_key(call.headers)
             return identify_caller(
@@ -270,13 +270,13 @@
         ahead = ReadAhead(
             self._slow, run.events(), request.caller.name, request.terms.request_id, connection
         )
-        environ[LAG_KEY] = ahead.client_lags
+        environ[ON_LAG_KEY] = ahead.on_client_lag
 
         def client_gone() -> None:
             run.client_gone()
             ahead.client_gone()
 
-        watch = ClientWatch(connection, client_gone)
+        watch = DisconnectWatcher(connection, client_gone)
         try:
             answer = run.start()
             # A later attempt has another head; the client sees that of the first.
@@ -308,7 +308,7 @@
         try:
             yield from events
         except PostvalveError as error:
-            raise CutAnswer(error.message) from error
+            raise TruncatedAnswer(error.message) from error
 
     def _answer_headers(self, answer: EngineAnswer) -> list[tuple[str, str]]:
         headers = [
--- a/postvalve/gateway/serving/caller_accounts.py
+++ b/postvalve/gateway/serving/caller_accounts.py
@@ -13,8 +13,8 @@
     End,
     Row,
     by_asked,
-    by_standing,
-    first,
+    by_in_time_score,
+    top_tenants,
 )
 from postvalve.events import Event, EventLog
 from postvalve.exceptions import (
@@ -34,13 +34,13 @@
     TimeOverError,
     Verdict,
 )
-from postvalve.gateway.serving.http_server import CutAnswer
+from postvalve.gateway.serving.http_server import TruncatedAnswer
 
-TELL_INTERVAL = 10.0
+SUMMARY_INTERVAL = 10.0
 """Seconds between lines about what tenants got."""
 HOLDERS = 3
 """Tenants that are named as those who hold engines."""
-TOLD = 5
+TENANTS_PER_LIST = 5
 """Tenants of each order in such a line."""
 
 ENDS: dict[type[BaseException], End] = {
@@ -64,7 +64,7 @@
 
 def end_of(error: BaseException) -> End:
     """How a request ended that raised `error`."""
-    if isinstance(error, CutAnswer) and error.__cause__ is not None:
+    if isinstance(error, TruncatedAnswer) and error.__cause__ is not None:
         return end_of(error.__cause__)
     for kind in type(error).__mro__:
         if kind in ENDS:
@@ -114,13 +114,13 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        self.released()
+        self.attempt_ended()
         if error is not None:
             self.failed(error)
         if not self._counted:
             return
         now = self._clock.monotonic()
-        self._book.note_request(
+        self._book.record_request(
             self._tenant,
             self._end or End.FAILED,
             now,
@@ -129,7 +129,7 @@
             engine_seconds=self._seconds,
         )
 
-    def dismiss(self) -> None:
+    def exclude(self) -> None:
         """Do not count it: it asks for nothing that an engine does."""
         self._counted = False
 
@@ -138,18 +138,18 @@
         self._tenant = tenant
         self._target_latency = target_latency
 
-    def placed(self, now: float) -> None:
+    def attempt_started(self, now: float) -> None:
         """An attempt at an engine begins."""
         self._placed_at = now
-        self._book.note_started(self._tenant)
+        self._book.record_start(self._tenant)
         if self._waited is None:
             self._waited = now - self._arrived_at
 
-    def not_run(self) -> None:
+    def attempt_refused(self) -> None:
         """The engine did not take the attempt under way."""
         self._take_back()
 
-    def released(self) -> None:
+    def attempt_ended(self) -> None:
         """The engine is done with the attempt under way, if there is one."""
         placed_at = self._take_back()
         if placed_at is not None:
@@ -159,14 +159,14 @@
         """End the attempt under way; returns when it began, None where there is none."""
         placed_at, self._placed_at = self._placed_at, None
         if placed_at is not None:
-            self._book.note_stopped(self._tenant)
+            self._book.record_stop(self._tenant)
         return placed_at
 
     def first_event(self) -> None:
         """The first event of its answer came."""
         self._first_at = self._clock.monotonic()
 
-    def whole(self) -> None:
+    def completed(self) -> None:
         """Its answer is whole."""
         first_at = self._clock.monotonic() if self._first_at is None else self._first_at
         in_time = first_at - self._arrived_at <= self._target_latency
@@ -204,21 +204,27 @@
         """Tenants with the most online requests of this node at engines now, and how many."""
         return self.accounts.holders(HOLDERS)
 
-    def tell(self) -> None:
+    def log_summary(self) -> None:
         """Write a line once in a while, if tenants got anything since the last one."""
         now = self._clock.monotonic()
-        if now - self._told_at < TELL_INTERVAL or self._told == self.accounts.noted:
+        if now - self._told_at < SUMMARY_INTERVAL or self._told == self.accounts.change_count:
             return
-        self._told_at, self._told = now, self.accounts.noted
-        lately = {row.tenant: row.lately for row in self.rows() if row.tenant not in ("", OTHERS)}
+        self._told_at, self._told = now, self.accounts.change_count
+        lately = {row.tenant: row.recent for row in self.rows() if row.tenant not in ("", OTHERS)}
         lately = {tenant: counts for tenant, counts in lately.items() if counts != Counts()}
         if not lately:
             return
         self._events.emit(
             Event.TENANTS_SERVED,
             tenants=len(lately),
-            largest=[_summary(one, lately[one]) for one in first(lately, by_asked, TOLD)],
-            worst=[_summary(one, lately[one]) for one in first(lately, by_standing, TOLD)],
+            largest=[
+                _summary(one, lately[one])
+                for one in top_tenants(lately, by_asked, TENANTS_PER_LIST)
+            ],
+            worst=[
+                _summary(one, lately[one])
+                for one in top_tenants(lately, by_in_time_score, TENANTS_PER_LIST)
+            ],
         )
 
 
--- a/postvalve/gateway/serving/client_watch.py
+++ b/postvalve/gateway/serving/disconnect_watcher.py
@@ -12,7 +12,7 @@
 """libev's event of a readable socket."""
 
 
-class ClientWatch:
+class DisconnectWatcher:
     """Watches one connection without a greenlet of its own."""
 
     def __init__(self, connection: Any, on_gone: Callable[[], None]) -> None:
--- a/postvalve/gateway/serving/fair_shares.py
+++ b/postvalve/gateway/serving/fair_shares.py
@@ -10,12 +10,12 @@
 from postvalve.core.scheduling.fair_share import (
     MAX_COST,
     ShareClock,
-    TagBook,
+    TagAssigner,
     Work,
-    normal_weights,
+    normalized_weights,
 )
-from postvalve.core.scheduling.waiting_order import Place, ShareNews, unpack_news
-from postvalve.core.scheduling.weights import weights_of
+from postvalve.core.scheduling.queue_order import QueuePosition, ShareUpdate, unpack_share_update
+from postvalve.core.scheduling.weights import tenant_weights
 
 LEAST_TENANTS = 2
 """Tenants of the configuration from which there is something to share."""
@@ -35,11 +35,11 @@
         self._seen: RouteTable | None = None
         self._weights: dict[str, float] = {}
         self.clock = ShareClock()
-        self._lent = TagBook(self.clock)
+        self._lent = TagAssigner(self.clock)
         """Of tenants that this node lends to, or stamps for because nobody else does."""
         self._untold: dict[str, float] = {}
         """Corrections by tenant that its lender has not heard, in slot seconds."""
-        self.first_waiting: Callable[[], dict[int, Place]] = dict
+        self.first_waiting: Callable[[], dict[int, QueuePosition]] = dict
         """Gives the first that waits here, by the hash of its service."""
 
     @property
@@ -54,8 +54,8 @@
             return
         self._seen = table
         tenants = (table.configuration.tenants if table else None) or ()
-        self._weights = normal_weights(weights_of(tenants))
-        self._lent.keep(self._weights)
+        self._weights = normalized_weights(tenant_weights(tenants))
+        self._lent.retain(self._weights)
         self._untold = {one: told for one, told in self._untold.items() if one in self._weights}
 
     def work(self, tenant: str, cost: float) -> Work:
@@ -74,7 +74,7 @@
             self._untold[tenant] = untold - correction
         return Work(min(MAX_COST, cost or UNKNOWN_COST), correction)
 
-    def enter(self, tenant: str, work: Work, told: float) -> RequestShare | None:
+    def open(self, tenant: str, work: Work, told: float) -> RequestShare | None:
         """Count a request in; None where there are no shares.
 
         Args:
@@ -84,38 +84,38 @@
         """
         if not self.enabled:
             return None
-        return RequestShare(self, tenant, work.cost, told or self.stamp(tenant, work))
+        return RequestShare(self, tenant, work.cost, told or self.assign_tag(tenant, work))
 
-    def stamp(self, tenant: str, work: Work) -> float:
+    def assign_tag(self, tenant: str, work: Work) -> float:
         """The start tag of a request."""
         self._look()
-        return self._lent.stamp(tenant, self._weights.get(tenant, 1.0), work)
+        return self._lent.assign_tag(tenant, self._weights.get(tenant, 1.0), work)
 
-    def note_end(self, tenant: str, correction: float) -> None:
+    def record_end(self, tenant: str, correction: float) -> None:
         """A request took so many slot seconds beyond what was told; fewer where negative."""
         if tenant in self._weights or not tenant:
             self._untold[tenant] = self._untold.get(tenant, 0.0) + correction
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """This node stood still, and others stamped meanwhile."""
-        self._lent.forget()
+        self._lent.reset()
 
     def pack(self) -> bytes:
         """What reports tell; nothing where there are no shares."""
         if not self.enabled:
             return b""
-        return ShareNews(self.clock.now, self.first_waiting()).pack()
+        return ShareUpdate(self.clock.now, self.first_waiting()).pack()
 
-    def hear(self, data: bytes) -> ShareNews | None:
+    def receive(self, data: bytes) -> ShareUpdate | None:
         """Take in what a peer tells."""
-        news = unpack_news(data)
+        news = unpack_share_update(data)
         if news is not None:
             self.clock.merge(news.clock)
         return news
 
     def fields(self) -> dict[str, Any]:
         """What this node stamps by, for operators."""
-        last = sorted(self._lent.finishes().items(), key=lambda one: -one[1])[:ROWS_TOLD]
+        last = sorted(self._lent.finish_tags().items(), key=lambda one: -one[1])[:ROWS_TOLD]
         now = self.clock.now
         rows = [{"tenant": name, "ahead_s": round(at - now, 3)} for name, at in last]
         return {"enabled": self.enabled, "clock_s": round(now, 3), "tags": rows}
@@ -133,16 +133,16 @@
     _took: float = 0.0
     _since: float | None = field(default=None)
 
-    def enter(self, now: float) -> None:
+    def attempt_started(self, now: float) -> None:
         """An engine gets it."""
         self._since = now
 
-    def leave(self, now: float) -> None:
+    def attempt_ended(self, now: float) -> None:
         """That engine has ended with it."""
         if self._since is not None:
             self._took += now - self._since
             self._since = None
 
-    def end(self) -> None:
+    def settle(self) -> None:
         """Correct the account: whoever was refused gets back what it was told to cost."""
-        self.shares.note_end(self.tenant, min(MAX_COST, self._took) - self.estimate)
+        self.shares.record_end(self.tenant, min(MAX_COST, self._took) - self.estimate)
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -19,7 +19,7 @@
 CONNECTION_KEY = "postvalve.connection"
 TARGET_KEY = "postvalve.target"
 HEADERS_KEY = "postvalve.headers"
-LAG_KEY = "postvalve.lag"
+ON_LAG_KEY = "postvalve.lag"
 """What to call when a write waits for the client for the first time."""
 HEAD_END = b"\r\n\r\n"
 HEAD_TOO_SLOW = (
@@ -31,7 +31,7 @@
 Application = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
-class CutAnswer(GreenletExit):
+class TruncatedAnswer(GreenletExit):
     """Raised by an application to end an answer so that it looks cut."""
 
 
@@ -79,7 +79,7 @@
 
     def _send_rest(self, rest: memoryview) -> None:
         """Send what the connection doesn't take at once; the first time, say that it lags."""
-        lags = self.environ and self.environ.pop(LAG_KEY, None)
+        lags = self.environ and self.environ.pop(ON_LAG_KEY, None)
         if lags:
             lags()
         try:
@@ -87,7 +87,7 @@
         except OSError as error:
             # The client's fault, and no other answer could be sent.
             self.response_length += 1
-            raise CutAnswer(str(error)) from error
+            raise TruncatedAnswer(str(error)) from error
 
     def get_environ(self) -> dict[str, Any]:
         """The request, with its target and headers unchanged."""
@@ -146,7 +146,7 @@
         """Take no new connections; those that are open go on."""
         self._server.close()
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """End the connections on which no request is under way."""
         for handler in list(self._server.resting):
             handler.socket.close()
--- a/postvalve/gateway/serving/pace_observer.py
+++ b/postvalve/gateway/serving/pace_observer.py
@@ -6,7 +6,7 @@
 
 from postvalve.clock import Clock
 from postvalve.core.routing.attempt_times import AttemptTimes
-from postvalve.core.routing.expectation import expected_first
+from postvalve.core.routing.latency_estimate import expected_first_event
 from postvalve.events import Event, EventLog
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.fleet.placement import ConsideredEngine, Placement
@@ -65,20 +65,20 @@
         self._times = AttemptTimes(0.0)
         """Of the attempt under way."""
 
-    def note_placed(self, now: float) -> None:
+    def record_placed(self, now: float) -> None:
         """An attempt begins."""
         self._placed_at = now
         self._times = AttemptTimes(now)
 
-    def note_asked(self) -> None:
+    def record_read_started(self) -> None:
         """The next event is asked for: its reader is not behind."""
-        self._times.asked_at = self._clock.monotonic()
+        self._times.requested_at = self._clock.monotonic()
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """An event was read."""
-        self._times.note_event(self._clock.monotonic())
+        self._times.record_event(self._clock.monotonic())
 
-    def note_first_event(self, placement: Placement | None, attempts: Attempts) -> None:
+    def record_first_event(self, placement: Placement | None, attempts: Attempts) -> None:
         """The request's first event came."""
         waited = self._clock.monotonic() - self._arrived_at
         self._metrics.first_event.observe(waited)
@@ -109,7 +109,9 @@
         """Tell of the engines that a late request might have been sent to, the best ones."""
         pace = self._fleet.pace(self._service)
         tokens = placement.to_read - placement.unread_seen
-        expected = [(expected_first(one.room, tokens, pace), one) for one in placement.considered]
+        expected = [
+            (expected_first_event(one.occupancy, tokens, pace), one) for one in placement.considered
+        ]
         expected.sort(key=lambda one: (one[1].life != placement.engine.life, one[0]))
         self._events.emit(
             Event.PLACED_BY_PACE,
@@ -123,26 +125,26 @@
 
     def _candidate_fields(self, one: ConsideredEngine, seconds: float) -> dict[str, object]:
         now = self._clock.monotonic()
-        facts = self._fleet.paces.facts(self._service, one.life, now)
+        facts = self._fleet.paces.summary(self._service, one.life, now)
         return {
             "engine": one.life,
             "expected_ms": round(seconds * 1000),
-            "online": one.room.online,
-            "batch": one.room.batch,
-            "first": round(one.room.factors.first, 2),
-            "pause": round(one.room.factors.pause, 2),
-            "held": round(one.room.factors.held, 2),
+            "online": one.occupancy.online,
+            "batch": one.occupancy.batch,
+            "first": round(one.occupancy.factors.first, 2),
+            "pause": round(one.occupancy.factors.pause, 2),
+            "held": round(one.occupancy.factors.held, 2),
             "age": _rounded(facts.age),
-            "told_age": _rounded(facts.told_age),
+            "told_age": _rounded(facts.reported_age),
         }
 
     def _learn_first_event(self, placement: Placement) -> None:
         now = self._first_at = self._clock.monotonic()
         pace = self._fleet.pace(self._service)
         seconds = now - self._placed_at
-        self._fleet.paces.note_first_event(placement, seconds)
+        self._fleet.paces.record_first_event(placement, seconds)
         if placement.found_slot:
-            pace.observe_first(placement.to_read, seconds)
+            pace.observe_first_event(placement.to_read, seconds)
         if not pace.known:
             return
         pace.observe_error(placement.expected, seconds)
@@ -151,11 +153,11 @@
         if queued > 0:
             pace.observe_queue(queued, slots, seconds - pace.first_event(placement.to_read))
 
-    def note_end(self, placement: Placement | None) -> None:
+    def record_end(self, placement: Placement | None) -> None:
         """A stream ended whole: learn how long it held its slot."""
         if placement is None or not self._first_at:
             return
         pace = self._fleet.pace(self._service)
         read = min(self._first_at - self._placed_at, pace.first_event(placement.to_read))
-        pace.observe_held(self._clock.monotonic() - self._first_at + max(0.0, read))
-        self._fleet.paces.note_end(placement, self._times)
+        pace.observe_slot_time(self._clock.monotonic() - self._first_at + max(0.0, read))
+        self._fleet.paces.record_end(placement, self._times)
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -18,7 +18,7 @@
 from gevent.event import Event as GeventEvent
 
 from postvalve.clock import Clock
-from postvalve.core.serving.read_ahead import CutCause, EventStore, Holding, MemoryBudget
+from postvalve.core.serving.client_buffer import BufferAccount, CutCause, EventBuffer, MemoryBudget
 from postvalve.events import Event, EventLog
 from postvalve.exceptions import PostvalveError, Verdict
 from postvalve.gateway.metrics import GatewayMetrics
@@ -40,7 +40,7 @@
 class _Slow:
     """One client for which something is held, or was."""
 
-    holding: Holding
+    holding: BufferAccount
     request_id: str
     since: float
     """Monotonic seconds."""
@@ -55,24 +55,24 @@
     clock: Clock
     events: EventLog
     metrics: GatewayMetrics
-    _slow: dict[Holding, _Slow] = field(default_factory=dict)
+    _slow: dict[BufferAccount, _Slow] = field(default_factory=dict)
 
-    def enter(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> Holding:
+    def register(self, tenant: str, request_id: str, on_cut: Callable[[], None]) -> BufferAccount:
         """Begin to hold something for a client; `on_cut` is called if it is given up."""
-        holding, now = Holding(tenant), self.clock.monotonic()
+        holding, now = BufferAccount(tenant), self.clock.monotonic()
         self._slow[holding] = _Slow(holding, request_id, now, on_cut)
         return holding
 
-    def leave(self, holding: Holding) -> None:
+    def unregister(self, holding: BufferAccount) -> None:
         """Hold nothing for it any more."""
         self.budget.release(holding)
         self._slow.pop(holding, None)
 
-    def take(self, holding: Holding, size: int) -> None:
+    def hold(self, holding: BufferAccount, size: int) -> None:
         """Hold `size` bytes more, whoever must be given up for it."""
-        self.give_up(self.budget.take(holding, size, self.clock.monotonic()))
+        self.disconnect(self.budget.take(holding, size, self.clock.monotonic()))
 
-    def give_up(self, holdings: list[Holding]) -> None:
+    def disconnect(self, holdings: list[BufferAccount]) -> None:
         """End the connections of clients that the budget has given up."""
         for holding in holdings:
             one = self._slow.pop(holding, None)
@@ -129,8 +129,8 @@
         self._whole: bytes | None = None
         self._reader: gevent.Greenlet | None = None
         self._counter: gevent.Greenlet | None = None
-        self._holding: Holding | None = None
-        self._store: EventStore | None = None
+        self._holding: BufferAccount | None = None
+        self._store: EventBuffer | None = None
         self._came = GeventEvent()
         """Set when an event or the end was stored."""
         self._room = GeventEvent()
@@ -153,12 +153,12 @@
         self._whole = body
         return body
 
-    def client_lags(self) -> None:
+    def on_client_lag(self) -> None:
         """A write waits for the client. Called while it waits, between two events."""
         if self._holding is not None or getgeneratorstate(self._source) == GEN_CLOSED:
             return
         slow = self._slow
-        self._holding = slow.enter(self._tenant, self._request_id, self._cut)
+        self._holding = slow.register(self._tenant, self._request_id, self._cut)
         slow.metrics.slow_clients.labels("lagged").inc()
         slow.events.emit(
             Event.CLIENT_LAGS,
@@ -170,21 +170,21 @@
         if self._whole is not None:
             self._counter = gevent.spawn(self._count_when_late, self._holding, len(self._whole))
             return
-        self._store = EventStore(slow.budget, self._holding)
+        self._store = EventBuffer(slow.budget, self._holding)
         self._reader = gevent.spawn(self._read_on, self._store)
 
-    def _count_when_late(self, holding: Holding, size: int) -> None:
+    def _count_when_late(self, holding: BufferAccount, size: int) -> None:
         """Hold a whole answer for a client that doesn't take it as it goes out."""
         await_lag(self._connection, select.POLLOUT)
-        self._slow.take(holding, size)
+        self._slow.hold(holding, size)
 
-    def _read_on(self, store: EventStore) -> None:
+    def _read_on(self, store: EventBuffer) -> None:
         # Unless it comes to its end, it must look cut.
         error: PostvalveError | None = ReaderCutError("the answer was not read to its end")
         try:
             for event in self._source:
                 self._await_room(store, len(event))
-                self._slow.give_up(store.put(event, self._clock.monotonic()))
+                self._slow.disconnect(store.put(event, self._clock.monotonic()))
                 if store.holding.cause is not None:
                     return
                 self._came.set()
@@ -197,15 +197,15 @@
             store.end(error)
             self._came.set()
 
-    def _await_room(self, store: EventStore, size: int) -> None:
+    def _await_room(self, store: EventBuffer, size: int) -> None:
         """Let the engine wait while the store is full, which it may be for a short time only."""
-        while (patience := store.patience(size, self._clock.monotonic())) > 0:
+        while (patience := store.max_wait(size, self._clock.monotonic())) > 0:
             self._room.clear()
             self._room.wait(patience)
         if store.holding.cause is CutCause.STORE_FULL:
-            self._slow.give_up([store.holding])
+            self._slow.disconnect([store.holding])
 
-    def _stored_events(self, store: EventStore) -> Iterator[bytes]:
+    def _stored_events(self, store: EventBuffer) -> Iterator[bytes]:
         while True:
             if store.holding.cause is not None:
                 raise ReaderCutError(f"the client is too slow: {store.holding.cause.value}")
@@ -213,7 +213,7 @@
             if event:
                 yield event
                 # Until now the connection had not taken it.
-                store.drop_first(self._clock.monotonic())
+                store.pop_first(self._clock.monotonic())
                 self._room.set()
             elif store.ended:
                 if store.error is not None:
@@ -242,7 +242,7 @@
                 greenlet.kill()
         self._source.close()
         if self._holding is not None:
-            self._slow.leave(self._holding)
+            self._slow.unregister(self._holding)
 
 
 def drop_connection(connection: Any) -> None:
--- a/postvalve/gateway/serving/request_body.py
+++ b/postvalve/gateway/serving/request_body.py
@@ -11,8 +11,8 @@
 
 import gevent
 
-from postvalve.core.serving.read_ahead import Holding
-from postvalve.core.serving.transfer_pace import TransferPace
+from postvalve.core.serving.client_buffer import BufferAccount
+from postvalve.core.serving.transfer_rate import MinTransferRate
 from postvalve.events import Event
 from postvalve.exceptions import InvalidRequestError, RefusedError, RequestTooLargeError
 from postvalve.gateway.serving.http_server import CONNECTION_KEY
@@ -102,7 +102,7 @@
     def _read_rest(self, source: Any, parts: list[bytes], receive: Receive) -> bytes:
         """Read on within the pace; from when it lags, what has come counts as held for it."""
         clock = self.slow.clock
-        pace = TransferPace(MIN_BODY_RATE, self.patience, clock.monotonic())
+        pace = MinTransferRate(MIN_BODY_RATE, self.patience, clock.monotonic())
         body = _LateBody(parts, self.slow, self.request_id, self.environ[CONNECTION_KEY])
         try:
             while not body.given_up:
@@ -113,7 +113,7 @@
                     return b"".join(parts)
                 body.add(part)
                 self._check(body.size)
-                pace.went(len(part), clock.monotonic())
+                pace.record(len(part), clock.monotonic())
         except OSError:
             # Reading ends like this, too, where others needed the room.
             if not body.given_up:
@@ -122,9 +122,9 @@
             body.close()
         raise self._given_up(source, body.size, "no room for it")
 
-    def _next(self, receive: Receive, pace: TransferPace) -> bytes | None:
+    def _next(self, receive: Receive, pace: MinTransferRate) -> bytes | None:
         """What comes within the pace."""
-        left = max(0.0, pace.left(self.slow.clock.monotonic()))
+        left = max(0.0, pace.seconds_left(self.slow.clock.monotonic()))
         with gevent.Timeout(left, exception=False):
             return receive()
         return None
@@ -156,7 +156,7 @@
         self._slow = slow
         self._request_id = request_id
         self._connection = connection
-        self._holding: Holding | None = None
+        self._holding: BufferAccount | None = None
         # Counts also a body of which nothing more comes.
         self._counter = gevent.spawn(self._count_when_late)
 
@@ -170,19 +170,19 @@
         self.parts.append(part)
         self.size += len(part)
         if self._holding is not None:
-            self._slow.take(self._holding, len(part))
+            self._slow.hold(self._holding, len(part))
 
     def close(self) -> None:
         """It is here, or won't be read any further."""
         # Waited for: it must not begin to count after this.
         self._counter.kill()
         if self._holding is not None:
-            self._slow.leave(self._holding)
+            self._slow.unregister(self._holding)
 
     def _count_when_late(self) -> None:
         await_lag(self._connection, select.POLLIN)
-        self._holding = self._slow.enter("", self._request_id(), self._stop_reading)
-        self._slow.take(self._holding, self.size)
+        self._holding = self._slow.register("", self._request_id(), self._stop_reading)
+        self._slow.hold(self._holding, self.size)
 
     def _stop_reading(self) -> None:
         with contextlib.suppress(OSError):
--- a/postvalve/gateway/serving/routed_run.py
+++ b/postvalve/gateway/serving/routed_run.py
@@ -23,20 +23,20 @@
 )
 from postvalve.gateway.engines.engine_connections import ConnectionPool, EngineAnswer, request_bytes
 from postvalve.gateway.engines.event_stream import event_id_of
-from postvalve.gateway.engines.request_guard import RequestGuard
+from postvalve.gateway.engines.quarantine_guard import QuarantineGuard
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.fleet.load_reading import read_load
 from postvalve.gateway.fleet.placement import Placement
 from postvalve.gateway.interfaces import Dialect, Headers, Judgement, RequestTerms
 from postvalve.gateway.metrics import GatewayMetrics
+from postvalve.gateway.serving.admission_queue import AdmissionQueue
 from postvalve.gateway.serving.caller_accounts import RequestAccount
 from postvalve.gateway.serving.fair_shares import RequestShare
 from postvalve.gateway.serving.pace_observer import Attempts, PaceObserver
 from postvalve.gateway.serving.tenant_credit import TenantCredit
-from postvalve.gateway.serving.waiting_room import WaitingRoom
 from postvalve.settings.routes import RepeatPolicy, RouteSpec
 
-HEAD_SILENCE = 2.0
+FIRST_EVENT_TIMEOUT = 2.0
 """Seconds without a byte before the first event until an engine counts as failed."""
 EVENT_SILENCE = 1.0
 """Seconds without a byte between events until an engine counts as failed."""
@@ -97,7 +97,7 @@
     pool: ConnectionPool
     dialect: Dialect
     metrics: GatewayMetrics
-    waiting_room: WaitingRoom
+    admission_queue: AdmissionQueue
     quarantine: Quarantine
     limits: TenantCredit
 
@@ -111,7 +111,7 @@
         self._clock = services.clock
         self._fleet = services.fleet
         self._progress = _Progress(last_event_id=request.terms.last_event_id)
-        self._guard = RequestGuard(
+        self._guard = QuarantineGuard(
             services.quarantine,
             services.clock,
             services.events,
@@ -163,7 +163,7 @@
         try:
             self._guard.check()
             tag = self._enter_shares()
-            self._services.waiting_room.admit(
+            self._services.admission_queue.admit(
                 request.route,
                 request.service,
                 request.terms,
@@ -182,16 +182,16 @@
     def _enter_shares(self) -> float | None:
         """Check the tenant's limit; returns the start tag where tenants have shares."""
         limits, caller = self._services.limits, self._request.caller
-        cost = self._fleet.pace(self._request.service).held
+        cost = self._fleet.pace(self._request.service).slot_time
         work = limits.shares.work(caller.name, cost)
         try:
             told = limits.admit(
                 caller, self._request.terms.request_id, work, self._request.deadline
             )
         except PostvalveError:
-            limits.shares.note_end(caller.name, work.correction)
+            limits.shares.record_end(caller.name, work.correction)
             raise
-        self._share = limits.shares.enter(caller.name, work, told)
+        self._share = limits.shares.open(caller.name, work, told)
         return self._share.tag if self._share else None
 
     def _open(self) -> EngineAnswer:
@@ -243,10 +243,10 @@
         self._judged = False
         self._progress.tried.add(placement.engine.life)
         now = self._clock.monotonic()
-        self._pace.note_placed(now)
-        request.account.placed(now)
+        self._pace.record_placed(now)
+        request.account.attempt_started(now)
         if self._share is not None:
-            self._share.enter(now)
+            self._share.attempt_started(now)
         headers = self._services.dialect.attempt_headers(
             request.headers,
             request.caller.name,
@@ -257,16 +257,16 @@
         data = request_bytes(request.method, request.target, headers, request.body)
         engine = placement.engine
         self._guard.begin(engine.life)
-        answer = self._services.pool.start(
+        answer = self._services.pool.send_request(
             engine.address,
             data,
             request.deadline,
-            wanted=lambda: self._fleet.takes_work(engine.life),
-            fresh=self._progress.unanswered,
-            hurried=self._progress.tries <= HURRIED_TRIES and self._others_left(),
+            still_usable=lambda: self._fleet.takes_work(engine.life),
+            new_connection=self._progress.unanswered,
+            fail_over_early=self._progress.tries <= HURRIED_TRIES and self._others_left(),
         )
         self._answer = answer
-        answer.read_head(self._patience(HEAD_SILENCE))
+        answer.read_head(self._patience(FIRST_EVENT_TIMEOUT))
         self._judge(answer)
         return answer
 
@@ -323,17 +323,17 @@
             raise AttemptError(f"the engine refused: {answer.status}", Verdict.NOT_RUN)
         if judgement is Judgement.REPLACED:
             if life is not None:
-                self._fleet.note_replaced(life)
+                self._fleet.record_replaced(life)
             raise AttemptError("another engine has the address", Verdict.NOT_RUN)
         if judgement is Judgement.FOREIGN:
             raise AttemptError("the engine answered another request", Verdict.MAY_HAVE_RUN)
         self._progress.runs += 1
         self._judged = True
         self._failed = judgement in (Judgement.FAILED, Judgement.HOPELESS)
-        self._guard.note_head()
+        self._guard.record_head()
         if self._failed and not self._passes_on(judgement):
             self._progress.runs -= 1
-            self._guard.note_engine_failed()
+            self._guard.record_engine_failure()
             raise AttemptError(f"the engine failed: {answer.status}", Verdict.MAY_HAVE_RUN)
 
     def _note_load(self, judgement: Judgement, answer: EngineAnswer) -> None:
@@ -359,7 +359,7 @@
     def _fail_attempt(self, error: AttemptError) -> None:
         answer, life = self._answer, self._life
         if error.verdict is Verdict.NOT_RUN:
-            self._request.account.not_run()
+            self._request.account.attempt_refused()
         else:
             self._progress.runs += 1
             self._progress.unanswered = True
@@ -368,8 +368,8 @@
         if judged:
             self._progress.tries -= 1
         if life is not None and not judged and not over:
-            self._fleet.note_failure(life, error.message)
-        self._guard.note_failure(error)
+            self._fleet.record_failure(life, error.message)
+        self._guard.record_failure(error)
         self._services.events.emit(
             Event.ROUTED_ATTEMPT_FAILED,
             request=self._request.terms.request_id,
@@ -461,14 +461,14 @@
         answer = self._answer
         assert answer is not None
         while True:
-            silence = EVENT_SILENCE if self._progress.events else HEAD_SILENCE
-            self._pace.note_asked()
+            silence = EVENT_SILENCE if self._progress.events else FIRST_EVENT_TIMEOUT
+            self._pace.record_read_started()
             event = answer.read_event(self._patience(silence))
             if not event:
-                rest = answer.rest_of_body()
+                rest = answer.take_remaining_body()
                 if rest:
                     yield rest
-                self._pace.note_end(self._placement)
+                self._pace.record_end(self._placement)
                 self._note_whole()
                 return
             self._note_event(event)
@@ -476,21 +476,21 @@
 
     def _note_whole(self) -> None:
         if self._placement is not None:
-            self._fleet.note_success(self._placement.engine.life)
+            self._fleet.record_success(self._placement.engine.life)
         if self._failed:
-            self._guard.note_engine_failed()
+            self._guard.record_engine_failure()
         else:
-            self._guard.note_answered()
-            self._request.account.whole()
+            self._guard.record_answer()
+            self._request.account.completed()
 
     def _note_event(self, event: bytes) -> None:
         progress = self._progress
-        self._pace.note_event()
-        self._guard.note_event()
+        self._pace.record_event()
+        self._guard.record_event()
         if self._placement is not None:
-            self._fleet.note_read(self._placement)
+            self._fleet.record_prompt_read(self._placement)
         if not progress.events:
-            self._pace.note_first_event(self._placement, progress)
+            self._pace.record_first_event(self._placement, progress)
             self._request.account.first_event()
         progress.events += 1
         number = event_id_of(event)
@@ -521,7 +521,7 @@
         answer = self._answer
         assert answer is not None
         try:
-            body = answer.read_body(self._patience(HEAD_SILENCE))
+            body = answer.read_body(self._patience(FIRST_EVENT_TIMEOUT))
         except AttemptError as error:
             self._progress.runs -= 1
             self._fail_attempt(error)
@@ -542,11 +542,11 @@
             self._answer.close()
             self._answer = None
         if self._placement is not None:
-            self._fleet.leave(self._placement)
+            self._fleet.release(self._placement)
             self._placement = None
-            self._request.account.released()
+            self._request.account.attempt_ended()
         if self._share is not None:
-            self._share.leave(self._clock.monotonic())
+            self._share.attempt_ended(self._clock.monotonic())
 
     def finish(self, outcome: str) -> None:
         """Give everything back; only the first call counts."""
@@ -556,5 +556,5 @@
         self._guard.end()
         self._release()
         if self._share is not None:
-            self._share.end()
+            self._share.settle()
         self._services.metrics.requests.labels(outcome).inc()
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -11,13 +11,13 @@
 
 from postvalve.core.admission.callers import Caller
 from postvalve.core.admission.fleet_limits import (
+    CreditDecision,
+    CreditOutcome,
     FleetLimits,
-    Lending,
     LimitBounds,
     LimitTerms,
-    Loan,
 )
-from postvalve.core.membership.store_path import HEARD_WITHIN
+from postvalve.core.membership.store_reachability import HEARD_WITHIN
 from postvalve.core.membership.zone_reporting import MAX_DIGEST_INTERVAL
 from postvalve.core.scheduling.fair_share import Work
 from postvalve.events import Event
@@ -31,7 +31,7 @@
 FIRST_PATIENCE = 0.08
 """Seconds after which the second choice is asked beside the first one, some twenty times what an
 ask takes between zones."""
-ASK_PATIENCE = 0.4
+CALL_TIMEOUT = 0.4
 """Seconds that an ask may take: a busy machine stands still for some tenths of a second, and who is
 refused by the second choice waits longer than that."""
 SHORT_WAIT = 0.05
@@ -43,11 +43,11 @@
 SILENT_TIME = 0.5
 """Seconds for which a node that did not answer is not asked again: all requests of its tenants
 would wait for it."""
-LENDER_SILENT_AFTER = 2.5
+LENDER_TIMEOUT = 2.5
 """Seconds without a word of a node after which others lend in its place. Other zones are taken for
 gone later, but a zone that is cut off would have no lenders until then. It is longer than it takes
 until another node tells of a zone whose reporter is lost."""
-DOUBTED_AFTER = LENDER_SILENT_AFTER - MAX_DIGEST_INTERVAL
+LENDER_SUSPECT_AFTER = LENDER_TIMEOUT - MAX_DIGEST_INTERVAL
 """Seconds without a word of a node after which this one lends nothing for its part: those that it
 does not hear may have heard it last a report earlier, and lend for themselves so much sooner."""
 LOOK_TIME = 0.5
@@ -58,13 +58,13 @@
 """Seconds after which a node that starts asks again who told nothing."""
 START_SHARE = 0.3
 """Of a client's time, that it waits there each time at the most."""
-RETURN_SHARE = 0.7
+RETRY_AFTER_SHARE = 0.7
 """Of a client's time, after which it is not told to come back: it must be served in the rest."""
-RETURN_SPREAD = 1.0
+RETRY_JITTER = 1.0
 """Seconds over which those come back that are told when other nodes will lend: these begin with
 nothing."""
 
-_LENDINGS = frozenset(one.value for one in Lending)
+_LENDINGS = frozenset(one.value for one in CreditOutcome)
 
 
 class TenantCredit:
@@ -86,29 +86,29 @@
         self._node_id = services.identity.node_id
         self._revision = revision
         self._silent_until: dict[str, float] = {}
-        self.first_patience = FIRST_PATIENCE
+        self.primary_timeout = FIRST_PATIENCE
         """Seconds; see there."""
-        self.patience = ASK_PATIENCE
+        self.call_timeout = CALL_TIMEOUT
         """Seconds; see there."""
         self.leaving = False
         """Whether this node is about to end, and lends nothing any more."""
         self.limits = FleetLimits(self._node_id, services.clock.monotonic(), bounds)
 
-    def look(self) -> None:
+    def update_view(self) -> None:
         """Take in who is alive."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         heard = [
             one
             for one in self._peers.all()
-            if not one.report.leaving and now - one.heard_at <= LENDER_SILENT_AFTER
+            if not one.report.leaving and now - one.heard_at <= LENDER_TIMEOUT
         ]
         own = [] if self.leaving else [self._node_id]
         live = [one.node_id for one in heard] + own
         near = [one.node_id for one in heard if one.report.zone == zone] + own
-        certain = [one.node_id for one in heard if now - one.heard_at <= DOUBTED_AFTER] + own
-        announced = len(self._services.started_nodes())
-        if self.limits.look(live, announced, now, near, certain):
-            self.shares.forget()
+        certain = [one.node_id for one in heard if now - one.heard_at <= LENDER_SUSPECT_AFTER] + own
+        announced = len(self._services.announced_nodes())
+        if self.limits.update_view(live, announced, now, near, certain):
+            self.shares.reset()
 
     def admit(
         self, caller: Caller, request_id: str, work: Work, deadline: float = math.inf
@@ -126,9 +126,9 @@
         if tenant is None or not tenant.rate:
             return 0.0
         asked, node_id, loan = self._borrow_patiently(tenant, work, deadline)
-        if loan.lending is Lending.LENT:
+        if loan.outcome is CreditOutcome.GRANTED:
             return loan.tag
-        if loan.lending is Lending.OVER:
+        if loan.outcome is CreditOutcome.OVER_LIMIT:
             self._note_over(tenant, request_id, node_id, loan)
             raise RateLimitedError("the tenant is over its limit", retry_after=loan.wait)
         known_in = round(self._known_in(asked, deadline), 3)
@@ -137,15 +137,15 @@
             request=request_id,
             tenant=tenant.name,
             asked=asked,
-            heard=self.limits.heard,
-            known=self.limits.known,
+            heard=self.limits.live_nodes,
+            known=self.limits.fleet_size,
             known_in=known_in,
         )
         raise LimitUnknownError("the tenant's count is not known", retry_after=known_in)
 
     def _borrow_patiently(
         self, tenant: RoutedTenant, work: Work, deadline: float
-    ) -> tuple[list[str], str, Loan]:
+    ) -> tuple[list[str], str, CreditDecision]:
         """Whom it asked, whose answer counts, and that: a node that starts asks again.
 
         When all nodes start together their buckets begin empty, and what was under way before comes
@@ -156,7 +156,7 @@
             node_id, loan = self._borrow(asked, tenant, work)
             now = self._clock.monotonic()
             wait = max(loan.wait, START_PAUSE)
-            if loan.lending is Lending.LENT or not self.limits.starts(now + wait):
+            if loan.outcome is CreditOutcome.GRANTED or not self.limits.is_starting(now + wait):
                 return asked, node_id, loan
             if wait > (deadline - now) * START_SHARE:
                 return asked, node_id, loan
@@ -174,13 +174,15 @@
             return UNKNOWN_RETRY_AFTER
         if not self._hears_neighbours():
             return UNKNOWN_RETRY_AFTER
-        left = first.heard_at + LENDER_SILENT_AFTER + LOOK_TIME - now
-        most = (deadline - now) * RETURN_SHARE
+        left = first.heard_at + LENDER_TIMEOUT + LOOK_TIME - now
+        most = (deadline - now) * RETRY_AFTER_SHARE
         if not 0 < left <= most:
             return UNKNOWN_RETRY_AFTER
-        return min(most, left + self._services.generator.uniform(0.0, RETURN_SPREAD))
+        return min(most, left + self._services.generator.uniform(0.0, RETRY_JITTER))
 
-    def _borrow(self, choices: list[str], tenant: RoutedTenant, work: Work) -> tuple[str, Loan]:
+    def _borrow(
+        self, choices: list[str], tenant: RoutedTenant, work: Work
+    ) -> tuple[str, CreditDecision]:
         """The answer that counts, and whose it is.
 
         The second choice is asked while the first one is late, or lends for a part of the fleet. It
@@ -189,15 +191,17 @@
         if not choices or choices[0] == self._node_id:
             first, patience = self._node_id, None
         else:
-            first, patience = choices[0], self.first_patience
+            first, patience = choices[0], self.primary_timeout
         asked = gevent.spawn(self._ask, first, tenant, work)
         asked.join(patience)
-        loan = asked.value or Loan(Lending.NOT_MINE)
-        if loan.lending is Lending.LENT or (loan.lending is Lending.OVER and loan.share >= 1.0):
+        loan = asked.value or CreditDecision(CreditOutcome.NOT_OWNER)
+        if loan.outcome is CreditOutcome.GRANTED or (
+            loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0
+        ):
             return first, loan
         for second in choices[1:]:
             little = self._ask(second, tenant, work)
-            if little.lending is Lending.LENT:
+            if little.outcome is CreditOutcome.GRANTED:
                 return second, little
         return first, asked.get()
 
@@ -206,14 +210,16 @@
 
         One that answered and lends nothing knows of another lender, and this node will in a moment.
         """
-        return self._silent_until.get(node_id, 0.0) > now - self.patience
+        return self._silent_until.get(node_id, 0.0) > now - self.call_timeout
 
     def _hears_neighbours(self) -> bool:
         """Whether this node is not alone cut off, as far as it knows."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(now - one.heard_at <= HEARD_WITHIN for one in self._peers.neighbours(zone))
 
-    def _note_over(self, tenant: RoutedTenant, request_id: str, lender: str, loan: Loan) -> None:
+    def _note_over(
+        self, tenant: RoutedTenant, request_id: str, lender: str, loan: CreditDecision
+    ) -> None:
         self._events.emit(
             Event.TENANT_OVER_LIMIT,
             request=request_id,
@@ -226,7 +232,7 @@
             retry_after=round(loan.wait, 3),
         )
 
-    def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> Loan:
+    def _ask(self, node_id: str, tenant: RoutedTenant, work: Work) -> CreditDecision:
         """Ask one node; one that does not answer lends nothing."""
         terms = LimitTerms(tenant.rate, tenant.burst, max(0, self._revision()))
         now = self._clock.monotonic()
@@ -234,7 +240,7 @@
             return self._lend(tenant.name, terms, work)
         peer = self._peers.get(node_id)
         if peer is None or self._silent_until.get(node_id, 0.0) > now:
-            return Loan(Lending.NOT_MINE)
+            return CreditDecision(CreditOutcome.NOT_OWNER)
         ask = gateway.CreditAsk(
             tenant=tenant.name,
             rate=terms.rate,
@@ -248,33 +254,33 @@
         if reply is None:
             self._silent_until[node_id] = self._clock.monotonic() + SILENT_TIME
         if not isinstance(reply, gateway.CreditReply) or reply.lending not in _LENDINGS:
-            return Loan(Lending.NOT_MINE)
-        return Loan(Lending(reply.lending), reply.wait, reply.share, reply.tag)
+            return CreditDecision(CreditOutcome.NOT_OWNER)
+        return CreditDecision(CreditOutcome(reply.lending), reply.wait, reply.share, reply.tag)
 
-    def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> Loan:
+    def _lend(self, tenant: str, terms: LimitTerms, work: Work) -> CreditDecision:
         """Lend this node's credit, with the place of the request among all tenants' ones.
 
         Credit that comes in a moment is waited for.
         """
         asked_at = self._clock.monotonic()
-        loan = self.limits.lend(tenant, terms, asked_at)
-        while loan.lending is Lending.OVER:
+        loan = self.limits.try_acquire(tenant, terms, asked_at)
+        while loan.outcome is CreditOutcome.OVER_LIMIT:
             wait = max(loan.wait, SHORT_PAUSE)
             if self._clock.monotonic() + wait > asked_at + SHORT_WAIT:
                 break
             gevent.sleep(wait)
-            loan = self.limits.lend(tenant, terms, self._clock.monotonic())
-        if loan.lending is not Lending.LENT or not self.shares.enabled:
+            loan = self.limits.try_acquire(tenant, terms, self._clock.monotonic())
+        if loan.outcome is not CreditOutcome.GRANTED or not self.shares.enabled:
             return loan
-        return replace(loan, tag=self.shares.stamp(tenant, work))
+        return replace(loan, tag=self.shares.assign_tag(tenant, work))
 
     def _call(self, node_id: str, address: str, ask: gateway.CreditAsk) -> object:
         reply, error = None, "no answer in time"
         # To open a connection may take longer than the caller has.
-        with gevent.Timeout(self.patience, exception=False):
+        with gevent.Timeout(self.call_timeout, exception=False):
             try:
                 transport = self._services.transport
-                reply = transport.call(address, Channel.ADMISSION, ask, self.patience)
+                reply = transport.call(address, Channel.ADMISSION, ask, self.call_timeout)
             except PeerUnavailableError as exc:
                 error = exc.message
         if reply is None:
@@ -284,16 +290,23 @@
     def fields(self) -> dict[str, Any]:
         """What it lends by, for operators."""
         limits = self.limits
-        return {"heard": limits.heard, "known": limits.known, "share": round(limits.share, 3)}
+        return {
+            "heard": limits.live_nodes,
+            "known": limits.fleet_size,
+            "share": round(limits.share, 3),
+        }
 
     def reply(self, ask: gateway.CreditAsk) -> gateway.CreditReply:
         """What a peer that asks gets."""
         terms = LimitTerms(ask.rate, ask.burst, ask.revision)
         self.shares.clock.merge(ask.clock)
         loan = self._lend(ask.tenant, terms, Work(ask.cost, ask.correction))
-        if loan.lending is Lending.OVER and self.limits.choices(ask.tenant)[0] != self._node_id:
+        if (
+            loan.outcome is CreditOutcome.OVER_LIMIT
+            and self.limits.choices(ask.tenant)[0] != self._node_id
+        ):
             # Its part being used up says nothing of the limit, for which some builds take it.
-            loan = Loan(Lending.NOT_MINE)
+            loan = CreditDecision(CreditOutcome.NOT_OWNER)
         return gateway.CreditReply(
-            lending=loan.lending.value, wait=loan.wait, share=loan.share, tag=loan.tag
+            lending=loan.outcome.value, wait=loan.wait, share=loan.share, tag=loan.tag
         )
--- a/postvalve/gateway/serving/line.py
+++ b/postvalve/gateway/serving/zone_queue.py
@@ -12,22 +12,22 @@
 from postvalve.clock import milliseconds
 from postvalve.core.membership.extensions import Feature
 from postvalve.core.membership.load_report import LoadReport
-from postvalve.core.scheduling.line import (
-    KEEPER_PATIENCE,
+from postvalve.core.scheduling.load_shedding import MAX_ENGINE_QUEUE
+from postvalve.core.scheduling.queue_order import QueuePosition, service_hash
+from postvalve.core.scheduling.zone_queue import (
+    COORDINATOR_TIMEOUT,
     LISTEN_TIME,
     Grant,
-    LineKeeper,
-    LineMessageError,
     NewNodes,
-    State,
-    keeper_of,
+    QueueCoordinator,
+    QueueMessageError,
+    QueueState,
+    coordinator_of,
+    first_waiting,
     state_interval,
-    told_first,
     unpack_grant,
     unpack_state,
 )
-from postvalve.core.scheduling.turning_away import QUEUED_PLACES
-from postvalve.core.scheduling.waiting_order import Place, service_hash
 from postvalve.events import Event
 from postvalve.gateway.fleet.peer_services import PeerServices
 from postvalve.messages.framing import encode_frame
@@ -35,51 +35,51 @@
 
 FIRST_GRANTS = 0x7FFFFFFF
 """Numbers that a keeper's grants may begin with: the rest of 32 bits is left for those after."""
-ZONES_AGE = 0.1
+ZONE_COUNT_MAX_AGE = 0.1
 """Seconds for which it is remembered how many zones there are: asked for at each look."""
 
 
-class Line(Protocol):
+class ZoneQueue(Protocol):
     """What the waiting room asks of it."""
 
-    def stands(self, service: str) -> bool:
+    def is_coordinated(self, service: str) -> bool:
         """Whether a keeper grants the slots of a service to those that wait here."""
         ...
 
-    def ahead(self, service: str, number: int) -> int | None:
+    def requests_ahead(self, service: str, number: int) -> int | None:
         """Requests of all nodes before one that waits here; None where nobody told."""
         ...
 
-    def granted(self, service: str, number: int) -> bool:
+    def is_granted(self, service: str, number: int) -> bool:
         """Whether one that waits here may start."""
         ...
 
-    def show(self, waiting: dict[str, list[tuple[int, Place]]]) -> None:
+    def update_waiting(self, waiting: dict[str, list[tuple[int, QueuePosition]]]) -> None:
         """Those that wait here now, by service, in order, with their numbers."""
         ...
 
 
-class NoLine:
+class NoZoneQueue:
     """Each node by itself."""
 
-    def stands(self, service: str) -> bool:
+    def is_coordinated(self, service: str) -> bool:
         """Never."""
         return False
 
-    def ahead(self, service: str, number: int) -> int | None:
+    def requests_ahead(self, service: str, number: int) -> int | None:
         """Nobody tells."""
         return None
 
-    def granted(self, service: str, number: int) -> bool:
+    def is_granted(self, service: str, number: int) -> bool:
         """Nobody grants."""
         return False
 
-    def show(self, waiting: dict[str, list[tuple[int, Place]]]) -> None:
+    def update_waiting(self, waiting: dict[str, list[tuple[int, QueuePosition]]]) -> None:
         """Nobody hears it."""
 
 
 @dataclass(slots=True)
-class _Told:
+class _LocalQueue:
     """What this node has told of one service, and what it heard."""
 
     name: str
@@ -89,17 +89,17 @@
     unanswered_since: float | None = None
     silent: bool = False
     """Whether the keeper did not answer in time."""
-    keeper: str | None = None
+    coordinator: str | None = None
     """Whom it was told."""
-    taken: int = 0
+    last_grant: int = 0
     """Number of the last grant that was taken in."""
-    taken_told: int = 0
+    last_grant_reported: int = 0
     """The same, as last told."""
     granted: set[int] = field(default_factory=set)
     ahead: dict[int, int] = field(default_factory=dict)
 
 
-class ZoneLine:
+class SharedZoneQueue:
     """Lines of this node's zone."""
 
     def __init__(self, services: PeerServices) -> None:
@@ -115,8 +115,8 @@
         self._zones_at = float("-inf")
         self._zones = 1
         """Zones with nodes, that share the engines."""
-        self._told: dict[int, _Told] = {}
-        self._keepers: dict[int, LineKeeper] = {}
+        self._queues: dict[int, _LocalQueue] = {}
+        self._coordinators: dict[int, QueueCoordinator] = {}
         self._names: dict[int, str] = {}
         """Services by hash."""
         self.leaving = False
@@ -133,50 +133,52 @@
         return Feature.LINE in self._peers.features()
 
     def _count_zones(self, now: float) -> None:
-        if now - self._zones_at >= ZONES_AGE:
+        if now - self._zones_at >= ZONE_COUNT_MAX_AGE:
             self._zones_at = now
             zones = {one.report.zone for one in self._peers.all()}
             self._zones = len(zones | {self._identity.zone})
 
-    def stands(self, service: str) -> bool:
-        """See `Line`."""
-        told = self._told.get(service_hash(service))
+    def is_coordinated(self, service: str) -> bool:
+        """See `ZoneQueue`."""
+        told = self._queues.get(service_hash(service))
         return told is not None and bool(told.waiting) and not told.silent and self._usable
 
-    def ahead(self, service: str, number: int) -> int | None:
-        """See `Line`."""
-        told = self._told.get(service_hash(service))
+    def requests_ahead(self, service: str, number: int) -> int | None:
+        """See `ZoneQueue`."""
+        told = self._queues.get(service_hash(service))
         if told is None or told.silent or number not in told.ahead:
             return None
         # The keeper knows its own zone; the others take slots of all engines at the same pace.
         return told.ahead[number] * self._zones
 
-    def granted(self, service: str, number: int) -> bool:
-        """See `Line`."""
-        told = self._told.get(service_hash(service))
+    def is_granted(self, service: str, number: int) -> bool:
+        """See `ZoneQueue`."""
+        told = self._queues.get(service_hash(service))
         return told is not None and number in told.granted
 
-    def show(self, waiting: dict[str, list[tuple[int, Place]]]) -> None:
-        """See `Line`."""
+    def update_waiting(self, waiting: dict[str, list[tuple[int, QueuePosition]]]) -> None:
+        """See `ZoneQueue`."""
         if not self._usable:
-            self._told.clear()
+            self._queues.clear()
             return
         now = self._clock.monotonic()
         self._count_zones(now)
         for service, entries in waiting.items():
             key = service_hash(service)
             self._names[key] = service
-            self._tell(key, self._told.setdefault(key, _Told(service)), entries, now)
-        for key, told in list(self._told.items()):
+            self._tell(key, self._queues.setdefault(key, _LocalQueue(service)), entries, now)
+        for key, told in list(self._queues.items()):
             if told.name in waiting or not told.waiting:
                 continue
-            if told.taken != told.taken_told:
+            if told.last_grant != told.last_grant_reported:
                 # What was granted is in this node's own counts now.
                 self._send_state(key, told, [], now)
             else:
                 self._rest(told)
 
-    def _tell(self, key: int, told: _Told, entries: list[tuple[int, Place]], now: float) -> None:
+    def _tell(
+        self, key: int, told: _LocalQueue, entries: list[tuple[int, QueuePosition]], now: float
+    ) -> None:
         if now - told.sent_at >= state_interval(len(self._nodes())):
             if told.unanswered_since is None:
                 told.unanswered_since = now
@@ -184,21 +186,21 @@
         self._note_silence(told, now)
 
     def _send_state(
-        self, key: int, told: _Told, entries: list[tuple[int, Place]], now: float
+        self, key: int, told: _LocalQueue, entries: list[tuple[int, QueuePosition]], now: float
     ) -> None:
         self._numbers += 1
         identity = self._identity
-        keeper = keeper_of(identity.zone, key, self._nodes())
-        if keeper != told.keeper:
+        keeper = coordinator_of(identity.zone, key, self._nodes())
+        if keeper != told.coordinator:
             # Each keeper numbers its grants itself: none of this one's was taken in yet.
-            told.keeper, told.taken, told.taken_told = keeper, 0, 0
-        state = State(
+            told.coordinator, told.last_grant, told.last_grant_reported = keeper, 0, 0
+        state = QueueState(
             key,
             identity.node_id,
             identity.incarnation,
             self._numbers,
-            told.taken,
-            told_first(entries),
+            told.last_grant,
+            first_waiting(entries),
         )
         told.waiting, told.sent_at = tuple(one.number for one in state.waiting), now
         told.granted &= {number for number, _ in entries}
@@ -210,24 +212,24 @@
         peer = self._peers.get(keeper) if keeper is not None else None
         if peer is None:
             return
-        if told.taken != told.taken_told:
+        if told.last_grant != told.last_grant_reported:
             # What was started by the last grants must be counted before the keeper grants again.
             self._transport.send(peer.report.peer_address, self.own_report())
-            told.taken_told = told.taken
+            told.last_grant_reported = told.last_grant
         msg = gateway.LineState(packed=state.pack())
         self._transport.send(peer.report.peer_address, encode_frame(msg, 0))
 
     @staticmethod
-    def _rest(told: _Told) -> None:
+    def _rest(told: _LocalQueue) -> None:
         """Nobody waits here any more: no answer is due."""
         told.waiting = ()
         told.ahead = {}
         if not told.silent:
             told.unanswered_since = None
 
-    def _note_silence(self, told: _Told, now: float) -> None:
+    def _note_silence(self, told: _LocalQueue, now: float) -> None:
         since = told.unanswered_since
-        if since is None or now - since < KEEPER_PATIENCE or told.silent:
+        if since is None or now - since < COORDINATOR_TIMEOUT or told.silent:
             return
         told.silent = True
         self._events.emit(Event.LINE_SILENT, service=told.name, seconds=round(now - since, 3))
@@ -239,26 +241,26 @@
         nodes = [
             one.node_id
             for one in near
-            if not one.report.leaving and not self._new_nodes.has(one.node_id, now)
+            if not one.report.leaving and not self._new_nodes.includes(one.node_id, now)
         ]
         return nodes if self.leaving else [*nodes, self._identity.node_id]
 
-    def hear_grant(self, msg: gateway.LineGrant, address: str) -> None:
+    def receive_grant(self, msg: gateway.LineGrant, address: str) -> None:
         """Take in a keeper's answer."""
         try:
             self._take_grant(unpack_grant(msg.packed))
-        except LineMessageError as exc:
+        except QueueMessageError as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
 
     def _take_grant(self, grant: Grant) -> None:
-        told = self._told.get(grant.service)
+        told = self._queues.get(grant.service)
         if told is None:
             return
         if told.silent:
             self._events.emit(Event.LINE_ANSWERS, service=told.name)
         told.unanswered_since, told.silent = None, False
         told.ahead = dict(grant.ahead)
-        told.taken = max(told.taken, grant.number)
+        told.last_grant = max(told.last_grant, grant.number)
         new = set(grant.granted) - told.granted
         if new:
             told.granted |= new
@@ -273,48 +275,50 @@
     def _may_keep(self) -> bool:
         return self._usable and not self.leaving
 
-    def hear_state(self, msg: gateway.LineState, address: str) -> None:
+    def receive_state(self, msg: gateway.LineState, address: str) -> None:
         """Take in who waits at a peer."""
         try:
             self._take_state(unpack_state(msg.packed))
-        except LineMessageError as exc:
+        except QueueMessageError as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
 
-    def _take_state(self, state: State) -> None:
+    def _take_state(self, state: QueueState) -> None:
         now = self._clock.monotonic()
         if not self._may_keep or now - self._started_at < LISTEN_TIME:
             return
         self._count_zones(now)
-        keeper = self._keepers.get(state.service)
+        keeper = self._coordinators.get(state.service)
         if keeper is None:
             # Numbers go on beyond those of a former life: no keeper grants so many a second.
             first = milliseconds(self._clock.wall()) & FIRST_GRANTS
-            keeper = self._keepers[state.service] = LineKeeper(state.service, first)
-        if keeper.hear(state, now):
+            keeper = self._coordinators[state.service] = QueueCoordinator(state.service, first)
+        if keeper.receive(state, now):
             self._grant(state.service, keeper, {state.node_id} if state.waiting else set())
 
-    def hear_report(self, report: LoadReport) -> None:
+    def receive_report(self, report: LoadReport) -> None:
         """A peer's counts came in: grant what has come free."""
-        self._new_nodes.hear(report.node_id, report.incarnation, self._clock.monotonic())
-        self.look()
+        self._new_nodes.record(report.node_id, report.incarnation, self._clock.monotonic())
+        self.grant_free_slots()
 
-    def look(self) -> None:
+    def grant_free_slots(self) -> None:
         """Grant what has come free."""
         if not self._may_keep:
             # Another one keeps the lines, or nobody: grants by old states would go beside theirs.
-            self._keepers.clear()
-        for service, keeper in list(self._keepers.items()):
-            if keeper.stands:
+            self._coordinators.clear()
+        for service, keeper in list(self._coordinators.items()):
+            if keeper.has_waiting:
                 self._grant(service, keeper, set())
 
-    def _grant(self, service: int, keeper: LineKeeper, asking: set[str]) -> None:
+    def _grant(self, service: int, keeper: QueueCoordinator, asking: set[str]) -> None:
         """Grant free places, and answer those that asked and those that got some."""
         now = self._clock.monotonic()
         keeper.expire(now, len(self._nodes()))
         name = self._names.get(service) or self._service_named(service)
         if name is None:
             return
-        nodes = asking | (keeper.grant(self._free(name), now) if keeper.stands else set())
+        nodes = asking | (
+            keeper.grant(self._free_slots(name), now) if keeper.has_waiting else set()
+        )
         for node_id, grant in keeper.answers(nodes).items():
             self._send(node_id, grant)
             if grant.granted:
@@ -331,7 +335,7 @@
             self._names[service_hash(entry.service)] = entry.service
         return self._names.get(service)
 
-    def _free(self, service: str) -> int:
+    def _free_slots(self, service: str) -> int:
         """Places at the zone's engines, and this zone's part of the free slots at the others.
 
         Engines that failed a moment ago run nothing and look free: they count where all did.
@@ -340,9 +344,9 @@
         sound = [one for one in entries if self._fleet.state_of(one) != "suspect"] or entries
         near = far = 0
         for entry in sound:
-            left = self._fleet.places_left(entry)
+            left = self._fleet.spare_capacity(entry)
             if entry.zone == self._identity.zone:
-                near += max(0, left + QUEUED_PLACES)
+                near += max(0, left + MAX_ENGINE_QUEUE)
             else:
                 far += max(0, left)
         # One slot is one request's also where no zone's part is a whole one: where nobody waits in
@@ -366,11 +370,11 @@
                 "waiting": len(keeper.order()),
                 "granted": keeper.outstanding,
             }
-            for service, keeper in self._keepers.items()
-            if keeper.stands
+            for service, keeper in self._coordinators.items()
+            if keeper.has_waiting
         ]
         own = [
             {"service": told.name, "told": len(told.waiting), "keeper_silent": told.silent}
-            for told in self._told.values()
+            for told in self._queues.values()
         ]
         return {"kept": kept, "waiting_here": own}
--- a/postvalve/gateway/status.py
+++ b/postvalve/gateway/status.py
@@ -28,15 +28,15 @@
 
 def _pace_fields(fleet: EngineFleet, entry: EngineEntry, now: float) -> dict[str, Any]:
     """How many times as long as usual for its service an engine takes: learnt, and told by it."""
-    facts = fleet.paces.facts(entry.service, entry.life, now)
+    facts = fleet.paces.summary(entry.service, entry.life, now)
     return {
         "pace_first": round(facts.learnt.first, 2),
         "pace_pause": round(facts.learnt.pause, 2),
         "pace_held": round(facts.learnt.held, 2),
         "pace_weight": round(facts.weight, 1),
         "pace_age": _rounded(facts.age),
-        "pace_told": _rounded(facts.told),
-        "pace_told_age": _rounded(facts.told_age),
+        "pace_told": _rounded(facts.reported),
+        "pace_told_age": _rounded(facts.reported_age),
         "pace_trust": round(facts.trust, 2),
     }
 
--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -117,7 +117,7 @@
         if not ledger.exists:
             return
         job = ScheduledJob(ledger, ledger.accepted.deadline_at_ms / 1000)
-        job.held_back.update(ledger.unfinished_starts())
+        job.withheld.update(ledger.unfinished_starts())
         self._scheduler.add(job)
         self._events.emit(Event.JOB_LOADED, job=job_id, remaining=ledger.remaining)
         self._settle_unknown_starts(job)
@@ -126,7 +126,7 @@
 
     def _settle_unknown_starts(self, job: ScheduledJob) -> None:
         """End items that an earlier holder started, unless their result still comes."""
-        for item_index in list(job.held_back):
+        for item_index in list(job.withheld):
             self._settle_later(ItemKey(job.ledger.job_id, item_index))
 
     def _settle_later(self, key: ItemKey) -> None:
@@ -174,7 +174,7 @@
 
     def _give_back(self, keys: list[ItemKey]) -> list[peer.ItemAssignment]:
         for key in keys:
-            self._scheduler.give_back(key)
+            self._scheduler.requeue(key)
         return []
 
     def _assign(
@@ -210,7 +210,7 @@
         won = self._starts.record(job.ledger, attempts)
         may_run = won if self._holds(job.ledger.job_id) else {}
         for key in [one for one in attempts if one not in may_run]:
-            self._scheduler.hold_back(key)
+            self._scheduler.withhold(key)
             self._settle_later(key)
         return may_run
 
@@ -270,7 +270,7 @@
             # Its start is spent: another start would not be the first.
             self._end_as_may_have_run(key)
         else:
-            self._scheduler.give_back(key)
+            self._scheduler.requeue(key)
 
     def _recover(self, key: ItemKey) -> None:
         """Take back an item whose attempt may have run."""
@@ -285,7 +285,7 @@
             self._end_as_failed(job, key)
             return
         self._events.emit(Event.ITEM_RECOVERED, job=key.job_id, item=key.item_index)
-        self._scheduler.give_back(key)
+        self._scheduler.requeue(key)
 
     def _end_as_failed(self, job: ScheduledJob, key: ItemKey) -> None:
         """End an item at which engine after engine failed; it may be the cause."""
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -281,7 +281,7 @@
             self._pause(engine, item)
             return
         engine_id = engine.machine.machine_id
-        self._metrics.note_failed_attempt(TrafficClass.BATCH, error)
+        self._metrics.record_failed_attempt(TrafficClass.BATCH, error)
         self._events.emit(
             Event.ATTEMPT_FAILED,
             engine=engine_id,
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -12,7 +12,7 @@
 from postvalve.core.batch.lease import LeaseStep, LeaseTiming
 from postvalve.core.batch.shard_state import (
     REPLAY_WINDOW,
-    JobCancelAsked,
+    JobCancelPending,
     JobOpened,
     ShardEffect,
     ShardState,
@@ -267,5 +267,5 @@
     def _apply(self, shard: int, effect: ShardEffect) -> None:
         if isinstance(effect, JobOpened):
             self._listener.job_opened(shard, effect.job_id)
-        elif isinstance(effect, JobCancelAsked):
+        elif isinstance(effect, JobCancelPending):
             self._listener.job_cancel_asked(shard, effect.job_id)
--- a/postvalve/node/configuration_service.py
+++ b/postvalve/node/configuration_service.py
@@ -76,7 +76,7 @@
             )
         return self._current
 
-    def listen(self, listener: RevisionListener) -> None:
+    def add_listener(self, listener: RevisionListener) -> None:
         """Be told of each revision that comes into force."""
         self._listeners.append(listener)
 
--- a/postvalve/node/metrics.py
+++ b/postvalve/node/metrics.py
@@ -74,7 +74,7 @@
     def _histogram(self, name: str, text: str, *labels: str) -> Histogram:
         return Histogram(name, text, labels, buckets=SECONDS_BUCKETS, registry=self.registry)
 
-    def note_failed_attempt(self, traffic_class: TrafficClass, error: AttemptError) -> None:
+    def record_failed_attempt(self, traffic_class: TrafficClass, error: AttemptError) -> None:
         """Count an attempt that failed at an engine."""
         self.attempts.labels(traffic_class.value, error.verdict.value).inc()
         if isinstance(error, CrossedAnswerError):
--- a/postvalve/node/node.py
+++ b/postvalve/node/node.py
@@ -61,7 +61,7 @@
         )
         self.application = self._build_application()
         self._membership.provide(self._summary, lambda: self._configuration.revision)
-        self._configuration.listen(self._follow_drains)
+        self._configuration.add_listener(self._follow_drains)
 
     def _build_application(self) -> NodeApplication:
         context = self._context
--- a/postvalve/node/online/observer.py
+++ b/postvalve/node/online/observer.py
@@ -18,9 +18,9 @@
         self._events = context.events
         self._metrics = context.metrics
 
-    def note_failure(self, admission: Admission, error: AttemptError) -> None:
+    def record_failure(self, admission: Admission, error: AttemptError) -> None:
         """Log and count a failed attempt."""
-        self._metrics.note_failed_attempt(TrafficClass.ONLINE, error)
+        self._metrics.record_failed_attempt(TrafficClass.ONLINE, error)
         self._events.emit(
             Event.ATTEMPT_FAILED,
             engine=admission.candidate.engine_id,
@@ -29,22 +29,22 @@
             error=error.message,
         )
 
-    def note_resume(self, request: OnlineRequest) -> None:
+    def record_resume(self, request: OnlineRequest) -> None:
         """Log and count a stream that goes on at another engine."""
         self._metrics.retries.labels("resume").inc()
         self._events.emit(Event.STREAM_RESUMED, request=request.request_id)
 
-    def note_early_end(self, request: OnlineRequest, error: PostvalveError) -> None:
+    def record_early_end(self, request: OnlineRequest, error: PostvalveError) -> None:
         """Log a stream that ends with an error."""
         self._events.emit(Event.STREAM_ENDED_EARLY, request=request.request_id, error=error.message)
 
-    def note_first_token(self, request: OnlineRequest) -> None:
+    def record_first_token(self, request: OnlineRequest) -> None:
         """Record the time to the first token."""
         waited = self._clock.monotonic() - request.arrived_at
         self._metrics.first_token.labels(request.workload.name).observe(waited)
         self._metrics.tenant_first_token.labels(request.tenant.name).observe(waited)
 
-    def note_end(self, request: OnlineRequest, outcome: str) -> None:
+    def record_end(self, request: OnlineRequest, outcome: str) -> None:
         """Count a request that ended."""
         workload = request.workload.name
         self._metrics.requests.labels(request.tenant.name, workload, outcome).inc()
--- a/postvalve/node/online/run.py
+++ b/postvalve/node/online/run.py
@@ -89,7 +89,7 @@
         self._progress.failed_engines.add(self._admission.candidate.engine_id)
         if error.verdict is not Verdict.NOT_RUN:
             self._progress.may_have_run = True
-        self._observer.note_failure(self._admission, error)
+        self._observer.record_failure(self._admission, error)
         self._release()
 
     def _may_go_on(self, verdict: Verdict) -> bool:
@@ -115,7 +115,7 @@
                     self._resume(error)
         except PostvalveError as error:
             error.verdict = Verdict.MAY_HAVE_RUN
-            self._observer.note_early_end(self._request, error)
+            self._observer.record_early_end(self._request, error)
             yield error_event(error)
             self.finish("failed")
         finally:
@@ -125,7 +125,7 @@
         assert self._stream is not None
         for event in self._stream.events():
             if not self._progress.events_sent:
-                self._observer.note_first_token(self._request)
+                self._observer.record_first_token(self._request)
             self._progress.events_sent += 1
             yield event
 
@@ -134,7 +134,7 @@
         if not self._may_go_on(error.verdict):
             raise self._final_error(error)
         self._open()
-        self._observer.note_resume(self._request)
+        self._observer.record_resume(self._request)
 
     def whole(self) -> bytes:
         """Read an answer that is not streamed; retried where the request may repeat."""
@@ -142,7 +142,7 @@
             assert self._stream is not None
             try:
                 content = self._stream.whole()
-                self._observer.note_first_token(self._request)
+                self._observer.record_first_token(self._request)
                 self.finish("completed")
                 return content
             except AttemptError as error:
@@ -179,7 +179,7 @@
         self._finished = True
         self._deadline_timer.kill(block=False)
         self._release()
-        self._observer.note_end(self._request, outcome)
+        self._observer.record_end(self._request, outcome)
         self._on_end()
 
 
--- a/postvalve/platform/settings.py
+++ b/postvalve/platform/settings.py
@@ -11,7 +11,7 @@
 
 from postvalve.core.admission.callers import KeyPolicy
 from postvalve.core.admission.fleet_limits import LimitBounds
-from postvalve.core.serving.read_ahead import slow_client_bytes
+from postvalve.core.serving.client_buffer import slow_client_bytes
 from postvalve.exceptions import SettingsError
 from postvalve.gateway.interfaces import GatewaySettings
 from postvalve.settings.validation import InvalidSettingsGroup, check_document
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -49,13 +49,13 @@
     """A clock whose two times part when its machine is suspended."""
 
     def __init__(self):
-        self.suspended = 0.0
+        self.suspended_seconds = 0.0
 
     def monotonic(self):
-        return super().monotonic() + self.suspended
+        return super().monotonic() + self.suspended_seconds
 
 
-class QuietLog(EventLog):
+class RecordingEventLog(EventLog):
     """Keeps events for the checks of tests."""
 
     def __init__(self):
@@ -65,12 +65,12 @@
         self.written.append((event, fields))
 
 
-class OwnTopics:
+class FaultyTopics:
     """One node's way to the store that all share."""
 
     def __init__(self, topics):
         self._topics = topics
-        self.cut = None
+        self.outage_verdict = None
         """The verdict of each call while the node can't reach the store."""
         self.refused = 0
         self.silent = False
@@ -79,16 +79,16 @@
         """Waiting reads, those under way among them, that are given up without an answer."""
         self.holds_waiting_reads = False
         """Whether those that wait for a record are not."""
-        self.held = 0
+        self.hung_calls = 0
         """Calls that were not."""
 
     def _check(self):
         if self.silent:
-            self.held += 1
+            self.hung_calls += 1
             gevent.sleep(PATIENCE)
-        if self.cut is not None:
+        if self.outage_verdict is not None:
             self.refused += 1
-            raise StoreUnavailableError("cut off", self.cut)
+            raise StoreUnavailableError("cut off", self.outage_verdict)
 
     def append(self, *arguments, **named):
         self._check()
@@ -122,7 +122,7 @@
         self.nodes = {}
         self.settings = {}
         self.logs = {}
-        self.own_topics = {}
+        self.node_topics = {}
         self._version = 0
         for engine in self.engines:
             self.list_engine(engine)
@@ -175,7 +175,7 @@
             record_bytes=262_144,
             call_bytes=2_097_152,
         )
-        own = self.own_topics[name] = OwnTopics(self.topics)
+        own = self.node_topics[name] = FaultyTopics(self.topics)
         platform = GatewayPlatform(
             topics=own,
             dialect=PlatformDialect(),
@@ -187,7 +187,7 @@
             parse_engine=parse_engine,
             status_time=120.0,
         )
-        log = self.logs[name] = QuietLog()
+        log = self.logs[name] = RecordingEventLog()
         node = Gateway(settings, platform, clock or SystemClock(), log)
         self.nodes[name] = node
         self.settings[name] = settings
@@ -207,7 +207,7 @@
     def events(self, name, event):
         return [fields for one, fields in self.logs[name].written if one is event]
 
-    def make_fragile(self, body, *, reborn=False):
+    def crash_on_body(self, body, *, reborn=False):
         """Let all engines, and those that follow them, end under requests with this body.
 
         Each is back a little later, under another id, or `reborn` under the one that it had.
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -4,7 +4,7 @@
 import random
 from collections import deque
 
-from postvalve.core.admission.fleet_limits import FleetLimits, Lending, LimitBounds
+from postvalve.core.admission.fleet_limits import CreditOutcome, FleetLimits, LimitBounds
 from postvalve.core.admission.token_bucket import TokenBucket
 
 STEP = 0.02
@@ -37,7 +37,7 @@
 
     def look(self, announced, now):
         live = [name for name, at in self.heard.items() if now - at <= SILENT_AFTER]
-        self.limits.look([*live, self.name], announced, now)
+        self.limits.update_view([*live, self.name], announced, now)
 
 
 class LimitModel:
@@ -97,10 +97,10 @@
                 continue
             other = self.nodes[name]
             other.look(self.announced, self.now)
-            loan = other.limits.lend("t", self.terms, self.now)
-            if loan.lending is Lending.LENT:
+            loan = other.limits.try_acquire("t", self.terms, self.now)
+            if loan.outcome is CreditOutcome.GRANTED:
                 return True
-            if loan.lending is Lending.OVER and loan.share >= 1.0:
+            if loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0:
                 return False
         return False
 
@@ -156,7 +156,7 @@
     hears."""
 
     def lend(self, node):
-        nodes = node.limits.heard
+        nodes = node.limits.live_nodes
         terms = self.terms
         bucket = getattr(node, "bucket", None)
         if bucket is None:
--- a/tests/share_model.py
+++ b/tests/share_model.py
@@ -7,7 +7,7 @@
 import random
 from dataclasses import dataclass
 
-from postvalve.core.scheduling.fair_share import ShareClock, TagBook, Work
+from postvalve.core.scheduling.fair_share import ShareClock, TagAssigner, Work
 
 HELD = 0.8
 """Seconds that a request holds its slot."""
@@ -30,7 +30,7 @@
     def __init__(self, order, rates, slots, nodes=13, seed=1, burst=None):
         self.order, self.slots, self.random, self.now = order, slots, random.Random(seed), 0.0
         self.clock = ShareClock()
-        self.book = TagBook(self.clock)
+        self.book = TagAssigner(self.clock)
         self.queues = [[] for _ in range(nodes)]
         self.in_time = [0] * len(rates)
         self.asked = [0] * len(rates)
@@ -65,7 +65,7 @@
         return [done / max(1, asked) for done, asked in zip(self.in_time, self.asked, strict=True)]
 
     def _arrive(self, now, tenant):
-        tag = self.book.stamp(str(tenant), 1.0, Work(HELD))
+        tag = self.book.assign_tag(str(tenant), 1.0, Work(HELD))
         self.asked[tenant] += 1
         self.random.choice(self.queues).append(Ask(tenant, now, tag))
 
@@ -74,11 +74,11 @@
             for ask in [one for one in queue if one.at + PATIENCE < now]:
                 queue.remove(ask)
                 # Nothing was run for it: its tenant gets it back with the next ask.
-                self.book.stamp(str(ask.tenant), 1.0, Work(0.0, -HELD))
+                self.book.assign_tag(str(ask.tenant), 1.0, Work(0.0, -HELD))
 
     def _serve(self, ask):
         waiting = [one.tag for queue in self.queues for one in queue]
-        self.clock.note_served(ask.tag, min(waiting, default=None))
+        self.clock.record_served(ask.tag, min(waiting, default=None))
         self.in_time[ask.tenant] += 1
 
 
--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -10,8 +10,8 @@
 
 from postvalve.cli.main import main
 from postvalve.clock import SystemClock
-from postvalve.core.admission.holding import EngineRoom
-from postvalve.core.admission.service_pace import ServicePace
+from postvalve.core.admission.online_admission import EngineOccupancy
+from postvalve.core.admission.service_latency import ServiceLatency
 from postvalve.core.scheduling.accounts import Accounts, End
 from postvalve.events import Event
 from postvalve.exceptions import (
@@ -36,16 +36,16 @@
 )
 from postvalve.gateway.metrics import GatewayMetrics
 from postvalve.gateway.serving import caller_accounts
+from postvalve.gateway.serving.admission_queue import MAX_LOGGED_AHEAD, MAX_ROWS, AdmissionQueue
 from postvalve.gateway.serving.caller_accounts import (
-    TELL_INTERVAL,
-    TOLD,
+    SUMMARY_INTERVAL,
+    TENANTS_PER_LIST,
     CallerAccounts,
     RequestAccount,
     end_of,
 )
-from postvalve.gateway.serving.http_server import CutAnswer, plain_server
-from postvalve.gateway.serving.waiting_room import MOST_AHEAD, MOST_ROWS, WaitingRoom
-from tests.gateway_support import BATCH_PATH, STREAM_PATH, GatewayFleet, QuietLog
+from postvalve.gateway.serving.http_server import TruncatedAnswer, plain_server
+from tests.gateway_support import BATCH_PATH, STREAM_PATH, GatewayFleet, RecordingEventLog
 from tests.ports import free_port
 from tests.stand_in_engine import Behaviour
 from tests.test_gateway_jobs import job_body
@@ -56,7 +56,7 @@
 
 class EndTest(unittest.TestCase):
     def test_each_error_has_its_end(self):
-        cut = CutAnswer("cut")
+        cut = TruncatedAnswer("cut")
         cut.__cause__ = ClientGoneError("the client left")
         for error, end in (
             (AuthenticationError("x"), End.KEY_UNKNOWN),
@@ -79,7 +79,7 @@
             (GeneratorExit(), End.LEFT),
             (cut, End.LEFT),
             (type("Narrower", (RateLimitedError,), {})("x"), End.OVER_LIMIT),
-            (CutAnswer("cut"), End.FAILED),
+            (TruncatedAnswer("cut"), End.FAILED),
         ):
             self.assertIs(end_of(error), end, error)
 
@@ -105,13 +105,13 @@
         for first_at, end in ((10.0 + TARGET, End.IN_TIME), (10.26, End.LATE)):
             self.setUp()
             with self.open() as account:
-                account.placed(10.1)
+                account.attempt_started(10.1)
                 self.assertEqual(self.accounts.holders(1), {"ann": 1})
                 self.at(first_at)
                 account.first_event()
                 self.at(12.0)
-                account.released()
-                account.whole()
+                account.attempt_ended()
+                account.completed()
             total = self.total()
             self.assertEqual(self.accounts.holders(1), {})
             self.assertEqual(total.ends, {end: 1})
@@ -120,10 +120,10 @@
 
     def test_an_attempt_that_did_not_run_held_no_engine(self):
         with contextlib.suppress(RefusedError), self.open() as account:
-            account.placed(10.0)
+            account.attempt_started(10.0)
             self.at(11.0)
-            account.not_run()
-            account.released()
+            account.attempt_refused()
+            account.attempt_ended()
             raise RefusedError("x")
         self.assertEqual(self.total().online_seconds, 0.0)
         self.assertEqual(self.accounts.holders(1), {})
@@ -138,7 +138,7 @@
 
     def test_what_was_told_first_counts(self):
         with contextlib.suppress(GeneratorExit), self.open() as account:
-            account.whole()
+            account.completed()
             raise GeneratorExit
         self.assertEqual(self.total().ends, {End.IN_TIME: 1})
 
@@ -149,47 +149,49 @@
 
     def test_whatever_happens_nobody_is_left_at_an_engine(self):
         with contextlib.suppress(RuntimeError), self.open() as account:
-            account.placed(10.0)
+            account.attempt_started(10.0)
             raise RuntimeError
         self.assertEqual(self.accounts.holders(1), {})
 
     def test_calls_that_ask_engines_for_nothing_are_not_counted(self):
         with self.open() as account:
-            account.dismiss()
+            account.exclude()
         self.assertEqual(len(self.accounts), 0)
 
 
 class LineTest(unittest.TestCase):
     def setUp(self):
         self.clock = mock.Mock(**{"monotonic.return_value": 0.0})
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         self.callers = CallerAccounts(self.clock, self.log)
 
     def tell(self, now):
         """The lines that a look at some time writes."""
         self.log.written.clear()
         self.clock.monotonic.return_value = now
-        self.callers.tell()
+        self.callers.log_summary()
         return [fields for _, fields in self.log.written]
 
     def test_one_line_in_a_while_and_only_after_something_was_counted(self):
-        self.callers.accounts.note_request("ann", End.IN_TIME, 0.0)
-        self.assertEqual(self.tell(TELL_INTERVAL - 0.1), [])
-        (line,) = self.tell(TELL_INTERVAL)
+        self.callers.accounts.record_request("ann", End.IN_TIME, 0.0)
+        self.assertEqual(self.tell(SUMMARY_INTERVAL - 0.1), [])
+        (line,) = self.tell(SUMMARY_INTERVAL)
         self.assertEqual(line["worst"], [{"tenant": "ann", "asked": 1, "in_time": 1}])
-        self.assertEqual(self.tell(2 * TELL_INTERVAL), [])
+        self.assertEqual(self.tell(2 * SUMMARY_INTERVAL), [])
 
     def test_no_line_where_nobody_has_a_name(self):
-        self.callers.accounts.note_request("", End.NO_ROOM, 0.0)
-        self.assertEqual(self.tell(TELL_INTERVAL), [])
+        self.callers.accounts.record_request("", End.NO_ROOM, 0.0)
+        self.assertEqual(self.tell(SUMMARY_INTERVAL), [])
 
     def test_a_line_is_bounded(self):
         for number in range(500):
-            self.callers.accounts.note_request(f"t{number}", End.IN_TIME, 0.0)
+            self.callers.accounts.record_request(f"t{number}", End.IN_TIME, 0.0)
         for _ in range(9):
-            self.callers.accounts.note_request("worst", End.NO_ROOM, 0.0)
-        (line,) = self.tell(TELL_INTERVAL)
-        self.assertEqual((len(line["largest"]), len(line["worst"])), (TOLD, TOLD))
+            self.callers.accounts.record_request("worst", End.NO_ROOM, 0.0)
+        (line,) = self.tell(SUMMARY_INTERVAL)
+        self.assertEqual(
+            (len(line["largest"]), len(line["worst"])), (TENANTS_PER_LIST, TENANTS_PER_LIST)
+        )
         self.assertEqual(line["worst"][0]["tenant"], "worst")
         self.assertLess(len(json.dumps(line)), 4_000)
 
@@ -197,9 +199,9 @@
 class MetricsTest(unittest.TestCase):
     def test_labels_are_bounded(self):
         accounts, metrics = Accounts(), GatewayMetrics()
-        metrics.tell_tenants(lambda: accounts.rows(0.0))
+        metrics.register_tenants(lambda: accounts.rows(0.0))
         for number in range(3_300):
-            accounts.note_request(f"t{number}", End.LATE, 0.0)
+            accounts.record_request(f"t{number}", End.LATE, 0.0)
         text = metrics.exposition().decode()
         series = [line for line in text.splitlines() if "tenant_requests_total{" in line]
         late = [line for line in series if 'end="late"' in line]
@@ -209,16 +211,16 @@
 
 class WaitingTest(unittest.TestCase):
     def setUp(self):
-        self.log = QuietLog()
-        full = EngineRoom(slots=1, online=2, batch=0, unread=0)
+        self.log = RecordingEventLog()
+        full = EngineOccupancy(slots=1, online=2, batch=0, unread=0)
         self.fleet = mock.Mock(
             **{
                 "has_room.return_value": False,
                 "rooms.return_value": [full],
-                "pace.return_value": ServicePace(),
+                "pace.return_value": ServiceLatency(),
             }
         )
-        self.room = WaitingRoom(SystemClock(), self.log, self.fleet, mock.Mock(), mock.Mock())
+        self.room = AdmissionQueue(SystemClock(), self.log, self.fleet, mock.Mock(), mock.Mock())
         self.waiting = []
         self.addCleanup(lambda: gevent.killall(self.waiting))
 
@@ -247,13 +249,13 @@
         self.assertEqual(ahead, {"r1": [], "r2": [], "r3": ["r2"], "r4": []})
 
     def test_rows_and_lines_are_bounded(self):
-        for number in range(MOST_ROWS + 10):
+        for number in range(MAX_ROWS + 10):
             self.enter(number)
-        self.assertEqual(len(self.room.rows()), MOST_ROWS)
+        self.assertEqual(len(self.room.rows()), MAX_ROWS)
         _, last = self.log.written[-1]
-        self.assertEqual(last["before"], MOST_ROWS + 9)
-        self.assertEqual(len(last["ahead"]), MOST_AHEAD)
-        self.assertEqual(last["ahead"][-1], f"r{MOST_ROWS + 8}")
+        self.assertEqual(last["before"], MAX_ROWS + 9)
+        self.assertEqual(len(last["ahead"]), MAX_LOGGED_AHEAD)
+        self.assertEqual(last["ahead"][-1], f"r{MAX_ROWS + 8}")
 
     def test_lines_name_who_runs(self):
         self.room.holders = lambda: {"bob": 4}
@@ -365,7 +367,7 @@
         wait_until(lambda: "" in self.rows())
         self.assertEqual(self.rows()[""]["asked"], 1)
         looked = mock.patch.object(
-            CallerAccounts, "tell", autospec=True, side_effect=CallerAccounts.tell
+            CallerAccounts, "tell", autospec=True, side_effect=CallerAccounts.log_summary
         )
         with looked as tell:
             wait_until(lambda: tell.call_count == 2)
@@ -380,11 +382,11 @@
 
     def node(self, number, refused, waiting=()):
         """Start a node that tells what one tenant got; returns its URL."""
-        accounts = CallerAccounts(SystemClock(), QuietLog())
+        accounts = CallerAccounts(SystemClock(), RecordingEventLog())
         now = SystemClock().monotonic()
-        accounts.accounts.note_request("ann", End.IN_TIME, now, engine_seconds=1.0, sent=True)
+        accounts.accounts.record_request("ann", End.IN_TIME, now, engine_seconds=1.0, sent=True)
         for _ in range(refused):
-            accounts.accounts.note_request("bob", End.NO_ROOM, now, waited=0.25)
+            accounts.accounts.record_request("bob", End.NO_ROOM, now, waited=0.25)
         document = {
             "node_id": f"n{number}",
             "nodes": [],
--- a/tests/test_competing_tenants.py
+++ b/tests/test_competing_tenants.py
@@ -5,7 +5,7 @@
 import gevent
 
 from postvalve.core.membership.extensions import Extension, Feature
-from postvalve.core.scheduling.turning_away import QUEUED_PLACES
+from postvalve.core.scheduling.load_shedding import MAX_ENGINE_QUEUE
 from postvalve.events import Event
 from tests.gateway_support import STREAM_PATH, GatewayFleet
 from tests.stand_in_engine import Behaviour
@@ -20,7 +20,7 @@
 """Requests: they hold four slots for three seconds."""
 
 
-PLACES = 4 + QUEUED_PLACES
+PLACES = 4 + MAX_ENGINE_QUEUE
 """Requests that the engine takes while others wait."""
 
 
--- a/tests/test_connect_patience.py
+++ b/tests/test_connect_timeout.py
@@ -6,7 +6,12 @@
 import gevent
 from gevent import socket
 
-from postvalve.core.routing.connect_patience import LEAST, LEAST_SAMPLES, SAMPLES, ConnectPatience
+from postvalve.core.routing.connect_timeout import (
+    MAX_SAMPLES,
+    MIN_SAMPLES,
+    MIN_TIMEOUT,
+    ConnectTimeout,
+)
 from postvalve.events import Event
 from postvalve.gateway.engines import engine_connections
 from postvalve.gateway.engines.engine_connections import CONNECT_TIMEOUT
@@ -18,23 +23,23 @@
 
 class PatienceTest(unittest.TestCase):
     def test_nothing_is_given_up_early_before_something_is_known(self):
-        patience = ConnectPatience()
-        for _ in range(LEAST_SAMPLES - 1):
-            patience.note(0.001)
+        patience = ConnectTimeout()
+        for _ in range(MIN_SAMPLES - 1):
+            patience.record(0.001)
         self.assertEqual(patience.seconds(CONNECT_TIMEOUT), CONNECT_TIMEOUT)
-        patience.note(0.001)
-        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), LEAST)
+        patience.record(0.001)
+        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), MIN_TIMEOUT)
 
     def test_far_engines_and_slow_machines_get_more_time_and_not_for_ever(self):
-        patience = ConnectPatience()
+        patience = ConnectTimeout()
         for seconds in (0.001,) * 20 + (0.04,):
-            patience.note(seconds)
+            patience.record(seconds)
         self.assertAlmostEqual(patience.seconds(CONNECT_TIMEOUT), 0.32)
-        patience.note(0.3)
+        patience.record(0.3)
         self.assertEqual(patience.seconds(CONNECT_TIMEOUT), CONNECT_TIMEOUT)
-        for _ in range(SAMPLES):
-            patience.note(0.001)
-        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), LEAST)
+        for _ in range(MAX_SAMPLES):
+            patience.record(0.001)
+        self.assertEqual(patience.seconds(CONNECT_TIMEOUT), MIN_TIMEOUT)
 
 
 class DarkEngineTest(unittest.TestCase):
@@ -43,7 +48,7 @@
     def setUp(self):
         self.fleet = GatewayFleet(nodes=1, engines=4)
         self.addCleanup(self.fleet.stop)
-        for number in range(4 * LEAST_SAMPLES):
+        for number in range(4 * MIN_SAMPLES):
             self.fleet.request("n0", STREAM_PATH + "x", request_id=f"w{number}")
             self.fleet.nodes["n0"]._pool.drop(self.fleet.engines[number % 4].address)
 
@@ -82,7 +87,7 @@
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         pool, address = fleet.nodes["n0"]._pool, fleet.engines[0].address
-        for number in range(2 * LEAST_SAMPLES):
+        for number in range(2 * MIN_SAMPLES):
             fleet.request("n0", STREAM_PATH + "x", request_id=f"w{number}")
             pool.drop(address)
         slow, port = self.SLOW, fleet.engines[0].port
--- a/tests/test_connection_share.py
+++ b/tests/test_connection_share.py
@@ -6,20 +6,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from postvalve.core.admission.connection_share import MAX_RESTING, resting_limit
+from postvalve.core.admission.connection_share import MAX_IDLE_CONNECTIONS, idle_connection_limit
 from postvalve.gateway.engines.engine_connections import ConnectionPool
 
 
 class IdleLimitTest(unittest.TestCase):
     def test_the_smallest_bound_is_shared_equally(self):
-        self.assertEqual(resting_limit([], 5), MAX_RESTING)
-        self.assertEqual(resting_limit([0], 5), MAX_RESTING)
-        self.assertEqual(resting_limit([0, 210, 370], 13), 8)
-        self.assertEqual(resting_limit([370], 2), MAX_RESTING)
+        self.assertEqual(idle_connection_limit([], 5), MAX_IDLE_CONNECTIONS)
+        self.assertEqual(idle_connection_limit([0], 5), MAX_IDLE_CONNECTIONS)
+        self.assertEqual(idle_connection_limit([0, 210, 370], 13), 8)
+        self.assertEqual(idle_connection_limit([370], 2), MAX_IDLE_CONNECTIONS)
 
     @given(st.integers(1, 5000), st.integers(1, 500))
     def test_all_nodes_together_stay_within_half_of_the_bound(self, bound, nodes):
-        limit = resting_limit([bound], nodes)
+        limit = idle_connection_limit([bound], nodes)
         self.assertGreaterEqual(limit, 1)
         if limit > 1:
             self.assertLessEqual(limit * nodes, bound / 2)
@@ -47,19 +47,19 @@
         for _ in range(count):
             pair = socket.socketpair()
             self.pairs.append(pair)
-            self.pool.rest("e:1", pair[0], keep_alive)
+            self.pool.release("e:1", pair[0], keep_alive)
 
     def open_ends(self):
         return [pair[0].fileno() >= 0 for pair in self.pairs]
 
     def test_connections_beyond_the_limit_are_closed(self):
-        self.pool.limit_resting(2)
+        self.pool.set_idle_limit(2)
         self.rest(3)
         self.assertEqual(self.open_ends(), [True, True, False])
 
     def test_a_smaller_share_closes_the_oldest(self):
         self.rest(4)
-        self.pool.limit_resting(1)
+        self.pool.set_idle_limit(1)
         self.pool.expire()
         self.assertEqual(self.open_ends(), [False, False, False, True])
 
--- a/tests/test_stale_knowledge.py
+++ b/tests/test_directory_staleness.py
@@ -19,7 +19,7 @@
 from postvalve.gateway.knowledge.relayed_topics import RelayedTopics, RelayServer
 from postvalve.gateway.metrics import GatewayMetrics
 from postvalve.platform.fleet import DIRECTORY_TOPIC, parse_engine
-from tests.gateway_support import OwnTopics, QuietLog
+from tests.gateway_support import FaultyTopics, RecordingEventLog
 from tests.stand_in_engine import SERVICE
 
 SHORTEST_DRAIN = 2.0
@@ -58,8 +58,8 @@
     def __init__(self, loop, peers=("a", "b")):
         self.store = MemoryTopics()
         self.clock = VirtualClock(loop)
-        self.log = QuietLog()
-        self.own = OwnTopics(self.store)
+        self.log = RecordingEventLog()
+        self.own = FaultyTopics(self.store)
         self.network = PeerNetwork(self.store, peers)
         self.peers = PeerView("me")
         self.fleet = EngineFleet("z", self.clock, self.log, ConnectionPool(self.clock), None)
@@ -86,7 +86,7 @@
                 if name not in self.network.frozen:
                     self._observe(name, sequence)
             self.peers.expire(self.clock.monotonic())
-            self.reader.look()
+            self.reader.update_age()
             gevent.sleep(REPORT_INTERVAL)
 
     def _observe(self, name, sequence):
@@ -101,7 +101,7 @@
         )
         offset = len(self.store.partition(DIRECTORY_TOPIC, 0).log)
         age = milliseconds(now - self._peers_read_at)
-        self.reader.hear(DirectoryState(offset if self.peers_know_more else 0, age), name)
+        self.reader.receive(DirectoryState(offset if self.peers_know_more else 0, age), name)
 
     def list_engine(self, name, state="ready"):
         entry = {"service": SERVICE, "address": "127.0.0.1:1", "slots": 4, "state": state}
@@ -143,10 +143,10 @@
     def leave_beside_a_frozen_peer(self, phase):
         def session(loop):
             node = settled_node(loop)
-            node.own.cut = Verdict.NOT_RUN
+            node.own.outage_verdict = Verdict.NOT_RUN
             gevent.sleep(4.0 + phase)
             node.network.frozen = {"a", "b"}
-            node.own.cut = None
+            node.own.outage_verdict = None
             gevent.sleep(1.0)
             return offered_after(node, lambda: node.list_engine("e1", "draining"), SHORTEST_DRAIN)
 
@@ -183,11 +183,11 @@
         def session(loop):
             node = settled_node(loop, peers)
             node.peers_make_calls = False
-            node.own.cut = verdict
+            node.own.outage_verdict = verdict
             gevent.sleep(left_at)
             node.drop_engine("e1")
             gevent.sleep(cut_for - left_at)
-            node.own.cut = None
+            node.own.outage_verdict = None
             gevent.sleep(SHORTEST_DRAIN - (cut_for - left_at))
             return node.offered()
 
@@ -209,10 +209,10 @@
         def session(loop):
             node = settled_node(loop)
             node.peers_make_calls = False
-            node.own.cut = Verdict.NOT_RUN
+            node.own.outage_verdict = Verdict.NOT_RUN
             gevent.sleep(4.0)
             node.drop_engine("e1")
-            node.own.cut = None
+            node.own.outage_verdict = None
             gevent.sleep(1.5)
             return node.offered()
 
@@ -259,10 +259,10 @@
             node.lapse("e1")
             node.lapse("e2")
             node.store.down = False
-            node.own.cut = Verdict.NOT_RUN if cut_longer else None
+            node.own.outage_verdict = Verdict.NOT_RUN if cut_longer else None
             node.peers_make_calls = not cut_longer
             gevent.sleep(cut_longer)
-            node.own.cut = None
+            node.own.outage_verdict = None
             offered = [node.offered()]
             gevent.sleep(1.2 - cut_longer)
             node.list_engine("e1")
--- a/tests/test_engine_directory.py
+++ b/tests/test_engine_directory.py
@@ -2,8 +2,16 @@
 
 import unittest
 
-from postvalve.core.membership.engine_directory import KEEP_TIME, RETURN_TIME, EngineDirectory
-from postvalve.core.membership.shared_freshness import AWAY_AFTER, STALL, SharedFreshness
+from postvalve.core.membership.engine_directory import (
+    LAPSED_ENTRY_RETENTION,
+    REREGISTRATION_TIME,
+    EngineDirectory,
+)
+from postvalve.core.membership.shared_freshness import (
+    STALL_THRESHOLD,
+    UNAVAILABLE_AFTER,
+    SharedFreshness,
+)
 
 
 class EngineDirectoryTest(unittest.TestCase):
@@ -14,7 +22,7 @@
     def unavailable_to_all(self, until):
         """No node reads the directory from time 0 on; this node is the first to read it again."""
         for half_second in range(int(until * 2)):
-            self.shared.look(half_second / 2)
+            self.shared.update(half_second / 2)
         self.directory.store_lost()
         self.shared.note(until, until)
         self.directory.store_back(until)
@@ -36,8 +44,8 @@
         self.read("a", "b")
         self.unavailable_to_all(50.0)
         self.assertEqual(self.read("b", now=50.1), ["a"])
-        self.assertEqual(self.entries(50.0 + KEEP_TIME - 0.1), ["a", "b"])
-        self.assertEqual(self.entries(50.0 + KEEP_TIME), ["b"])
+        self.assertEqual(self.entries(50.0 + LAPSED_ENTRY_RETENTION - 0.1), ["a", "b"])
+        self.assertEqual(self.entries(50.0 + LAPSED_ENTRY_RETENTION), ["b"])
 
     def test_an_entry_removed_while_only_this_node_is_cut_off_is_dropped(self):
         self.read("a", "b")
@@ -54,7 +62,7 @@
         self.directory.store_lost()
         self.directory.store_back(51.0)
         self.assertEqual(self.read("b", now=51.0), ["a"])
-        self.assertEqual(self.entries(50.0 + KEEP_TIME), ["b"])
+        self.assertEqual(self.entries(50.0 + LAPSED_ENTRY_RETENTION), ["b"])
 
     def test_all_entries_may_lapse(self):
         self.read("a", "b")
@@ -63,30 +71,30 @@
         self.assertEqual(self.entries(50.2), ["a", "b"])
         self.directory.observe([("a", "a")], False, 51.0)
         self.assertEqual(self.entries(51.0), ["a", "b"])
-        self.assertEqual(self.entries(50.0 + KEEP_TIME), ["a"])
+        self.assertEqual(self.entries(50.0 + LAPSED_ENTRY_RETENTION), ["a"])
 
     def test_entries_removed_after_the_reregistration_time_are_dropped_at_once(self):
         self.read("a", "b")
         self.unavailable_to_all(50.0)
-        later = 50.0 + RETURN_TIME + 0.1
+        later = 50.0 + REREGISTRATION_TIME + 0.1
         self.assertEqual(self.directory.observe([("a", None)], False, later), [])
         self.assertEqual(self.entries(later), ["b"])
 
     def test_an_entry_that_is_kept_is_used_no_longer_than_the_shortest_drain(self):
-        self.assertLess(KEEP_TIME, 2.0)
+        self.assertLess(LAPSED_ENTRY_RETENTION, 2.0)
 
     def test_it_is_unsettled_until_read_and_around_an_outage(self):
         self.assertTrue(self.directory.unsettled(0.0))
         self.read("a", now=3.0)
-        self.assertTrue(self.directory.unsettled(3.0 + RETURN_TIME - 0.1))
-        self.assertFalse(self.directory.unsettled(3.0 + RETURN_TIME))
+        self.assertTrue(self.directory.unsettled(3.0 + REREGISTRATION_TIME - 0.1))
+        self.assertFalse(self.directory.unsettled(3.0 + REREGISTRATION_TIME))
         self.read("a", now=4.0)
         self.assertFalse(self.directory.unsettled(6.0))
         self.directory.store_lost()
         self.assertTrue(self.directory.unsettled(9.0))
         self.directory.store_back(10.0)
-        self.assertTrue(self.directory.unsettled(10.0 + RETURN_TIME - 0.1))
-        self.assertFalse(self.directory.unsettled(10.0 + RETURN_TIME))
+        self.assertTrue(self.directory.unsettled(10.0 + REREGISTRATION_TIME - 0.1))
+        self.assertFalse(self.directory.unsettled(10.0 + REREGISTRATION_TIME))
 
     def test_a_first_read_keeps_nothing(self):
         self.directory.store_back(0.0)
@@ -101,11 +109,11 @@
             shared.note(now - 0.4, now)
         for now in (2.0, 2.5, 3.0):
             shared.note(1.1, now)
-            self.assertFalse(shared.away)
-        shared.note(1.1, 1.1 + AWAY_AFTER)
-        self.assertTrue(shared.away)
+            self.assertFalse(shared.unavailable)
+        shared.note(1.1, 1.1 + UNAVAILABLE_AFTER)
+        self.assertTrue(shared.unavailable)
         shared.note(3.5, 3.6)
-        self.assertFalse(shared.away)
+        self.assertFalse(shared.unavailable)
         self.assertEqual(shared.returned_at, 3.5)
 
     def test_one_node_that_reads_it_is_enough(self):
@@ -114,22 +122,22 @@
             now = tenth / 10
             shared.note(0.0, now)
             shared.note(now - 1.2, now)
-        self.assertFalse(shared.away)
+        self.assertFalse(shared.unavailable)
         self.assertEqual(shared.returned_at, float("-inf"))
 
     def test_a_suspended_node_assumes_no_outage(self):
         shared = SharedFreshness(0.0)
         shared.note(0.0, 0.1)
-        shared.look(0.1 + STALL + 3.0)
-        self.assertFalse(shared.away)
+        shared.update(0.1 + STALL_THRESHOLD + 3.0)
+        self.assertFalse(shared.unavailable)
 
     def test_it_never_goes_back(self):
         shared = SharedFreshness(0.0)
         shared.note(1.0, 1.0)
         shared.note(0.5, 1.1)
-        shared.look(1.0 + AWAY_AFTER - 0.7)
-        shared.look(1.0 + AWAY_AFTER - 0.1)
-        self.assertFalse(shared.away)
+        shared.update(1.0 + UNAVAILABLE_AFTER - 0.7)
+        shared.update(1.0 + UNAVAILABLE_AFTER - 0.1)
+        self.assertFalse(shared.unavailable)
 
 
 if __name__ == "__main__":
--- a/tests/test_engine_paces.py
+++ b/tests/test_engine_paces.py
@@ -55,8 +55,8 @@
     def test_three_figures_leave_all_as_it_was(self):
         self.tell("3,0,4")
         paces = self.fleet.nodes["n0"]._fleet.paces
-        self.assertFalse(paces.uneven("s"))
-        self.assertEqual(paces.tell(1), b"")
+        self.assertFalse(paces.reports_pace("s"))
+        self.assertEqual(paces.pack_report(1), b"")
 
     def test_the_pauses_that_callers_bear_come_with_the_configuration(self):
         self.fleet.configure(gapAimMs=250)
--- a/tests/test_engine_watch.py
+++ b/tests/test_engine_watch.py
@@ -6,9 +6,9 @@
 import gevent
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.batch.giving_way import encode_running
+from postvalve.core.batch.preemption import encode_running
 from postvalve.core.membership.engine_life import EngineLife
-from postvalve.core.membership.report_pace import ReportPace
+from postvalve.core.membership.report_schedule import ReportSchedule
 from postvalve.events import Event
 from tests.gateway_support import BATCH_PATH, STREAM_PATH, GatewayFleet
 from tests.stand_in_engine import Behaviour
@@ -30,7 +30,7 @@
             items = fleet.nodes[name]._reports.items
             wait_until(lambda items=items: len(items.at(engine_hash("e0"))) == 3)
         # From now on nodes hear of each other only out of turn.
-        with mock.patch.object(ReportPace, "take_turn", return_value=False):
+        with mock.patch.object(ReportSchedule, "take_turn", return_value=False):
             for number, name in enumerate(("n1", "n2", "n1")):
                 gevent.spawn(fleet.request, name, STREAM_PATH, request_id=f"r{number}")
             wait_until(lambda: fleet.events("n0", Event.ROUTED_ITEM_PREEMPTED))
@@ -76,13 +76,13 @@
         other.reports.items_running = lambda: encode_running([(engine, 10)])
         told = []
         for node in (holder, other):
-            node.reports.watch.on_give_way = lambda engine, urgency, name=node.name: told.append(
+            node.reports.watch.on_preempt = lambda engine, urgency, name=node.name: told.append(
                 (name, engine, urgency)
             )
         self.play(1.0)
         watcher.reports._fleet.excess = lambda engine_id: 1 if engine_id == "e0" else 0
-        watcher.reports.watch.look()
-        watcher.reports.watch.look()
+        watcher.reports.watch.preempt_excess()
+        watcher.reports.watch.preempt_excess()
         self.network.deliver()
         self.assertEqual(told, [(holder.name, engine, 90)])
 
@@ -90,10 +90,10 @@
         holder = next(node for node in self.nodes if node.identity.zone == "z0")
         far = next(node for node in self.nodes if node.identity.zone == "z1")
         told = []
-        holder.reports.watch.on_give_way = lambda engine, urgency: told.append(urgency)
+        holder.reports.watch.on_preempt = lambda engine, urgency: told.append(urgency)
         far.reports._fleet.excess = lambda engine_id: 1
         far.reports.items.at = lambda engine: [(90, holder.name)]
-        far.reports.watch.urge_far("e0")
+        far.reports.watch.preempt_remote("e0")
         self.network.deliver()
         self.assertEqual(told, [90])
         logged = [fields for event, fields in far.log.written if event is _TOLD]
--- a/tests/test_failed_engines.py
+++ b/tests/test_failed_engines.py
@@ -12,9 +12,9 @@
 
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
-from postvalve.gateway.fleet.engine_standing import SUSPECT_TIME
+from postvalve.gateway.fleet.engine_health import SUSPECT_TIME
 from postvalve.gateway.interfaces import EngineEntry, EngineState, RequestTerms
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 SLOTS = 10
 TERMS = RequestTerms("r", None, None, "", 0, 100, 10)
@@ -23,12 +23,14 @@
 class FailedEngineTest(unittest.TestCase):
     def setUp(self):
         self.clock = mock.Mock(**{"monotonic.return_value": 0.0})
-        self.fleet = EngineFleet("near", self.clock, QuietLog(), mock.Mock(), random.Random(1))
+        self.fleet = EngineFleet(
+            "near", self.clock, RecordingEventLog(), mock.Mock(), random.Random(1)
+        )
         self.fleet.update(
             EngineEntry(EngineLife(name), "s", f"{name}:1", zone, SLOTS, EngineState.READY)
             for name, zone in (("failed", "near"), ("sound", "near"), ("far", "far"))
         )
-        self.fleet.note_failure("failed", "closed before an answer")
+        self.fleet.record_failure("failed", "closed before an answer")
 
     def place(self, excluded=()):
         """Place a request that has no time to wait for a slot."""
@@ -41,8 +43,8 @@
 
     def learn_pace(self):
         for _ in range(10):
-            self.fleet.pace("s").observe_first(100, 0.05)
-            self.fleet.pace("s").observe_held(5.0)
+            self.fleet.pace("s").observe_first_event(100, 0.05)
+            self.fleet.pace("s").observe_slot_time(5.0)
 
     def test_one_that_failed_is_left_alone_while_others_are_full(self):
         self.fill("sound", "far")
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from postvalve.core.scheduling.fair_share import (
-    FIRST_TIME,
+    INITIAL_TIME,
     MAX_COST,
     ShareClock,
-    TagBook,
+    TagAssigner,
     Work,
-    normal_weights,
+    normalized_weights,
 )
 from postvalve.gateway.serving.fair_shares import FairShares
 from tests.share_model import (
@@ -121,7 +121,7 @@
 
     def __init__(self):
         self.clocks = {name: ShareClock() for name in NODES}
-        self.books = {name: TagBook(clock) for name, clock in self.clocks.items()}
+        self.books = {name: TagAssigner(clock) for name, clock in self.clocks.items()}
         self.lender = dict.fromkeys(WEIGHTS, "n0")
         self.waiting = []
         self.got = dict.fromkeys(WEIGHTS, 0.0)
@@ -137,7 +137,7 @@
 
     def ask(self, tenant, tag=None):
         if tag is None:
-            tag = self.books[self.lender[tenant]].stamp(tenant, WEIGHTS[tenant], Work(COST))
+            tag = self.books[self.lender[tenant]].assign_tag(tenant, WEIGHTS[tenant], Work(COST))
             self.former[tenant] = tag
         self.waiting.append((tag, tenant))
 
@@ -148,7 +148,7 @@
         tag, tenant = chosen
         self.got[tenant] += COST / WEIGHTS[tenant]
         lowest = min((one for one, _ in self.waiting), default=None)
-        self.clocks[node].note_served(tag, lowest)
+        self.clocks[node].record_served(tag, lowest)
         self.fill()
 
     def tell(self, teller, hearer):
@@ -157,7 +157,7 @@
     def lose(self, tenant, node):
         """Nobody told the tag: a node stamps itself."""
         if node != self.lender[tenant]:
-            tag = self.books[node].stamp(tenant, WEIGHTS[tenant], Work(COST))
+            tag = self.books[node].assign_tag(tenant, WEIGHTS[tenant], Work(COST))
             self.harm[tenant] += COST / WEIGHTS[tenant]
             self.ask(tenant, tag)
 
@@ -169,14 +169,14 @@
     def move(self, tenant, node):
         """Another node lends, and knows nothing of what waits."""
         if node != self.lender[tenant]:
-            self.books[node].forget()
+            self.books[node].reset()
             for other, lender in self.lender.items():
                 if other == tenant or lender == node:
                     self.begin_anew(other)
             self.lender[tenant] = node
 
     def restart(self, node):
-        self.books[node].forget()
+        self.books[node].reset()
         for tenant, lender in self.lender.items():
             if lender == node:
                 self.begin_anew(tenant)
@@ -248,79 +248,79 @@
 
     def enter(self, cost):
         work = self.shares.work("a", cost)
-        return self.shares.enter("a", work, 0.0)
+        return self.shares.open("a", work, 0.0)
 
     def test_a_heap_that_was_refused_gets_all_back(self):
         for share in [self.enter(2.0) for _ in range(100)]:
-            share.end()
+            share.settle()
         tags = [self.enter(2.0).tag for _ in range(10)]
-        self.assertLess(tags[-1], FIRST_TIME + 10 * 2.0)
+        self.assertLess(tags[-1], INITIAL_TIME + 10 * 2.0)
 
     def test_refused_requests_of_long_work_get_back_no_more_than_they_cost(self):
         self.enter(1000.0)
         for _ in range(5):
             self.enter(1000.0).end()
-        self.assertGreaterEqual(self.enter(1.0).tag, FIRST_TIME + MAX_COST)
+        self.assertGreaterEqual(self.enter(1.0).tag, INITIAL_TIME + MAX_COST)
 
     def take(self, cost, seconds):
         share = self.enter(cost)
-        share.enter(0.0)
+        share.attempt_started(0.0)
         return share, seconds
 
     def test_a_heap_that_took_longer_than_told_is_counted_in_full(self):
         for share, seconds in [self.take(1.0, 3.0) for _ in range(100)]:
-            share.leave(seconds)
-            share.end()
+            share.attempt_ended(seconds)
+            share.settle()
         tags = [self.enter(1.0).tag for _ in range(10)]
-        self.assertAlmostEqual(tags[-1], FIRST_TIME + 100 * 3.0 + 9 * 1.0)
+        self.assertAlmostEqual(tags[-1], INITIAL_TIME + 100 * 3.0 + 9 * 1.0)
 
     def test_one_request_counts_for_so_much_at_the_most(self):
         share, seconds = self.take(1.0, 1e6)
-        share.leave(seconds)
-        share.end()
+        share.attempt_ended(seconds)
+        share.settle()
         tags = [self.enter(1.0).tag for _ in range(10)]
-        self.assertAlmostEqual(tags[-1], FIRST_TIME + MAX_COST + 9 * 1.0)
+        self.assertAlmostEqual(tags[-1], INITIAL_TIME + MAX_COST + 9 * 1.0)
 
 
 class BookTest(unittest.TestCase):
     def setUp(self):
         self.clock = ShareClock()
-        self.book = TagBook(self.clock)
+        self.book = TagAssigner(self.clock)
 
     def test_who_was_idle_begins_at_the_clock(self):
-        self.book.stamp("t", 1.0, Work(1.0))
+        self.book.assign_tag("t", 1.0, Work(1.0))
         self.clock.merge(50.0)
-        self.assertEqual(self.book.stamp("t", 1.0, Work(1.0)), 50.0)
-        self.assertEqual(self.book.stamp("t", 1.0, Work(1.0)), 51.0)
+        self.assertEqual(self.book.assign_tag("t", 1.0, Work(1.0)), 50.0)
+        self.assertEqual(self.book.assign_tag("t", 1.0, Work(1.0)), 51.0)
 
     def test_what_a_request_took_corrects_the_next_tag(self):
-        self.book.stamp("t", 2.0, Work(1.0))
-        self.assertEqual(self.book.stamp("t", 2.0, Work(1.0, 3.0)), FIRST_TIME + 2.0)
+        self.book.assign_tag("t", 2.0, Work(1.0))
+        self.assertEqual(self.book.assign_tag("t", 2.0, Work(1.0, 3.0)), INITIAL_TIME + 2.0)
         # What a refused request had cost comes back: the next one has its place.
-        self.assertEqual(self.book.stamp("t", 2.0, Work(1.0, -1.0)), FIRST_TIME + 2.0)
+        self.assertEqual(self.book.assign_tag("t", 2.0, Work(1.0, -1.0)), INITIAL_TIME + 2.0)
 
     def test_nobody_gets_before_the_clock_by_corrections(self):
         self.clock.merge(5.0)
-        self.assertEqual(self.book.stamp("t", 1.0, Work(1.0, -1e9)), 5.0)
+        self.assertEqual(self.book.assign_tag("t", 1.0, Work(1.0, -1e9)), 5.0)
 
     def test_what_is_told_in_error_is_bounded(self):
-        self.book.stamp("t", 1.0, Work(math.inf, math.inf))
-        self.assertLessEqual(self.book.stamp("t", 1.0, Work(1.0)), FIRST_TIME + 2 * MAX_COST)
+        self.book.assign_tag("t", 1.0, Work(math.inf, math.inf))
+        self.assertLessEqual(self.book.assign_tag("t", 1.0, Work(1.0)), INITIAL_TIME + 2 * MAX_COST)
         for told in (math.nan, math.inf, -1.0):
             self.clock.merge(told)
-        self.assertEqual(self.clock.now, FIRST_TIME)
+        self.assertEqual(self.clock.now, INITIAL_TIME)
 
     def test_tenants_that_left_the_configuration_are_dropped(self):
         for name in ("a", "b"):
-            self.book.stamp(name, 1.0, Work(1.0))
-        self.book.keep({"b": 1.0})
-        self.assertEqual(set(self.book.finishes()), {"b"})
+            self.book.assign_tag(name, 1.0, Work(1.0))
+        self.book.retain({"b": 1.0})
+        self.assertEqual(set(self.book.finish_tags()), {"b"})
 
     def test_weights_have_a_mean_of_one_and_none_is_nothing(self):
-        weights = normal_weights({"a": 1.0, "b": 3.0, "c": 1e-9})
+        weights = normalized_weights({"a": 1.0, "b": 3.0, "c": 1e-9})
         self.assertAlmostEqual(weights["b"] / weights["a"], 3.0)
         self.assertGreater(weights["c"], 1e-4)
-        self.assertEqual(normal_weights({}), {})
+        self.assertEqual(normalized_weights({}), {})
 
     def test_the_clock_never_goes_back(self):
         draw = random.Random(1)
--- a/tests/test_builds.py
+++ b/tests/test_feature_status.py
@@ -10,8 +10,8 @@
 from postvalve.core.membership.peers import SILENT_AFTER, PeerView
 from postvalve.core.membership.zone_digest import ZoneDigest
 from postvalve.events import Event
-from postvalve.gateway.fleet.builds import Builds
-from tests.gateway_support import GatewayFleet, QuietLog
+from postvalve.gateway.fleet.feature_status import FeatureStatus
+from tests.gateway_support import GatewayFleet, RecordingEventLog
 from tests.waiting import wait_until
 
 LINE, SHARES = Feature.LINE, Feature.BATCH_SHARES
@@ -22,13 +22,13 @@
 
 class BuildsCase(unittest.TestCase):
     def setUp(self):
-        self.now, self.sequence, self.log = 0.0, 0, QuietLog()
+        self.now, self.sequence, self.log = 0.0, 0, RecordingEventLog()
         self.peers = PeerView("me")
         self.peers.gate = FeatureGate(OWN)
         self.heard = {}
         """What each peer that reports can do, by name."""
         clock = mock.Mock(monotonic=lambda: self.now)
-        self.builds = Builds(self.peers, clock, self.log)
+        self.feature_status = FeatureStatus(self.peers, clock, self.log)
 
     def report(self, name, features):
         self.sequence += 1
@@ -46,7 +46,7 @@
             for name, features in self.heard.items():
                 self.report(name, features)
             self.peers.expire(self.now)
-            self.builds.look()
+            self.feature_status.update()
 
     def told(self):
         return [fields["on"] for event, fields in self.log.written]
@@ -148,12 +148,12 @@
         peers = {"line batch_shares": 1, "none": 1}
         wanted = {"own": ["line", "batch_shares"], "peers": peers, "lesser_peers": {"zone:far": []}}
         wanted |= {"on": [], "off": {"line": far, "batch_shares": far}}
-        self.assertEqual(self.builds.fields(), wanted)
+        self.assertEqual(self.feature_status.fields(), wanted)
 
     def test_status_tells_that_a_matter_settles(self):
         self.heard = {"a": LINE | SHARES}
         self.play(LOOK)
-        self.assertEqual(self.builds.fields()["off"]["line"], ["settling, 10 s"])
+        self.assertEqual(self.feature_status.fields()["off"]["line"], ["settling, 10 s"])
 
     def test_the_status_of_a_node_has_it(self):
         fleet = GatewayFleet(nodes=2, engines=1)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -5,9 +5,9 @@
 import unittest
 
 from postvalve.core.admission.fleet_limits import (
-    STALL,
+    STALL_THRESHOLD,
+    CreditOutcome,
     FleetLimits,
-    Lending,
     LimitBounds,
     LimitTerms,
 )
@@ -125,14 +125,14 @@
         self.limits = FleetLimits("n0", 0.0)
 
     def look(self, now, live=("n0",), announced=1):
-        self.limits.look(live, announced, now)
+        self.limits.update_view(live, announced, now)
 
     def take(self, now, terms=LARGE, tenant="t"):
-        return self.limits.lend(tenant, terms, now)
+        return self.limits.try_acquire(tenant, terms, now)
 
     def count(self, now, terms=LARGE):
         number = 0
-        while self.take(now, terms).lending is Lending.LENT:
+        while self.take(now, terms).outcome is CreditOutcome.GRANTED:
             number += 1
         return number
 
@@ -140,8 +140,8 @@
         for step in range(40):
             self.look(step * 0.5)
         self.assertGreater(self.count(20.0), 80)
-        self.look(30.0 + STALL)
-        self.assertLessEqual(self.count(30.0 + STALL), 1)
+        self.look(30.0 + STALL_THRESHOLD)
+        self.assertLessEqual(self.count(30.0 + STALL_THRESHOLD), 1)
 
     def test_a_new_lender_grants_by_the_share_of_the_fleet_it_hears(self):
         self.look(0.1, announced=60)
@@ -153,12 +153,12 @@
         live = ["n0", "n1", "n2", "n3"]
         self.look(0.1)
         tenant = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
-        self.assertIs(self.take(9.0, tenant=tenant).lending, Lending.LENT)
+        self.assertIs(self.take(9.0, tenant=tenant).outcome, CreditOutcome.GRANTED)
         for step in range(40):
             self.look(9.0 + step * 0.5, live=live)
         self.look(29.0)
         lent = 0
-        while self.take(29.0, tenant=tenant).lending is Lending.LENT:
+        while self.take(29.0, tenant=tenant).outcome is CreditOutcome.GRANTED:
             lent += 1
         self.assertLessEqual(lent, 1)
 
@@ -167,8 +167,8 @@
 
     def test_a_node_that_is_not_a_lender_grants_nothing(self):
         self.look(0.1, live=("n0", "n1", "n2"))
-        told = {self.take(5.0, tenant=f"t{number}").lending for number in range(60)}
-        self.assertIn(Lending.NOT_MINE, told)
+        told = {self.take(5.0, tenant=f"t{number}").outcome for number in range(60)}
+        self.assertIn(CreditOutcome.NOT_OWNER, told)
 
     def test_a_lower_limit_applies_at_once_and_an_older_revision_does_not(self):
         for step in range(40):
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -12,7 +12,11 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.load_report import LoadReport, RunningItem
 from postvalve.core.membership.peers import SILENT_AFTER, PeerView
-from postvalve.core.membership.report_pace import IDLE_INTERVAL, NEAR_RATE, ReportPace
+from postvalve.core.membership.report_schedule import (
+    IDLE_INTERVAL,
+    ZONE_REPORT_RATE,
+    ReportSchedule,
+)
 from postvalve.core.routing.engine_choice import EngineChooser, EngineOption
 from postvalve.core.routing.route_table import RouteTable, choose_target
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
@@ -23,7 +27,7 @@
     ServiceSpec,
     WeightedService,
 )
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 
 def route(name, host, prefix):
@@ -119,7 +123,7 @@
         one.enter("e", batch=False, unread=500)
         one.observe("two", two.report())
         self.assertEqual(one.total("e").unread, 500 + 6_016)
-        two.note_read("e", 6_000)
+        two.record_prompt_read("e", 6_000)
         one.observe("two", two.report())
         self.assertEqual(one.total("e").unread, 500 + 64)
         one.leave("e", batch=False, unread=500)
@@ -132,7 +136,7 @@
         one.enter("e", batch=False, memory=100)
         one.observe("two", two.report())
         self.assertEqual(one.total("e").memory, 100 + 2_048)
-        two.note_read("e", 300)
+        two.record_prompt_read("e", 300)
         one.observe("two", two.report())
         self.assertEqual(one.total("e").memory, 100 + 2_048)
         two.leave("e", batch=True, memory=2_000)
@@ -252,18 +256,20 @@
 class BatchPlaceTest(unittest.TestCase):
     def setUp(self):
         self.clock = mock.Mock(**{"monotonic.return_value": 0.0})
-        self.fleet = EngineFleet("near", self.clock, QuietLog(), mock.Mock(), random.Random(1))
+        self.fleet = EngineFleet(
+            "near", self.clock, RecordingEventLog(), mock.Mock(), random.Random(1)
+        )
         self.fleet.update(
             EngineEntry(EngineLife(name), "s", f"{name}:1", zone, 10, EngineState.READY)
             for name, zone in (("n", "near"), ("f", "far"))
         )
         service = ServiceSpec(name="s", memory_tokens=10_000)
-        self.fleet.service_named = {"s": service}.get
+        self.fleet.find_service = {"s": service}.get
 
     def place(self, prompt=1_000, output=2_000):
         placement = self.fleet.place_batch("s", prompt, output, (), pressing=True)
         if placement is not None:
-            self.fleet.note_read(placement)
+            self.fleet.record_prompt_read(placement)
         return placement and placement.engine.life
 
     def test_items_start_only_where_memory_is_left(self):
@@ -277,7 +283,7 @@
         self.assertEqual(self.fleet.batch_room("s", pressing=False), 6)
         self.assertEqual([place(False) for _ in range(7)], ["n"] * 6 + [None])
         self.assertEqual([place(True) for _ in range(4)], ["n", "n", "n", "f"])
-        self.fleet.note_failure("n", "dark")
+        self.fleet.record_failure("n", "dark")
         self.assertEqual(place(False), "f")
 
     def test_nodes_that_see_the_same_do_not_all_fill_one_engine(self):
@@ -286,7 +292,9 @@
         request."""
         counts = Counter()
         for seed in range(16):
-            fleet = EngineFleet("near", self.clock, QuietLog(), mock.Mock(), random.Random(seed))
+            fleet = EngineFleet(
+                "near", self.clock, RecordingEventLog(), mock.Mock(), random.Random(seed)
+            )
             lives = [EngineLife(f"e{number}") for number in range(8)]
             fleet.update(
                 EngineEntry(life, "s", f"{life}:1", "near", 8, EngineState.READY) for life in lives
@@ -326,12 +334,12 @@
 
 
 class ReportPaceTest(unittest.TestCase):
-    def turns(self, peers, seconds, change_every, rate=NEAR_RATE):
-        pace = ReportPace(rate)
+    def turns(self, peers, seconds, change_every, rate=ZONE_REPORT_RATE):
+        pace = ReportSchedule(rate)
         taken = []
         for step in range(int(seconds * 100)):
             if step % int(change_every * 100) == 0:
-                pace.note_change()
+                pace.record_change()
             if pace.take_turn(peers, step / 100):
                 taken.append(step / 100)
         return taken
@@ -348,15 +356,15 @@
     def test_received_reports_are_bounded(self, peers, change_every):
         taken = self.turns(peers, 5, change_every)
         heard = len(taken) * peers / 5
-        self.assertLessEqual(heard, max(NEAR_RATE, peers / IDLE_INTERVAL) + peers / 5)
+        self.assertLessEqual(heard, max(ZONE_REPORT_RATE, peers / IDLE_INTERVAL) + peers / 5)
 
     @given(st.lists(st.integers(0, 300), max_size=20), st.integers(1, 60))
     def test_every_change_is_reported(self, changes, peers):
-        pace = ReportPace(NEAR_RATE)
+        pace = ReportSchedule(ZONE_REPORT_RATE)
         told = -1
         for step in range(400):
             if step in changes:
-                pace.note_change()
+                pace.record_change()
             if pace.take_turn(peers, step / 100):
                 told = step
         self.assertGreaterEqual(told, max(changes, default=0))
@@ -370,17 +378,17 @@
     def test_silent_peers_are_dropped(self):
         view = PeerView("me")
         view.observe(report("a"), 0.0)
-        self.assertTrue(view.works("a", 1))
+        self.assertTrue(view.can_run_jobs("a", 1))
         self.assertEqual(view.expire(SILENT_AFTER - 0.5).nodes, [])
         self.assertEqual(view.expire(SILENT_AFTER + 0.1).nodes, ["a"])
-        self.assertFalse(view.works("a", 1))
+        self.assertFalse(view.can_run_jobs("a", 1))
 
     def test_a_node_that_stood_still_believes_nobody_gone(self):
         view = PeerView("me")
         view.observe(report("a"), 0.0)
         view.expire(0.5)
         self.assertEqual(view.expire(6.5).nodes, [])
-        self.assertTrue(view.works("a", 1))
+        self.assertTrue(view.can_run_jobs("a", 1))
         for second in range(7, 9):
             view.expire(second)
         self.assertEqual(view.expire(9.0).nodes, ["a"])
@@ -394,13 +402,13 @@
         view = PeerView("me")
         view.observe(report("a", incarnation=9, sequence=5), 0.0)
         self.assertTrue(view.observe(report("a", incarnation=3, sequence=1), 0.1))
-        self.assertFalse(view.works("a", 9))
+        self.assertFalse(view.can_run_jobs("a", 9))
 
     def test_leaving_nodes_and_those_without_the_store_run_no_jobs(self):
         view = PeerView("me")
         view.observe(report("a", leaving=True), 0.0)
         view.observe(report("b", log_silence_ms=9_000), 0.0)
-        self.assertFalse(view.works("a", 1) or view.works("b", 1))
+        self.assertFalse(view.can_run_jobs("a", 1) or view.can_run_jobs("b", 1))
         self.assertEqual(view.successor("job", self_works=True), "me")
 
     def test_items_that_run_at_a_leaving_node_are_left_to_it(self):
@@ -408,9 +416,9 @@
         running = [RunningItem(job_id="j", item_index=2)]
         view.observe(report("a", leaving=True, running=running), 0.0)
         view.observe(report("b", running=running[:0]), 0.0)
-        self.assertEqual(view.running_at_leaving(), {("j", 2)})
+        self.assertEqual(view.running_on_leaving_peers(), {("j", 2)})
         view.expire(SILENT_AFTER + 1)
-        self.assertEqual(view.running_at_leaving(), set())
+        self.assertEqual(view.running_on_leaving_peers(), set())
 
     def test_all_nodes_name_one_successor(self):
         names = ["a", "b", "c"]
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -199,10 +199,10 @@
         self.addCleanup(fleet.stop)
         runner = fleet.nodes["n0"]._runner
         with mock.patch.object(runner, "_wakeup") as wakeup:
-            runner.note_peers()
+            runner.on_peer_update()
             wakeup.set.assert_not_called()
             runner._own.by_job["j"] = {}
-            runner.note_peers()
+            runner.on_peer_update()
             wakeup.set.assert_called_once_with()
 
 
--- a/tests/test_gateway_online.py
+++ b/tests/test_gateway_online.py
@@ -289,7 +289,7 @@
         """For so long that the store counts as away, since one lost read does not tell it."""
         self.fleet.topics.down = True
         wait_until(lambda: DIRECTORY_TOPIC in self.lost_topics())
-        wait_until(lambda: node._directory.store_away)
+        wait_until(lambda: node._directory.store_unreachable)
         self.fleet.topics.down = False
 
     def ask(self, allowed_ms):
