--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -13,9 +13,9 @@
 from postvalve.events import Event
 from postvalve.gateway.engines.event_stream import event_data, event_id_of
 from postvalve.gateway.jobs.end_writer import EndedItem, EndWriter
-from postvalve.gateway.jobs.job_claims import ALL_HEARD_AFTER, CLAIM_AFTER_START, JobClaims
+from postvalve.gateway.jobs.job_claims import CLAIM_AFTER_START, ZONE_DISCOVERY_TIMEOUT, JobClaims
 from postvalve.messages.generated import gateway
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 from tests.test_job_board import accepted
 from tests.test_job_log import accept, job_log, positions
 from tests.waiting import wait_until
@@ -32,7 +32,7 @@
     log = mock.Mock(board=JobBoard())
     log.silence.return_value = 0.0
     identity = gateway.NodeStarted(node_id=node_id, incarnation=incarnation)
-    return JobClaims(identity, clock, QuietLog(), log, peers, lambda: "c1")
+    return JobClaims(identity, clock, RecordingEventLog(), log, peers, lambda: "c1")
 
 
 class ClaimTest(unittest.TestCase):
@@ -51,7 +51,7 @@
         for report in reports:
             peers.observe(report, self.clock.now)
         claims = claims_of(node_id, incarnation, self.clock, peers)
-        claims.heard_all = heard_all
+        claims.all_zones_known = heard_all
         self.clock.now += after
         return claims._should_claim(self.job)
 
@@ -68,7 +68,7 @@
     def test_jobs_wait_longer_while_it_is_not_known_who_lives_in_another_zone(self):
         heard = mock.Mock(return_value=False)
         self.assertFalse(self.should_claim("n1", heard_all=heard))
-        self.assertTrue(self.should_claim("n1", after=ALL_HEARD_AFTER, heard_all=heard))
+        self.assertTrue(self.should_claim("n1", after=ZONE_DISCOVERY_TIMEOUT, heard_all=heard))
         self.assertTrue(self.should_claim("n0", 2, after=0.0, heard_all=heard))
 
     def test_jobs_of_working_nodes_are_left_alone(self):
@@ -90,7 +90,7 @@
         self.topics = MemoryTopics()
         self.log = job_log(self.topics)
         accept(self.log, items=40)
-        self.events = QuietLog()
+        self.events = RecordingEventLog()
         numbers = iter(range(1000))
         self.writer = EndWriter(self.log, self.events, 16_384, lambda: str(next(numbers)))
         running = gevent.spawn(self.writer.run)
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -7,22 +7,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from postvalve.core.admission.holding import (
+from postvalve.core.admission.online_admission import (
     EPISODE_GAP,
-    FIRST_EPISODE,
     HOLD_SHARE,
-    LEAST_RETURN,
+    INITIAL_EPISODE_LENGTH,
+    MIN_RETRY_AFTER,
     PERSISTENT_AFTER,
     REFUSE_SHARE,
-    RETURN_SHARE,
-    RETURN_SPREAD,
-    HeldRequest,
+    RETRY_AFTER_SHARE,
+    RETRY_JITTER,
+    AdmissionAction,
     OverloadEpisodes,
-    Ruling,
-    rule,
+    PendingRequest,
+    decide,
+)
+from postvalve.core.admission.service_latency import LONGEST_QUEUE_FACTOR, ServiceLatency
+from postvalve.core.routing.latency_estimate import (
+    EngineOccupancy,
+    expected_first_event,
+    queue_wait,
 )
-from postvalve.core.admission.service_pace import LONGEST_QUEUE_FACTOR, ServicePace
-from postvalve.core.routing.expectation import EngineRoom, expected_first, queue_wait
 from postvalve.events import Event
 from tests.answers import read_answer
 from tests.gateway_support import STREAM_PATH, GatewayFleet
@@ -34,71 +38,71 @@
 
 
 def learnt(first=0.08, held=0.8):
-    pace = ServicePace()
+    pace = ServiceLatency()
     for _ in range(50):
-        pace.observe_first(450, first)
-        pace.observe_held(held)
+        pace.observe_first_event(450, first)
+        pace.observe_slot_time(held)
     return pace
 
 
 def room(online, batch=0, slots=8, unread=0):
-    return EngineRoom(slots, online, batch, unread)
+    return EngineOccupancy(slots, online, batch, unread)
 
 
-def request(arrived_at=0.0, may_return=False, tokens=450):
-    return HeldRequest(arrived_at, AIM, arrived_at + DEADLINE, tokens, may_return)
+def request(arrived_at=0.0, may_retry=False, tokens=450):
+    return PendingRequest(arrived_at, AIM, arrived_at + DEADLINE, tokens, may_retry)
 
 
 class EstimatesTest(unittest.TestCase):
     def test_nothing_is_known_before_there_are_samples(self):
-        pace = ServicePace()
+        pace = ServiceLatency()
         self.assertFalse(pace.known)
-        pace.observe_first(100, 0.1)
-        pace.observe_held(1.0)
+        pace.observe_first_event(100, 0.1)
+        pace.observe_slot_time(1.0)
         self.assertFalse(pace.known)
         self.assertTrue(learnt().known)
 
     def test_the_first_event_latency_grows_with_the_prompt(self):
-        pace = ServicePace()
+        pace = ServiceLatency()
         draw = random.Random(1)
         for _ in range(300):
             tokens = draw.randrange(20_000)
-            pace.observe_first(tokens, 0.05 + tokens / 60_000)
-            pace.observe_held(0.5)
+            pace.observe_first_event(tokens, 0.05 + tokens / 60_000)
+            pace.observe_slot_time(0.5)
         self.assertAlmostEqual(pace.first_event(0), 0.05, places=2)
         self.assertAlmostEqual(pace.first_event(12_000), 0.25, places=2)
 
     def test_old_samples_are_forgotten(self):
         pace = learnt(first=0.08)
         for _ in range(200):
-            pace.observe_first(450, 0.2)
+            pace.observe_first_event(450, 0.2)
         self.assertAlmostEqual(pace.first_event(450), 0.2, delta=0.01)
 
     def test_an_unresponsive_engine_barely_affects_the_estimate(self):
         pace = learnt(first=0.08)
-        pace.observe_first(450, 60.0)
+        pace.observe_first_event(450, 60.0)
         self.assertLess(pace.first_event(450), 0.1)
 
     def test_the_queue_delay_follows_observed_delays(self):
         pace = learnt(held=0.8)
-        self.assertAlmostEqual(pace.queue_step(8), 0.1)
+        self.assertAlmostEqual(pace.queue_delay_per_place(8), 0.1)
         for _ in range(100):
             pace.observe_queue(1, 8, 0.3)
-        self.assertAlmostEqual(pace.queue_step(8), 0.3, places=2)
+        self.assertAlmostEqual(pace.queue_delay_per_place(8), 0.3, places=2)
         for _ in range(100):
             pace.observe_queue(1, 8, 500.0)
-        self.assertLessEqual(pace.queue_step(8), 0.1 * LONGEST_QUEUE_FACTOR + 1e-9)
+        self.assertLessEqual(pace.queue_delay_per_place(8), 0.1 * LONGEST_QUEUE_FACTOR + 1e-9)
 
     @given(st.lists(st.tuples(st.integers(0, 10**6), st.floats(0, 100)), max_size=60))
     def test_estimates_are_never_negative(self, samples):
-        pace = ServicePace()
+        pace = ServiceLatency()
         for tokens, seconds in samples:
-            pace.observe_first(tokens, seconds)
-            pace.observe_held(seconds)
+            pace.observe_first_event(tokens, seconds)
+            pace.observe_slot_time(seconds)
             pace.observe_queue(1, 8, seconds - 50)
         for tokens in (0, 100, 10**7):
             self.assertGreaterEqual(pace.first_event(tokens), 0.0)
-        self.assertGreaterEqual(pace.queue_step(8), 0.0)
+        self.assertGreaterEqual(pace.queue_delay_per_place(8), 0.0)
 
 
 class WaitTest(unittest.TestCase):
@@ -114,60 +118,64 @@
         self.assertLessEqual(queue_wait(room(7, batch=8), pace), 0.15)
 
     def test_prompts_ahead_are_processed_first(self):
-        pace = ServicePace()
+        pace = ServiceLatency()
         for tokens in range(0, 40_000, 500):
-            pace.observe_first(tokens, 0.05 + tokens / 60_000)
-            pace.observe_held(0.5)
-        first = expected_first(room(1, unread=30_000), 6_000, pace)
+            pace.observe_first_event(tokens, 0.05 + tokens / 60_000)
+            pace.observe_slot_time(0.5)
+        first = expected_first_event(room(1, unread=30_000), 6_000, pace)
         self.assertAlmostEqual(first, 0.65, delta=0.01)
 
 
 class RuleTest(unittest.TestCase):
-    def rule(self, rooms, now=0.0, pace=None, **terms):
-        return rule(request(**terms), rooms, pace or learnt(), now)
+    def decide(self, rooms, now=0.0, pace=None, **terms):
+        return decide(request(**terms), rooms, pace or learnt(), now)
 
     def test_a_free_slot_is_taken(self):
         for now in (0.0, 0.9, 4.0):
-            self.assertIs(self.rule([room(8), room(7)], now), Ruling.START)
-        self.assertIs(self.rule([]), Ruling.START)
+            self.assertIs(self.decide([room(8), room(7)], now), AdmissionAction.START)
+        self.assertIs(self.decide([]), AdmissionAction.START)
 
     def test_a_short_queue_is_joined_while_the_request_can_be_in_time(self):
-        self.assertIs(self.rule([room(9)]), Ruling.START)
-        self.assertIs(self.rule([room(10)]), Ruling.HOLD)
-        self.assertIs(self.rule([room(9)], now=0.1), Ruling.HOLD)
+        self.assertIs(self.decide([room(9)]), AdmissionAction.START)
+        self.assertIs(self.decide([room(10)]), AdmissionAction.HOLD)
+        self.assertIs(self.decide([room(9)], now=0.1), AdmissionAction.HOLD)
 
     def test_online_work_does_not_wait_behind_batch(self):
         for now in (0.0, 0.5):
-            self.assertIs(self.rule([room(3, batch=9)], now), Ruling.START)
+            self.assertIs(self.decide([room(3, batch=9)], now), AdmissionAction.START)
 
     def test_a_client_that_can_retry_is_refused_soon_or_not_at_all(self):
         full = [room(12)]
         times = [number / 1000 for number in range(0, 1_250, 5)]
-        rulings = [self.rule(full, now, may_return=True) for now in times]
-        refused = [now for now, one in zip(times, rulings, strict=True) if one is Ruling.REFUSE]
+        rulings = [self.decide(full, now, may_retry=True) for now in times]
+        refused = [
+            now for now, one in zip(times, rulings, strict=True) if one is AdmissionAction.REFUSE
+        ]
         self.assertAlmostEqual(min(refused), AIM * REFUSE_SHARE, delta=0.006)
         self.assertLessEqual(max(refused), AIM / 4)
 
     def test_a_client_that_cannot_retry_is_never_refused(self):
         for now in (0.0, 0.03, 0.05, 0.5, 2.0):
-            self.assertIsNot(self.rule([room(30)], now), Ruling.REFUSE)
+            self.assertIsNot(self.decide([room(30)], now), AdmissionAction.REFUSE)
 
     def test_no_request_is_held_forever(self):
-        self.assertIs(self.rule([room(30)], AIM * HOLD_SHARE + 0.01), Ruling.START)
-        unknown = ServicePace()
-        self.assertIs(self.rule([room(30)], AIM * HOLD_SHARE + 0.01, pace=unknown), Ruling.START)
+        self.assertIs(self.decide([room(30)], AIM * HOLD_SHARE + 0.01), AdmissionAction.START)
+        unknown = ServiceLatency()
+        self.assertIs(
+            self.decide([room(30)], AIM * HOLD_SHARE + 0.01, pace=unknown), AdmissionAction.START
+        )
 
     def test_an_overload_that_lasts_is_served_first_come_first_served(self):
         for can_retry in (False, True):
             for now in (0.0, 0.04, 1.0):
-                terms = request(may_return=can_retry)
-                ruling = rule(terms, [room(30)], learnt(), now, persistent=True)
-                self.assertIs(ruling, Ruling.START)
+                terms = request(may_retry=can_retry)
+                ruling = decide(terms, [room(30)], learnt(), now, persistent=True)
+                self.assertIs(ruling, AdmissionAction.START)
 
     def test_without_estimates_a_queue_of_one_is_allowed(self):
-        unknown = ServicePace()
-        self.assertIs(self.rule([room(8)], pace=unknown), Ruling.START)
-        self.assertIs(self.rule([room(9), room(9)], pace=unknown), Ruling.HOLD)
+        unknown = ServiceLatency()
+        self.assertIs(self.decide([room(8)], pace=unknown), AdmissionAction.START)
+        self.assertIs(self.decide([room(9), room(9)], pace=unknown), AdmissionAction.HOLD)
 
     @given(
         st.lists(st.builds(room, st.integers(0, 30), st.integers(0, 8)), min_size=1, max_size=6),
@@ -175,8 +183,8 @@
         st.booleans(),
     )
     def test_refusals_are_only_made_where_all_slots_serve_online_work(self, rooms, now, can_retry):
-        ruling = self.rule(rooms, now, may_return=can_retry)
-        if ruling is Ruling.REFUSE:
+        ruling = self.decide(rooms, now, may_retry=can_retry)
+        if ruling is AdmissionAction.REFUSE:
             self.assertTrue(all(one.online >= one.slots for one in rooms))
             self.assertTrue(can_retry)
 
@@ -184,7 +192,7 @@
         slow = learnt(first=1.0)
         for rooms in ([room(30), room(7)], [room(7, batch=9)]):
             for now in (0.0, 0.04, 0.05):
-                self.assertIs(self.rule(rooms, now, slow, may_return=True), Ruling.START)
+                self.assertIs(self.decide(rooms, now, slow, may_retry=True), AdmissionAction.START)
 
     def test_more_requests_are_in_time_than_first_come_first_served(self):
         """Compares the rule with a plain queue in front of one engine, on the same arrivals."""
@@ -211,11 +219,11 @@
             last = max(free_at)
             backlog = online if last <= now + 0.8 else 8 + round((last - now - 0.8) / 0.1)
             if ruled:
-                terms = HeldRequest(arrived_at, AIM, arrived_at + DEADLINE, 450, True)
-                ruling = rule(terms, [room(max(online, backlog))], pace, now)
-                if ruling is Ruling.REFUSE:
+                terms = PendingRequest(arrived_at, AIM, arrived_at + DEADLINE, 450, True)
+                ruling = decide(terms, [room(max(online, backlog))], pace, now)
+                if ruling is AdmissionAction.REFUSE:
                     queue.remove(arrived_at)  # the client retries after the burst
-                if ruling is not Ruling.START:
+                if ruling is not AdmissionAction.START:
                     continue
             queue.remove(arrived_at)
             slot = free_at.index(min(free_at))
@@ -233,10 +241,10 @@
         for _ in range(20):
             start = now
             while now < start + 1.8:
-                episodes.note_full(now)
+                episodes.record_full(now)
                 now += 0.05
             now += 3.6
-        episodes.note_full(now)
+        episodes.record_full(now)
         self.assertAlmostEqual(episodes.seconds_left(now), 1.8, delta=0.1)
         self.assertEqual(episodes.seconds_left(now + EPISODE_GAP + 0.1), 0.0)
 
@@ -244,20 +252,24 @@
         episodes = OverloadEpisodes()
         now = 0.0
         while now < 10.0:
-            episodes.note_full(now)
+            episodes.record_full(now)
             self.assertEqual(episodes.persistent(now), now > PERSISTENT_AFTER)
             now += 0.25
         self.assertFalse(episodes.persistent(now + EPISODE_GAP))
-        episodes.note_full(now + 1.0)
+        episodes.record_full(now + 1.0)
         self.assertFalse(episodes.persistent(now + 1.0))
 
     def test_the_retry_time_fits_the_clients_deadline_and_is_spread(self):
         episodes = OverloadEpisodes()
-        episodes.note_full(0.0)
-        self.assertAlmostEqual(episodes.retry_after(0.0, 60.0, 0.0), FIRST_EPISODE)
-        self.assertAlmostEqual(episodes.retry_after(0.0, 60.0, 1.0), FIRST_EPISODE + RETURN_SPREAD)
-        self.assertAlmostEqual(episodes.retry_after(0.0, 2.0, 1.0), 2.0 * RETURN_SHARE)
-        self.assertAlmostEqual(episodes.retry_after(0.4 + FIRST_EPISODE, 60.0, 0.0), LEAST_RETURN)
+        episodes.record_full(0.0)
+        self.assertAlmostEqual(episodes.retry_after(0.0, 60.0, 0.0), INITIAL_EPISODE_LENGTH)
+        self.assertAlmostEqual(
+            episodes.retry_after(0.0, 60.0, 1.0), INITIAL_EPISODE_LENGTH + RETRY_JITTER
+        )
+        self.assertAlmostEqual(episodes.retry_after(0.0, 2.0, 1.0), 2.0 * RETRY_AFTER_SHARE)
+        self.assertAlmostEqual(
+            episodes.retry_after(0.4 + INITIAL_EPISODE_LENGTH, 60.0, 0.0), MIN_RETRY_AFTER
+        )
 
 
 class HeldAtNodeTest(unittest.TestCase):
@@ -280,8 +292,8 @@
     def train(self):
         pace = self.fleet.nodes["n0"]._fleet.pace("s")
         for _ in range(50):
-            pace.observe_first(0, 0.1)
-            pace.observe_held(0.4)
+            pace.observe_first_event(0, 0.1)
+            pace.observe_slot_time(0.4)
 
     def send(self, number, deadline_ms=5000):
         headers = [("Deadline-Ms", str(deadline_ms))]
@@ -317,8 +329,8 @@
         self.running()
         turned_away = read_answer(self.send(2))
         self.assertEqual(turned_away.status, 503)
-        self.assertGreaterEqual(float(turned_away.headers["retry-after"]), LEAST_RETURN)
-        left = 5000 - int(LEAST_RETURN * 1000)
+        self.assertGreaterEqual(float(turned_away.headers["retry-after"]), MIN_RETRY_AFTER)
+        left = 5000 - int(MIN_RETRY_AFTER * 1000)
         again = self.send(3, deadline_ms=left)
         self.assertEqual([read_answer(first).status, read_answer(again).status], [200, 200])
 
--- a/tests/test_item_attempts.py
+++ b/tests/test_item_attempts.py
@@ -41,28 +41,28 @@
             mock.Mock(),
         )
 
-    def start(self, *args, wanted):
+    def start(self, *args, still_usable):
         """Open a connection, as the pool does, while the item is told to go."""
         self.item.preempted = True
-        if not wanted():
+        if not still_usable():
             raise AttemptError("not wanted", Verdict.NOT_RUN)
         self.sent += 1
         raise AttemptError("cut", Verdict.MAY_HAVE_RUN)
 
     def test_its_request_is_not_sent(self):
         """Else the engine reads its prompt in a slot that an online request waits for."""
-        self.pool.start = self.start
+        self.pool.send_request = self.start
         self.attempts.run(self.item, self.placement)
         self.assertEqual(self.sent, 0)
         self.assertEqual(self.events.emit.call_args.args, (Event.ROUTED_ITEM_PREEMPTED,))
-        self.fleet.note_failure.assert_not_called()
+        self.fleet.record_failure.assert_not_called()
         self.assertFalse(self.item.running)
 
     def test_it_says_nothing_of_the_engines_pace(self):
         """The times of its former attempt are another engine's."""
-        self.pool.start = self.start
+        self.pool.send_request = self.start
         self.attempts.run(self.item, self.placement)
-        for call in self.fleet.paces.note_end.call_args_list:
+        for call in self.fleet.paces.record_end.call_args_list:
             self.assertIsNot(call.args[1], self.former)
             self.assertEqual(call.args[1].events, 0)
 
--- a/tests/test_item_heaps.py
+++ b/tests/test_item_bursts.py
@@ -41,7 +41,7 @@
         if known:
             peer = DurationEstimate()
             peer.observe(ITEM_RUN, TOKENS)
-            self.estimate.hear([peer.pack()])
+            self.estimate.learn_from_peers([peer.pack()])
         self.waiting, self.running, self.online_ends = [], {life: [] for life in self.lives}, []
         self.looked_at = -VIEW_AGE
         self.cuts, self.ended, self.late = 0, 0, 0
@@ -49,7 +49,7 @@
     def run(self, seconds):
         for number in range(round(seconds / STEP)):
             self.now = number * STEP
-            self.use.means.roll(self.now)
+            self.use.online_averages.advance(self.now)
             self.end()
             self.arrive()
             self.start()
@@ -145,7 +145,7 @@
         self.jobs += 1
         job_id, due_ms = str(self.jobs), int((self.now + DUE) * 1000)
         tenant = f"t{int(self.random.expovariate(0.3))}"
-        self.shares.accepted(job_id, tenant, self.shares.clock, due_ms, [TOKENS] * 10)
+        self.shares.add_job(job_id, tenant, self.shares.clock, due_ms, [TOKENS] * 10)
         return [{**item, "job": job_id, "idx": idx} for idx, item in enumerate(super().job())]
 
     def order(self, item):
@@ -165,7 +165,7 @@
             for life, items in before.items():
                 for item in items:
                     if not any(item is one for one in self.running[life]):
-                        self.shares.ended(item["job"], item["idx"], ran=True)
+                        self.shares.end_item(item["job"], item["idx"], ran=True)
 
 
 class HeapTest(unittest.TestCase):
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -6,31 +6,31 @@
 from hypothesis import strategies as st
 
 from postvalve.core.admission.engine_use import EngineUse
-from postvalve.core.batch.giving_way import (
-    TOLD_TIME,
-    RunningItems,
-    VictimChooser,
-    encode_running,
-    giving_way,
-)
 from postvalve.core.batch.item_order import (
-    HOPELESS_PENALTY_MS,
+    MISSED_DUE_PENALTY_MS,
     DurationEstimate,
+    count_startable,
     decode_groups,
     encode_groups,
     group_by_due,
     is_pressing,
-    startable,
     urgency,
 )
+from postvalve.core.batch.preemption import (
+    PREEMPT_NOTICE_TIMEOUT,
+    PeerRunningItems,
+    VictimSelector,
+    count_preempted,
+    encode_running,
+)
 
 
 class ItemOrderTest(unittest.TestCase):
     def test_the_most_urgent_of_all_nodes_start(self):
-        self.assertEqual(startable([10, 20, 30], [(15, 1)], 3), 2)
-        self.assertEqual(startable([10, 20, 30], [(5, 3)], 3), 0)
-        self.assertEqual(startable([10, 20, 30], [], 2), 2)
-        self.assertEqual(startable([10], [], 0), 0)
+        self.assertEqual(count_startable([10, 20, 30], [(15, 1)], 3), 2)
+        self.assertEqual(count_startable([10, 20, 30], [(5, 3)], 3), 0)
+        self.assertEqual(count_startable([10, 20, 30], [], 2), 2)
+        self.assertEqual(count_startable([10], [], 0), 0)
 
     @given(
         st.lists(st.lists(st.integers(0, 50), max_size=10), min_size=1, max_size=5),
@@ -48,7 +48,7 @@
                 if other != number
                 for group in group_by_due(due)
             ]
-            started += startable(own, others, room)
+            started += count_startable(own, others, room)
         naive = min(room, sum(len(own) for own in distinct))
         self.assertEqual(started, naive)
 
@@ -74,39 +74,39 @@
 
 class VictimTest(unittest.TestCase):
     def setUp(self):
-        self.victims = VictimChooser()
+        self.victims = VictimSelector()
 
     def test_the_least_urgent_are_told_once(self):
         running = [(10, "a"), (50, "b"), (40, "a")]
-        self.assertEqual(self.victims.choose(1, running, 2, 0.0), [(50, "b"), (40, "a")])
-        self.assertEqual(self.victims.choose(1, running, 2, 0.1), [])
+        self.assertEqual(self.victims.select(1, running, 2, 0.0), [(50, "b"), (40, "a")])
+        self.assertEqual(self.victims.select(1, running, 2, 0.1), [])
         # One has left the reports, and one more should give way.
-        self.assertEqual(self.victims.choose(1, [(10, "a"), (40, "a")], 2, 0.2), [(10, "a")])
+        self.assertEqual(self.victims.select(1, [(10, "a"), (40, "a")], 2, 0.2), [(10, "a")])
 
     def test_equal_items_of_one_node_are_told_one_by_one(self):
         running = [(50, "b")] * 3
-        self.assertEqual(len(self.victims.choose(1, running, 1, 0.0)), 1)
-        self.assertEqual(len(self.victims.choose(1, running, 3, 0.1)), 2)
+        self.assertEqual(len(self.victims.select(1, running, 1, 0.0)), 1)
+        self.assertEqual(len(self.victims.select(1, running, 3, 0.1)), 2)
 
     def test_an_item_that_stays_is_told_again(self):
         running = [(50, "b")]
-        self.victims.choose(1, running, 1, 0.0)
-        self.assertEqual(self.victims.choose(1, running, 1, TOLD_TIME + 0.01), running)
+        self.victims.select(1, running, 1, 0.0)
+        self.assertEqual(self.victims.select(1, running, 1, PREEMPT_NOTICE_TIMEOUT + 0.01), running)
 
     def test_engines_are_apart_and_no_excess_tells_nobody(self):
-        self.assertEqual(self.victims.choose(1, [(5, "a")], 0, 0.0), [])
-        self.victims.choose(1, [(5, "a")], 1, 0.0)
-        self.assertEqual(self.victims.choose(2, [(5, "a")], 1, 0.0), [(5, "a")])
+        self.assertEqual(self.victims.select(1, [(5, "a")], 0, 0.0), [])
+        self.victims.select(1, [(5, "a")], 1, 0.0)
+        self.assertEqual(self.victims.select(2, [(5, "a")], 1, 0.0), [(5, "a")])
 
 
 class GivingWayTest(unittest.TestCase):
     def test_the_least_urgent_of_all_nodes_give_way(self):
         others = [(50, "b"), (10, "c")]
-        self.assertEqual(giving_way("a", [40, 60, 20], others, 0), 0)
-        self.assertEqual(giving_way("a", [40, 60, 20], others, 1), 1)
-        self.assertEqual(giving_way("a", [40, 60, 20], others, 2), 1)
-        self.assertEqual(giving_way("a", [40, 60, 20], others, 3), 2)
-        self.assertEqual(giving_way("a", [40, 60, 20], others, 9), 3)
+        self.assertEqual(count_preempted("a", [40, 60, 20], others, 0), 0)
+        self.assertEqual(count_preempted("a", [40, 60, 20], others, 1), 1)
+        self.assertEqual(count_preempted("a", [40, 60, 20], others, 2), 1)
+        self.assertEqual(count_preempted("a", [40, 60, 20], others, 3), 2)
+        self.assertEqual(count_preempted("a", [40, 60, 20], others, 9), 3)
 
     @given(
         st.lists(st.lists(st.integers(0, 5), max_size=6), min_size=1, max_size=6),
@@ -117,19 +117,19 @@
         """Against one list of all items; nodes hear of each other's stops only afterwards."""
         views = {}
         for number in range(len(nodes)):
-            views[number] = view = RunningItems()
+            views[number] = view = PeerRunningItems()
             for other, due in enumerate(nodes):
                 if other != number:
                     view.observe(f"n{other}", encode_running((7, one) for one in due))
         stopped = []
         for number in sorted(views, key=lambda one: (order + [9] * 6)[one]):
-            count = giving_way(f"n{number}", nodes[number], views[number].at(7), excess)
+            count = count_preempted(f"n{number}", nodes[number], views[number].at(7), excess)
             stopped += sorted(nodes[number], reverse=True)[:count]
         everything = sorted((due for one in nodes for due in one), reverse=True)
         self.assertEqual(sorted(stopped, reverse=True), everything[: max(0, excess)])
 
     def test_reports_replace_each_other(self):
-        view = RunningItems()
+        view = PeerRunningItems()
         view.observe("p", encode_running([(7, 3), (8, 4), (7, 1)]))
         self.assertEqual(sorted(view.at(7)), [(1, "p"), (3, "p")])
         view.observe("p", b"\x00" * 13)
@@ -151,7 +151,7 @@
 class UrgencyTest(unittest.TestCase):
     def test_what_would_be_late_anyhow_ranks_behind(self):
         self.assertEqual(urgency(20_000, 10_000, 9.0), 20_000)
-        self.assertEqual(urgency(20_000, 10_000, 11.0), 20_000 + HOPELESS_PENALTY_MS)
+        self.assertEqual(urgency(20_000, 10_000, 11.0), 20_000 + MISSED_DUE_PENALTY_MS)
 
     def test_estimates_follow_the_items_that_ended(self):
         estimate = DurationEstimate()
--- a/tests/test_item_preemption.py
+++ b/tests/test_item_preemption.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.batch.giving_way import TOLD_TIME, RunningItems, encode_running
+from postvalve.core.batch.preemption import PREEMPT_NOTICE_TIMEOUT, PeerRunningItems, encode_running
 from postvalve.gateway.jobs.item_preemption import ItemPreemption
 from postvalve.gateway.jobs.running_item import RunningItem
 
@@ -20,7 +20,7 @@
     def setUp(self):
         self.items = []
         self.excess = 0
-        self.peers = RunningItems()
+        self.peers = PeerRunningItems()
         fleet = mock.Mock(excess=lambda engine_id: self.excess)
         self.now = 0.0
         self.preemption = ItemPreemption(
@@ -38,7 +38,7 @@
         return [item.index for item in self.items if item.preempted]
 
     def tell(self, urgency, engine="e0"):
-        self.preemption.stop_one(engine_hash(engine), urgency)
+        self.preemption.preempt_one(engine_hash(engine), urgency)
 
     def test_each_word_of_a_peer_stops_one_item(self):
         self.items = [running(0, 50), running(1, 50, events=3), running(2, 40)]
@@ -56,7 +56,7 @@
     def test_an_item_that_gives_way_already_is_the_one_that_was_meant(self):
         self.items = [running(0, 50), running(1, 50)]
         self.excess = 1
-        self.preemption.look()
+        self.preemption.preempt_excess()
         self.assertEqual(len(self.stopped()), 1)
         self.tell(50)
         self.assertEqual(len(self.stopped()), 1)
@@ -67,7 +67,7 @@
         """The peer that watches over the engine has seen the same excess: one goes for it."""
         self.items = [running(0, 50, events=1), running(1, 50)]
         self.excess = 1
-        self.preemption.look()
+        self.preemption.preempt_excess()
         self.items[1].running = False
         self.tell(50)
         self.assertEqual(self.stopped(), [1])
@@ -79,7 +79,7 @@
         comes later is about another online request, which would wait until it is said again."""
         self.items = [running(0, 50), running(1, 50)]
         self.excess = 1
-        self.preemption.look()
+        self.preemption.preempt_excess()
         stopped = next(one for one in self.items if one.preempted)
         stopped.running = False
         self.now += 0.2
@@ -87,10 +87,10 @@
         self.assertEqual(self.stopped(), [0, 1])
 
     def test_a_word_about_another_engine_or_much_later_stops_an_item(self):
-        for engine, later in (("e1", 0.0), ("e0", TOLD_TIME)):
+        for engine, later in (("e1", 0.0), ("e0", PREEMPT_NOTICE_TIMEOUT)):
             self.items = [running(0, 50)]
             self.excess = 1
-            self.preemption.look()
+            self.preemption.preempt_excess()
             self.items[0].running = False
             self.items.append(running(1, 50, engine=engine))
             self.now += later
@@ -101,19 +101,19 @@
         self.items = [running(0, 50), running(1, 40), running(2, 30)]
         self.excess = 2
         self.tell(50)
-        self.preemption.look()
+        self.preemption.preempt_excess()
         self.assertEqual(self.stopped(), [0, 1])
 
     def test_less_urgent_items_of_peers_go_first(self):
         self.items = [running(0, 50)]
         self.peers.observe("n1", encode_running([(engine_hash("e0"), 90)]))
         self.excess = 1
-        self.preemption.look()
+        self.preemption.preempt_excess()
         self.assertEqual(self.stopped(), [])
 
     def test_the_report_names_engines_and_urgencies(self):
         self.items = [running(0, 50), running(1, 40, engine="e1")]
-        other = RunningItems()
+        other = PeerRunningItems()
         other.observe("n0", self.preemption.report())
         self.assertEqual(other.at(engine_hash("e0")), [(50, "n0")])
         self.assertEqual(self.preemption.urgencies_at("e1"), [40])
--- a/tests/test_item_progress.py
+++ b/tests/test_item_progress.py
@@ -14,15 +14,15 @@
 from postvalve.exceptions import Verdict
 from postvalve.gateway.interfaces import StoreUnavailableError
 from postvalve.gateway.jobs.item_progress import (
-    LEAST_EVENTS,
+    MIN_EVENTS_TO_SAVE,
     PROGRESS_TOPIC,
-    RESTORE_PATIENCE,
+    RESTORE_TIMEOUT,
     Chain,
     ProgressLog,
     unpack_segment,
 )
 from postvalve.messages.generated import gateway
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 from tests.stand_in_engine import Behaviour
 from tests.test_gateway_jobs import JobCase, whole_text
 from tests.test_job_board import accepted
@@ -33,7 +33,7 @@
     now = 0.0
 
     def monotonic(self):
-        self.now += RESTORE_PATIENCE / 4
+        self.now += RESTORE_TIMEOUT / 4
         return self.now
 
 
@@ -83,7 +83,9 @@
 
 def progress_log(topics, items, call_bytes=2_097_152):
     numbers = iter(range(10_000))
-    log = ProgressLog("n0", 4, call_bytes, topics, Clock(), QuietLog(), lambda: f"c{next(numbers)}")
+    log = ProgressLog(
+        "n0", 4, call_bytes, topics, Clock(), RecordingEventLog(), lambda: f"c{next(numbers)}"
+    )
     log.unfinished = lambda: items
     return log
 
@@ -104,12 +106,12 @@
         self.log = progress_log(self.topics, self.items)
 
     def test_what_was_saved_is_restored(self):
-        for count in (LEAST_EVENTS, 3, LEAST_EVENTS + 1):
+        for count in (MIN_EVENTS_TO_SAVE, 3, MIN_EVENTS_TO_SAVE + 1):
             self.items[0].give(count)
             self.log.save()
         saved = self.log.restore(job())
         self.assertEqual(list(saved.items), [0])
-        self.assertEqual(saved.items[0].last_event_id, 2 * LEAST_EVENTS + 4)
+        self.assertEqual(saved.items[0].last_event_id, 2 * MIN_EVENTS_TO_SAVE + 4)
         self.assertEqual(text_of(saved.items[0]), b"\n".join(self.items[0].events))
         self.assertEqual((saved.items[0].run_ms, len(saved.keys)), (1500, 2))
 
@@ -246,7 +248,7 @@
             self.assertEqual(one["text"], whole_text(one["id"], 400))
         resumed = [run for run in self.runs() if run[1] is not None]
         self.assertEqual(len(resumed), 3)
-        self.assertGreaterEqual(min(int(last) for _, last in resumed), LEAST_EVENTS)
+        self.assertGreaterEqual(min(int(last) for _, last in resumed), MIN_EVENTS_TO_SAVE)
 
 
 if __name__ == "__main__":
--- a/tests/test_item_runner.py
+++ b/tests/test_item_runner.py
@@ -17,7 +17,7 @@
         parts["clock"].monotonic.return_value = parts["clock"].wall.return_value = 100.0
         parts["identity"].zone = "z"
         parts["peers"].waiting.return_value = []
-        parts["peers"].running_at_leaving.return_value = set()
+        parts["peers"].running_on_leaving_peers.return_value = set()
         parts["route_named"].return_value = None
         parts["log"].board.jobs = {"j": mock.Mock(**{"accepted.service": "s"})}
         parts["fleet"].relaxed_slots.return_value = 8
--- a/tests/test_item_shares.py
+++ b/tests/test_item_shares.py
@@ -8,11 +8,11 @@
 
 from postvalve.core.batch.item_end import ItemEnd, ItemState
 from postvalve.core.batch.item_order import (
-    HOPELESS_PENALTY_MS,
+    MISSED_DUE_PENALTY_MS,
     TAG_STEP,
     DurationEstimate,
     ShareRank,
-    merge_paces,
+    merge_token_times,
     share_urgency,
     urgency,
 )
@@ -130,8 +130,8 @@
 
     def test_a_node_of_an_earlier_build_tells_no_clock(self):
         shares = ItemShares({})
-        shares.accepted("a", "ann", 5_000, 0, [100])
-        shares.accepted("b", "bob", 0, 0, [100])
+        shares.add_job("a", "ann", 5_000, 0, [100])
+        shares.add_job("b", "bob", 0, 0, [100])
         self.assertEqual((shares.tag("a", 0), shares.tag("b", 0)), (5_000, 0))
 
 
@@ -226,9 +226,9 @@
 
     def test_other_weights_let_tenants_go_on_side_by_side(self):
         shares = ItemShares({})
-        shares.accepted("a", "ann", 0, 0, [1_000] * 5)
-        shares.accepted("b", "bob", 0, 0, [1_000] * 5)
-        shares.reweigh({"ann": 3.0, "bob": 1.0})
+        shares.add_job("a", "ann", 0, 0, [1_000] * 5)
+        shares.add_job("b", "bob", 0, 0, [1_000] * 5)
+        shares.set_weights({"ann": 3.0, "bob": 1.0})
         self.assertEqual([shares.tag("a", 3), shares.tag("b", 1)], [2_000, 2_000])
 
 
@@ -252,7 +252,7 @@
         """Else a tenant's late items never start while another sends more than there is room for;
         by due time they do after the same time."""
         due = 20_000
-        for late, goes_first in ((HOPELESS_PENALTY_MS - 1, False), (HOPELESS_PENALTY_MS, True)):
+        for late, goes_first in ((MISSED_DUE_PENALTY_MS - 1, False), (MISSED_DUE_PENALTY_MS, True)):
             now = due + late
             old = share_urgency(ShareRank(0, 0), due, now, 1.0)
             new = share_urgency(ShareRank(0, TAG_STEP), now + 10_000, now, 1.0)
@@ -279,21 +279,21 @@
             learnt.append(DurationEstimate())
             learnt[-1].observe(seconds, 1_000)
         new = DurationEstimate()
-        new.hear([b"", b"\x00"])
+        new.record([b"", b"\x00"])
         self.assertEqual(new.seconds_left(1_000, 0.0), 0.0)
-        new.hear([one.pack() for one in learnt])
+        new.record([one.pack() for one in learnt])
         self.assertAlmostEqual(new.seconds_left(1_000, 0.0), 5.75)
         self.assertEqual(new.pack(), b"")
         zone = DurationEstimate()
-        zone.hear([merge_paces([one.pack() for one in learnt] + [b""])])
+        zone.learn_from_peers([merge_token_times([one.pack() for one in learnt] + [b""])])
         self.assertAlmostEqual(zone.seconds_left(1_000, 0.0), 5.75)
-        self.assertEqual(merge_paces([b""]), b"")
+        self.assertEqual(merge_token_times([b""]), b"")
 
     def test_what_ended_here_goes_before_what_peers_tell(self):
         estimate, other = DurationEstimate(), DurationEstimate()
         estimate.observe(2.0, 1_000)
         other.observe(9.0, 1_000)
-        estimate.hear([other.pack()])
+        estimate.learn_from_peers([other.pack()])
         self.assertAlmostEqual(estimate.seconds_left(1_000, 0.0), 2.3)
 
 
--- a/tests/test_item_urgency.py
+++ b/tests/test_item_urgency.py
@@ -7,7 +7,7 @@
 from postvalve.core.batch.job_board import JobBoard
 from postvalve.core.membership.extensions import Feature
 from postvalve.events import Event
-from postvalve.gateway.jobs.item_urgency import LOOK_AGE, ItemUrgency
+from postvalve.gateway.jobs.item_urgency import PEER_REFRESH_INTERVAL, ItemUrgency
 from postvalve.gateway.jobs.running_item import RunningItem
 from postvalve.settings.routes import RoutedTenant
 
@@ -41,9 +41,9 @@
         """So many of the items that were due in the last second have no result."""
         shares = self.log.board.shares
         self.urgency.of(self.item("any"))
-        shares.accepted("due", "ann", 0, int(self.now * 1000) + 500, [1] * due)
+        shares.add_job("due", "ann", 0, int(self.now * 1000) + 500, [1] * due)
         for idx in range(due - late):
-            shares.ended("due", idx, ran=True)
+            shares.end_item("due", idx, ran=True)
         self.now += 1.0
 
     def item(self, job_id="j", due=200.0, tenant="ann", **how):
@@ -69,12 +69,12 @@
     def test_shares_count_where_all_nodes_can_and_a_change_is_told(self):
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.let_items_be_late()
-        self.log.board.shares.accepted("a", "ann", 0, 0, [1])
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("a", "ann", 0, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         late, soon = self.item("a", 200.0), self.item("b", 150.0, "bob")
         self.assertTrue(self.goes_before(late, soon))
         self.features = Feature.NONE
-        self.now += LOOK_AGE
+        self.now += PEER_REFRESH_INTERVAL
         self.assertTrue(self.goes_before(soon, late))
         orders = [one.kwargs["order"] for one in self.events.emit.call_args_list]
         self.assertEqual(orders, ["shares", "due time"])
@@ -85,8 +85,8 @@
     def test_due_time_counts_while_most_items_end_in_time(self):
         """Guards against late items of large tenants where by due time all wait alike."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
-        self.log.board.shares.accepted("a", "ann", 0, 0, [1])
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("a", "ann", 0, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         late, soon = self.item("a", 200.0), self.item("b", 150.0, "bob")
         self.assertTrue(self.goes_before(soon, late))
         self.let_items_be_late(late=DUE_LATELY // 2)
@@ -110,15 +110,15 @@
         """Guards against runs that are lost: what was cut for such an item ends too late."""
         self.configure(RoutedTenant(name="ann"), RoutedTenant(name="bob"))
         self.let_items_be_late()
-        self.log.board.shares.accepted("a", "ann", 0, 0, [1])
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("a", "ann", 0, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         new, begun = self.item("a", 150.0), self.item("b", 150.0, "bob", events=[b"one"])
         self.assertTrue(self.goes_before(begun, new))
 
     def test_a_tenants_priority_goes_before_its_share(self):
         self.configure(RoutedTenant(name="ann", priority=1), RoutedTenant(name="bob", priority=0))
         self.let_items_be_late()
-        self.log.board.shares.accepted("b", "bob", 10**6, 0, [1])
+        self.log.board.shares.add_job("b", "bob", 10**6, 0, [1])
         ann, bob = self.item("a"), self.item("b", tenant="bob")
         self.assertTrue(self.goes_before(bob, ann))
 
@@ -130,8 +130,8 @@
     def test_an_item_that_nearly_ends_gives_way_last(self):
         for tenants in ((), (RoutedTenant(name="ann"), RoutedTenant(name="bob"))):
             self.configure(*tenants)
-            self.log.board.shares.accepted("b", "bob", 0, 0, [1])
-            self.log.board.shares.accepted("a", "ann", 10**6, 0, [1])
+            self.log.board.shares.add_job("b", "bob", 0, 0, [1])
+            self.log.board.shares.add_job("a", "ann", 10**6, 0, [1])
             begun = self.item("b", 150.0, "bob", running=True, started_at=self.now)
             ending = self.item("a", 200.0, running=True, started_at=self.now - RUN)
             self.assertTrue(self.goes_before(ending, begun))
--- a/tests/test_job_log.py
+++ b/tests/test_job_log.py
@@ -19,7 +19,7 @@
 from postvalve.gateway.jobs.job_log import JobLog
 from postvalve.gateway.jobs.result_texts import pack_text
 from postvalve.messages.generated import gateway
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 from tests.test_job_board import accepted
 
 SETTINGS = GatewaySettings(
@@ -39,7 +39,7 @@
 
 
 def job_log(topics):
-    return JobLog(SETTINGS, topics, SystemClock(), QuietLog())
+    return JobLog(SETTINGS, topics, SystemClock(), RecordingEventLog())
 
 
 def accept(log, items=3):
@@ -187,7 +187,7 @@
 
     def end(self, *indexes, claim="c"):
         state = ItemState.COMPLETED
-        writer = EndWriter(self.log, QuietLog(), SETTINGS.call_bytes, self.new_id)
+        writer = EndWriter(self.log, RecordingEventLog(), SETTINGS.call_bytes, self.new_id)
         writer._write(
             [EndedItem("j", index, claim, state, pack_text(self.texts[index])) for index in indexes]
         )
--- a/tests/test_expectation.py
+++ b/tests/test_latency_estimate.py
@@ -8,37 +8,37 @@
 from hypothesis import strategies as st
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.admission.holding import HeldRequest, finds_room
-from postvalve.core.admission.service_pace import ServicePace
+from postvalve.core.admission.online_admission import PendingRequest, finds_room
+from postvalve.core.admission.service_latency import ServiceLatency
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.routing.engine_choice import (
     ALMOST_FULL,
+    ALMOST_FULL_TOKENS,
     COLD_TOKENS,
-    FULL_TOKENS,
-    GIVE_WAY_TOKENS,
     LOAD_TOKENS,
-    SLOT_TOKENS,
-    ZONE_TOKENS,
+    PREEMPTION_TOKENS,
+    QUEUED_REQUEST_TOKENS,
+    REMOTE_ZONE_TOKENS,
     EngineChooser,
     EngineOption,
 )
-from postvalve.core.routing.engine_load import EngineLoad, PaceSignal
-from postvalve.core.routing.engine_pace import Aspect, PaceFactors
-from postvalve.core.routing.expectation import (
-    GIVE_WAY_TIME,
-    EngineRoom,
-    expected_first,
-    extra_places,
-    least_full,
-    places_within,
+from postvalve.core.routing.engine_load import EngineLoad, PaceReadings
+from postvalve.core.routing.engine_pace import PaceFactors, PaceMetric
+from postvalve.core.routing.latency_estimate import (
+    PREEMPTION_TIME,
+    EngineOccupancy,
+    capacity_within,
+    expected_first_event,
+    least_loaded,
+    queue_penalty,
     queue_wait,
 )
-from postvalve.core.scheduling.turning_away import QUEUED_PLACES
+from postvalve.core.scheduling.load_shedding import MAX_ENGINE_QUEUE
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
-from postvalve.gateway.fleet.service_rooms import EVEN_ROOMS
+from postvalve.gateway.fleet.service_capacity import UNIFORM_CAPACITY
 from postvalve.gateway.interfaces import EngineEntry, EngineState, RequestTerms
-from postvalve.gateway.serving.line import ZoneLine
-from tests.gateway_support import QuietLog
+from postvalve.gateway.serving.zone_queue import SharedZoneQueue
+from tests.gateway_support import RecordingEventLog
 
 SLOTS = 8
 SERVICE = "s"
@@ -47,10 +47,10 @@
 
 
 def learnt(first=0.06, held=0.8, pause=0.04, longest=0.1):
-    pace = ServicePace()
+    pace = ServiceLatency()
     for number in range(40):
-        pace.observe_first(100 + number * 30, first + number * 0.001)
-        pace.observe_held(held)
+        pace.observe_first_event(100 + number * 30, first + number * 0.001)
+        pace.observe_slot_time(held)
         pace.observe_pause(1 + number % SLOTS, pause)
         pace.observe_longest_pause(1 + number % SLOTS, longest * (1 + number % SLOTS) / SLOTS)
     return pace
@@ -61,9 +61,9 @@
     total = room.online + room.batch
     if total < room.slots:
         return 0.0
-    by_slots = pace.queue_step(room.slots)
+    by_slots = pace.queue_delay_per_place(room.slots)
     if room.online < room.slots:
-        return min(GIVE_WAY_TIME, (total - room.slots + 1) * by_slots)
+        return min(PREEMPTION_TIME, (total - room.slots + 1) * by_slots)
     return (room.online - room.slots + 1) * by_slots
 
 
@@ -83,32 +83,32 @@
 
 def former_cost(option, zone):
     cost = option.unread + LOAD_TOKENS * option.load
-    cost += ZONE_TOKENS if option.zone != zone else 0
+    cost += REMOTE_ZONE_TOKENS if option.zone != zone else 0
     cost += COLD_TOKENS if option.cold else 0
     if option.online >= ALMOST_FULL * option.slots:
-        cost += FULL_TOKENS
+        cost += ALMOST_FULL_TOKENS
     elif option.in_flight >= option.slots:
-        cost += GIVE_WAY_TOKENS
+        cost += PREEMPTION_TOKENS
     if option.memory_short > 0:
-        cost += SLOT_TOKENS + option.memory_short
-    return cost + SLOT_TOKENS * max(0, option.online - option.slots + 1)
+        cost += QUEUED_REQUEST_TOKENS + option.memory_short
+    return cost + QUEUED_REQUEST_TOKENS * max(0, option.online - option.slots + 1)
 
 
 class EvenEnginesTest(unittest.TestCase):
     @given(st.lists(loads, max_size=6), st.integers(0, 3_000), st.floats(0, 2), st.booleans())
     def test_what_is_expected_is_as_before(self, drawn, tokens, now, known):
-        pace = learnt() if known else ServicePace()
-        rooms = [EngineRoom(*one, pause_aim=0.001) for one in drawn]
-        req = HeldRequest(0.0, 0.3, 5.0, tokens, True)
+        pace = learnt() if known else ServiceLatency()
+        rooms = [EngineOccupancy(*one, pause_aim=0.001) for one in drawn]
+        req = PendingRequest(0.0, 0.3, 5.0, tokens, True)
         self.assertEqual(
             finds_room(req, rooms, pace, now), former_finds_room(req, rooms, pace, now)
         )
         for room in rooms:
             self.assertEqual(queue_wait(room, pace), former_queue_wait(room, pace))
             self.assertEqual(
-                expected_first(room, tokens, pace), former_expected_first(room, tokens, pace)
+                expected_first_event(room, tokens, pace), former_expected_first(room, tokens, pace)
             )
-            self.assertEqual(extra_places(room, tokens, pace), 0.0)
+            self.assertEqual(queue_penalty(room, tokens, pace), 0.0)
 
     @given(st.lists(st.tuples(loads, st.booleans(), st.booleans()), min_size=1, max_size=12),
            st.integers(0, 1_000))  # fmt: skip
@@ -131,45 +131,45 @@
     def test_a_slow_engine_takes_longer_in_every_part(self):
         pace = learnt()
         for online in (0, SLOTS, SLOTS + 3):
-            even = EngineRoom(SLOTS, online, 0, 0)
-            slow = EngineRoom(SLOTS, online, 0, 0, SLOW)
-            ratio = expected_first(slow, 100, pace) / expected_first(even, 100, pace)
+            even = EngineOccupancy(SLOTS, online, 0, 0)
+            slow = EngineOccupancy(SLOTS, online, 0, 0, SLOW)
+            ratio = expected_first_event(slow, 100, pace) / expected_first_event(even, 100, pace)
             self.assertAlmostEqual(ratio, 2.0)
-            self.assertGreater(extra_places(slow, 100, pace), 0.0)
+            self.assertGreater(queue_penalty(slow, 100, pace), 0.0)
 
     def test_a_fast_engine_is_worth_less_than_nothing_more(self):
-        fast = EngineRoom(SLOTS, 0, 0, 0, PaceFactors(0.5, 0.5, 0.5))
-        self.assertLess(extra_places(fast, 100, learnt()), 0.0)
+        fast = EngineOccupancy(SLOTS, 0, 0, 0, PaceFactors(0.5, 0.5, 0.5))
+        self.assertLess(queue_penalty(fast, 100, learnt()), 0.0)
 
     def test_places_follow_from_the_pauses_that_callers_bear(self):
         pace = learnt(longest=0.4)
-        self.assertEqual(EngineRoom(SLOTS, 0, 0, 0, SLOW).places(pace), SLOTS)
-        self.assertEqual(EngineRoom(SLOTS, 0, 0, 0, SLOW, 0.8).places(pace), SLOTS)
-        self.assertEqual(EngineRoom(SLOTS, 0, 0, 0, SLOW, 0.41).places(pace), SLOTS // 2)
+        self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW).capacity(pace), SLOTS)
+        self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 0.8).capacity(pace), SLOTS)
+        self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 0.41).capacity(pace), SLOTS // 2)
 
     def test_the_least_full_engine_is_so_by_its_places(self):
         pace = learnt(longest=0.4)
-        slow = EngineRoom(SLOTS, 3, 0, 0, SLOW, 0.41)
-        even = EngineRoom(SLOTS, 5, 0, 0)
-        self.assertIs(least_full([slow, even], pace), even)
+        slow = EngineOccupancy(SLOTS, 3, 0, 0, SLOW, 0.41)
+        even = EngineOccupancy(SLOTS, 5, 0, 0)
+        self.assertIs(least_loaded([slow, even], pace), even)
 
     def test_a_slow_one_still_gets_something(self):
-        self.assertEqual(EngineRoom(SLOTS, 0, 0, 0, SLOW, 1e-6).places(learnt()), 1)
+        self.assertEqual(EngineOccupancy(SLOTS, 0, 0, 0, SLOW, 1e-6).capacity(learnt()), 1)
 
     def test_nothing_known_of_pauses_bounds_nothing(self):
-        self.assertEqual(places_within(SLOTS, ServicePace(), 4.0, 0.001), SLOTS)
+        self.assertEqual(capacity_within(SLOTS, ServiceLatency(), 4.0, 0.001), SLOTS)
 
     @given(st.integers(1, 64), st.floats(0.25, 4.0), st.floats(0.001, 5.0))
     def test_places_are_within_slots(self, slots, factor, aim):
-        self.assertTrue(1 <= places_within(slots, learnt(), factor, aim) <= slots)
+        self.assertTrue(1 <= capacity_within(slots, learnt(), factor, aim) <= slots)
 
     def test_who_waits_and_who_is_in_time_take_the_same_answer(self):
         pace = learnt()
-        req = HeldRequest(0.0, 0.3, 5.0, 100, True)
+        req = PendingRequest(0.0, 0.3, 5.0, 100, True)
         for factors in (SLOW, PaceFactors(0.5, 0.5, 0.5)):
             for online in range(SLOTS, SLOTS + 5):
-                room = EngineRoom(SLOTS, online, 0, 0, factors)
-                in_time = expected_first(room, 100, pace) + pace.margin <= 0.3
+                room = EngineOccupancy(SLOTS, online, 0, 0, factors)
+                in_time = expected_first_event(room, 100, pace) + pace.margin <= 0.3
                 self.assertEqual(finds_room(req, [room], pace, 0.0), in_time)
 
 
@@ -178,7 +178,7 @@
 
     def setUp(self):
         self.clock = mock.Mock(**{"monotonic.return_value": 100.0})
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         self.fleet = EngineFleet("z", self.clock, self.log, mock.Mock(), random.Random(1))
         self.lives = [EngineLife.of(f"e{number}", 1) for number in range(4)]
         self.fleet.update(
@@ -190,16 +190,16 @@
 
     def tell_pace(self):
         """Engines tell how fast they are, all as usual."""
-        signal = self.fleet.paces._signals[SERVICE] = PaceSignal()
+        signal = self.fleet.paces._signals[SERVICE] = PaceReadings()
         for life in self.lives:
-            signal.note(engine_hash(life), 1.0, 100.0)
+            signal.record(engine_hash(life), 1.0, 100.0)
 
     def show(self, life, factor):
         for _ in range(20):
-            for aspect in Aspect:
+            for aspect in PaceMetric:
                 self.fleet.paces.learnt.observe(life, aspect, 0.05 * factor, 0.05, 100.0)
         self.clock.monotonic.return_value += 1.0
-        self.fleet.paces.look()
+        self.fleet.paces.update()
 
     def place(self):
         terms = RequestTerms("r", None, None, "", 0, 100, 10)
@@ -224,12 +224,12 @@
         for life in self.lives:
             self.show(life, 2.5)
         identity = mock.Mock(zone="z")
-        line = ZoneLine(mock.Mock(fleet=self.fleet, identity=identity, clock=self.clock))
+        line = SharedZoneQueue(mock.Mock(fleet=self.fleet, identity=identity, clock=self.clock))
         while self.fleet.has_room(SERVICE):
             self.place()
         online = sum(self.fleet.use.total(life).online for life in self.lives)
         self.assertLess(online, len(self.lives) * SLOTS)
-        self.assertLessEqual(line._free(SERVICE), len(self.lives) * QUEUED_PLACES)
+        self.assertLessEqual(line._free_slots(SERVICE), len(self.lives) * MAX_ENGINE_QUEUE)
 
     def test_what_comes_late_of_an_engine_that_is_gone_teaches_nothing(self):
         self.fleet.paces._signals.clear()
@@ -239,9 +239,9 @@
             EngineEntry(life, SERVICE, f"{life}:1", "z", SLOTS, EngineState.READY)
             for life in others
         )
-        self.fleet.paces.note_load(placement, EngineLoad(100.0, 3, 0, SLOTS, 2.5))
-        self.fleet.paces.note_bad_load(placement.engine.life, "x")
-        self.assertFalse(self.fleet.paces.uneven(SERVICE))
+        self.fleet.paces.record_load(placement, EngineLoad(100.0, 3, 0, SLOTS, 2.5))
+        self.fleet.paces.record_bad_load(placement.engine.life, "x")
+        self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
         self.assertEqual(self.log.written[-1][0].name, "ENGINE_GONE")
 
     def test_one_that_is_said_to_differ_is_logged_once(self):
@@ -255,19 +255,19 @@
         self.fleet.paces._signals.clear()
         for factor in (1.0, 1.0, 2.5):
             self.clock.monotonic.return_value += 1.0
-            self.assertEqual(self.fleet.paces.tell(20), b"")
+            self.assertEqual(self.fleet.paces.pack_report(20), b"")
             for life in self.lives:
                 self.show(life, factor)
-        self.assertEqual(self.fleet.paces.tell(20), b"")
-        self.assertFalse(self.fleet.paces.uneven(SERVICE))
-        self.assertIs(self.fleet._rooms_of(SERVICE), EVEN_ROOMS)
+        self.assertEqual(self.fleet.paces.pack_report(20), b"")
+        self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
+        self.assertIs(self.fleet._rooms_of(SERVICE), UNIFORM_CAPACITY)
         self.assertEqual(self.log.written[len(self.lives) :], [])
 
     def test_what_a_peer_tells_wrongly_is_left_out(self):
         self.fleet.paces._signals.clear()
-        self.fleet.paces.hear("n1", b"\x09cut")
+        self.fleet.paces.receive("n1", b"\x09cut")
         self.assertIn("PEER_MESSAGE_INVALID", [event.name for event, _ in self.log.written])
-        self.assertFalse(self.fleet.paces.uneven(SERVICE))
+        self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
 
     def test_a_replaced_engine_begins_as_the_others(self):
         self.show(self.lives[0], 2.5)
--- a/tests/test_leaving_engines.py
+++ b/tests/test_leaving_engines.py
@@ -30,7 +30,9 @@
         pool = ConnectionPool(SystemClock())
         deadline = SystemClock().monotonic() + 5.0
         with self.assertRaises(AttemptError) as failed:
-            pool.start(engine.address, b"GET / HTTP/1.1\r\n\r\n", deadline, wanted=lambda: False)
+            pool.send_request(
+                engine.address, b"GET / HTTP/1.1\r\n\r\n", deadline, still_usable=lambda: False
+            )
         self.assertIs(failed.exception.verdict, Verdict.NOT_RUN)
         wait_until(lambda: engine.connections == 1)
         self.assertEqual(engine.heads, [])
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -13,60 +13,62 @@
 from postvalve.core.membership.feature_gate import SETTLE_TIME
 from postvalve.core.membership.load_report import LoadReport
 from postvalve.core.membership.peers import PeerView
-from postvalve.core.scheduling.line import (
+from postvalve.core.scheduling.load_shedding import MAX_ENGINE_QUEUE
+from postvalve.core.scheduling.queue_order import QueuePosition, service_hash
+from postvalve.core.scheduling.zone_queue import (
+    COORDINATOR_TIMEOUT,
     GRANT_TIME,
-    KEEPER_PATIENCE,
-    LEAST_INTERVAL,
     LISTEN_TIME,
-    MAX_NEW,
-    MAX_TOLD,
+    MAX_REPORTED,
+    MAX_TRACKED_NODES,
+    MIN_STATE_INTERVAL,
     STATE_TIME,
     STATES_PER_SECOND,
     Grant,
-    LineKeeper,
-    LineMessageError,
     NewNodes,
-    State,
-    Waiting,
-    keeper_of,
+    QueueCoordinator,
+    QueueMessageError,
+    QueueState,
+    WaitingRequest,
+    coordinator_of,
     state_interval,
     unpack_grant,
     unpack_state,
 )
-from postvalve.core.scheduling.turning_away import QUEUED_PLACES
-from postvalve.core.scheduling.waiting_order import Place, service_hash
 from postvalve.events import Event
-from postvalve.gateway.serving.line import ZONES_AGE, ZoneLine
+from postvalve.gateway.serving.zone_queue import ZONE_COUNT_MAX_AGE, SharedZoneQueue
 from postvalve.messages.framing import decode_datagram
 from postvalve.messages.generated import gateway
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 SERVICE = service_hash("s")
 PLACES = st.builds(
-    Place, st.tuples(st.integers(0, 255), st.integers(0, 255)), st.floats(0, 1e9, allow_nan=False)
+    QueuePosition,
+    st.tuples(st.integers(0, 255), st.integers(0, 255)),
+    st.floats(0, 1e9, allow_nan=False),
 )
 NUMBERS = st.integers(0, 2**32 - 1)
 STATES = st.builds(
-    State,
+    QueueState,
     service=NUMBERS,
     node_id=st.text(max_size=30),
     incarnation=st.integers(0, 2**63),
     number=NUMBERS,
-    taken=NUMBERS,
-    waiting=st.lists(st.builds(Waiting, NUMBERS, PLACES), max_size=MAX_TOLD).map(tuple),
+    last_grant=NUMBERS,
+    waiting=st.lists(st.builds(WaitingRequest, NUMBERS, PLACES), max_size=MAX_REPORTED).map(tuple),
 )
 GRANTS = st.builds(
     Grant,
     service=NUMBERS,
     number=NUMBERS,
     granted=st.lists(NUMBERS, max_size=20).map(tuple),
-    ahead=st.lists(st.tuples(NUMBERS, st.integers(0, 65535)), max_size=MAX_TOLD).map(tuple),
+    ahead=st.lists(st.tuples(NUMBERS, st.integers(0, 65535)), max_size=MAX_REPORTED).map(tuple),
 )
 
 
-def state(node, tags, number=1, taken=0, incarnation=1):
-    waiting = tuple(Waiting(n, Place((0, 0), tag)) for n, tag in tags)
-    return State(SERVICE, node, incarnation, number, taken, waiting)
+def state(node, tags, number=1, last_grant=0, incarnation=1):
+    waiting = tuple(WaitingRequest(n, QueuePosition((0, 0), tag)) for n, tag in tags)
+    return QueueState(SERVICE, node, incarnation, number, last_grant, waiting)
 
 
 class MessageTest(unittest.TestCase):
@@ -81,76 +83,76 @@
     @given(st.binary(max_size=100), STATES, st.integers(1, 40))
     def test_other_bytes_raise_nothing_else(self, data, sent, missing):
         for unpack in (unpack_state, unpack_grant):
-            with contextlib.suppress(LineMessageError):
+            with contextlib.suppress(QueueMessageError):
                 unpack(data)
-        with self.assertRaises(LineMessageError):
+        with self.assertRaises(QueueMessageError):
             unpack_state(sent.pack()[:-missing])
 
     def test_bytes_of_both_stay_small(self):
-        waiting = tuple(Waiting(n, Place((0, 0), 1.0)) for n in range(20))
-        packed = State(SERVICE, "node-0000-zone-a", 1, 1, 1, waiting).pack()
+        waiting = tuple(WaitingRequest(n, QueuePosition((0, 0), 1.0)) for n in range(20))
+        packed = QueueState(SERVICE, "node-0000-zone-a", 1, 1, 1, waiting).pack()
         self.assertLessEqual(len(packed), 160)
-        grant = Grant(SERVICE, 1, (1, 2), tuple((n, n) for n in range(MAX_TOLD)))
+        grant = Grant(SERVICE, 1, (1, 2), tuple((n, n) for n in range(MAX_REPORTED)))
         self.assertLessEqual(len(grant.pack()), 70)
 
 
 class KeeperTest(unittest.TestCase):
     def setUp(self):
-        self.keeper = LineKeeper(SERVICE, 100)
+        self.keeper = QueueCoordinator(SERVICE, 100)
 
     def granted(self, free, now=0.0):
         nodes = self.keeper.grant(free, now)
         return {node: one.granted for node, one in self.keeper.answers(nodes).items()}
 
     def test_free_places_go_to_the_first_of_all_nodes(self):
-        self.keeper.hear(state("a", [(1, 5.0), (2, 9.0)]), 0.0)
-        self.keeper.hear(state("b", [(1, 3.0), (2, 7.0)]), 0.0)
+        self.keeper.receive(state("a", [(1, 5.0), (2, 9.0)]), 0.0)
+        self.keeper.receive(state("b", [(1, 3.0), (2, 7.0)]), 0.0)
         self.assertEqual(self.granted(3), {"a": (1,), "b": (1, 2)})
         self.assertEqual(self.keeper.answers(["a"])["a"].ahead, ((2, 0),))
 
     def test_a_grant_counts_until_its_node_has_taken_it_in_or_its_time_is_over(self):
-        self.keeper.hear(state("a", [(1, 5.0)]), 0.0)
-        self.keeper.hear(state("b", [(1, 6.0)]), 0.0)
+        self.keeper.receive(state("a", [(1, 5.0)]), 0.0)
+        self.keeper.receive(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
         self.assertEqual(self.granted(1), {})
         told = self.keeper.answers(["a"])["a"]
-        self.keeper.hear(state("a", [], 2, taken=told.number), 0.01)
+        self.keeper.receive(state("a", [], 2, last_grant=told.number), 0.01)
         self.assertEqual(self.granted(1), {"b": (1,)})
         self.keeper.expire(GRANT_TIME + 0.01, 3)
         self.assertEqual(self.keeper.outstanding, 0)
 
     def test_a_lost_grant_is_told_again_with_the_next_state(self):
-        self.keeper.hear(state("a", [(1, 5.0)]), 0.0)
+        self.keeper.receive(state("a", [(1, 5.0)]), 0.0)
         first = self.granted(1)
-        self.keeper.hear(state("a", [(1, 5.0)], 2), 0.05)
+        self.keeper.receive(state("a", [(1, 5.0)], 2), 0.05)
         self.assertEqual({"a": self.keeper.answers(["a"])["a"].granted}, first)
 
     def test_doubled_and_old_states_change_nothing(self):
-        self.keeper.hear(state("a", [], 5), 0.0)
+        self.keeper.receive(state("a", [], 5), 0.0)
         for number in (5, 4):
-            self.assertFalse(self.keeper.hear(state("a", [(1, 1.0)], number), 0.1))
-        self.assertFalse(self.keeper.stands)
-        self.assertTrue(self.keeper.hear(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
+            self.assertFalse(self.keeper.receive(state("a", [(1, 1.0)], number), 0.1))
+        self.assertFalse(self.keeper.has_waiting)
+        self.assertTrue(self.keeper.receive(state("a", [(1, 1.0)], 1, incarnation=2), 0.2))
 
     def test_numbers_of_another_keeper_stand_for_no_grants_of_this_one(self):
         """That one, or this one's former life, numbered higher; its answer came last."""
-        self.keeper.hear(state("a", [(1, 5.0)], 1, taken=5000), 0.0)
-        self.keeper.hear(state("b", [(1, 6.0)]), 0.0)
+        self.keeper.receive(state("a", [(1, 5.0)], 1, last_grant=5000), 0.0)
+        self.keeper.receive(state("b", [(1, 6.0)]), 0.0)
         self.assertEqual(self.granted(1), {"a": (1,)})
-        self.keeper.hear(state("a", [(1, 5.0)], 2, taken=5000), 0.01)
+        self.keeper.receive(state("a", [(1, 5.0)], 2, last_grant=5000), 0.01)
         self.assertEqual(self.keeper.outstanding, 1)
         told = self.keeper.answers(["a"])["a"]
-        self.keeper.hear(state("a", [], 3, taken=told.number), 0.02)
+        self.keeper.receive(state("a", [], 3, last_grant=told.number), 0.02)
         self.assertEqual(self.keeper.outstanding, 0)
 
     def test_no_number_that_a_node_tells_makes_a_grant_too_large_to_send(self):
-        self.keeper.hear(state("a", [(1, 5.0)], 1, taken=2**32 - 1), 0.0)
+        self.keeper.receive(state("a", [(1, 5.0)], 1, last_grant=2**32 - 1), 0.0)
         self.keeper.grant(1, 0.0)
         self.assertEqual(unpack_grant(self.keeper.answers(["a"])["a"].pack()).granted, (1,))
 
     def test_a_node_that_is_gone_loses_its_place_only(self):
-        self.keeper.hear(state("a", [(1, 1.0)]), 0.0)
-        self.keeper.hear(state("b", [(1, 2.0)]), STATE_TIME)
+        self.keeper.receive(state("a", [(1, 1.0)]), 0.0)
+        self.keeper.receive(state("b", [(1, 2.0)]), STATE_TIME)
         self.keeper.expire(STATE_TIME + 0.01, 3)
         self.assertEqual(self.granted(1), {"b": (1,)})
 
@@ -158,14 +160,14 @@
     @given(st.integers(0, 2**32), st.integers(1, 6))
     def test_no_more_is_outstanding_than_there_is_room_and_nobody_is_passed(self, seed, free):
         draw, now, numbers = random.Random(seed), 0.0, {}
-        keeper = LineKeeper(SERVICE, 100)
+        keeper = QueueCoordinator(SERVICE, 100)
         for _ in range(60):
             now += draw.uniform(0, 0.05)
             node = draw.choice("abcd")
             numbers[node] = numbers.get(node, 0) + 1
             told = [(n, draw.uniform(0, 50)) for n in range(draw.randrange(4))]
             if draw.random() < 0.7:
-                keeper.hear(state(node, told, numbers[node]), now)
+                keeper.receive(state(node, told, numbers[node]), now)
             keeper.expire(now, 4)
             before = keeper.order()
             keeper.grant(free, now)
@@ -181,27 +183,31 @@
         self.new = NewNodes(0.0)
 
     def test_who_is_heard_at_the_start_was_there_before(self):
-        self.new.hear("a", 1, LISTEN_TIME / 2)
-        self.assertFalse(self.new.has("a", LISTEN_TIME))
+        self.new.record("a", 1, LISTEN_TIME / 2)
+        self.assertFalse(self.new.includes("a", LISTEN_TIME))
 
     def test_a_node_that_starts_is_new_until_it_uses_what_takes_all_nodes(self):
-        self.new.hear("a", 1, 0.0)
+        self.new.record("a", 1, 0.0)
         for node, incarnation in (("a", 2), ("b", 1)):
             for at in (20.0, 25.0):
-                self.new.hear(node, incarnation, at)
-            self.assertTrue(self.new.has(node, 20.0 + SETTLE_TIME - 0.01))
-            self.assertFalse(self.new.has(node, 20.0 + SETTLE_TIME))
+                self.new.record(node, incarnation, at)
+            self.assertTrue(self.new.includes(node, 20.0 + SETTLE_TIME - 0.01))
+            self.assertFalse(self.new.includes(node, 20.0 + SETTLE_TIME))
 
     def test_one_that_was_not_heard_for_a_while_is_not_new(self):
-        self.new.hear("a", 1, 20.0)
-        self.new.hear("a", 1, 500.0)
-        self.assertFalse(self.new.has("a", 500.0))
+        self.new.record("a", 1, 20.0)
+        self.new.record("a", 1, 500.0)
+        self.assertFalse(self.new.includes("a", 500.0))
 
     def test_no_more_are_remembered_than_a_fleet_has(self):
-        for number in range(3 * MAX_NEW):
-            self.new.hear(f"n{number}", 1, 20.0)
-        known = [number for number in range(3 * MAX_NEW) if self.new.has(f"n{number}", 20.0)]
-        self.assertEqual(known, list(range(2 * MAX_NEW, 3 * MAX_NEW)))
+        for number in range(3 * MAX_TRACKED_NODES):
+            self.new.record(f"n{number}", 1, 20.0)
+        known = [
+            number
+            for number in range(3 * MAX_TRACKED_NODES)
+            if self.new.includes(f"n{number}", 20.0)
+        ]
+        self.assertEqual(known, list(range(2 * MAX_TRACKED_NODES, 3 * MAX_TRACKED_NODES)))
 
 
 class Node:
@@ -209,7 +215,7 @@
 
     def __init__(self, network, name):
         self.network, self.name = network, name
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         self.waiting, self.started = {}, []
         self.clock = SimpleNamespace(monotonic=lambda: network.now, wall=lambda: 1e9 + network.now)
         self.peers = PeerView(name)
@@ -217,11 +223,11 @@
         use = SimpleNamespace(total=lambda life: SimpleNamespace(online=network.online))
         entry = SimpleNamespace(life="e", slots=network.slots, zone="z", service="s")
         fleet = mock.Mock(use=use, engines=lambda s: [entry], listed_engines=lambda: [entry])
-        fleet.places_left = lambda entry: entry.slots - use.total(entry.life).online
+        fleet.spare_capacity = lambda entry: entry.slots - use.total(entry.life).online
         fleet.state_of = lambda entry: network.states.get(entry.life, "ready")
         transport = SimpleNamespace(send=lambda address, data: network.send(name, address, data))
         identity = gateway.NodeStarted(name, 1, name, "z")
-        self.line = ZoneLine(
+        self.line = SharedZoneQueue(
             SimpleNamespace(
                 identity=identity,
                 clock=self.clock,
@@ -242,17 +248,17 @@
             leaving=leaving, extensions=parts,
         )  # fmt: skip
 
-    def hear(self, report):
+    def receive(self, report):
         """As the gateway does."""
         if self.peers.observe(report, self.network.now):
-            self.line.hear_report(report)
+            self.line.receive_report(report)
 
     def ask(self, number, tag):
-        self.waiting[number] = Place((0, 0), tag)
+        self.waiting[number] = QueuePosition((0, 0), tag)
 
     def take(self):
         """As the waiting room does: what is granted starts."""
-        for number in [one for one in self.waiting if self.line.granted("s", one)]:
+        for number in [one for one in self.waiting if self.line.is_granted("s", one)]:
             del self.waiting[number]
             self.started.append(number)
             self.network.online += 1
@@ -260,22 +266,22 @@
 
     def look(self):
         entries = sorted(self.waiting.items(), key=lambda one: one[1])
-        self.line.show({"s": entries} if entries else {})
+        self.line.update_waiting({"s": entries} if entries else {})
         self.take()
-        self.line.look()
+        self.line.grant_free_slots()
 
 
 class Network:
     """Nodes of one zone under virtual time; datagrams come at the next step, or never."""
 
     def __init__(self, count=4, slots=4):
-        self.now, self.slots, self.online = 100.0, slots, slots + QUEUED_PLACES
+        self.now, self.slots, self.online = 100.0, slots, slots + MAX_ENGINE_QUEUE
         self.order, self.queue, self.sent = [], [], 0
         self.states = {}
         self.frozen, self.lost = set(), lambda source, target: False
         self.nodes = {f"n{number}": Node(self, f"n{number}") for number in range(count)}
         self.hear_all()
-        self.now += LISTEN_TIME + ZONES_AGE
+        self.now += LISTEN_TIME + ZONE_COUNT_MAX_AGE
         self.settle()
 
     def settle(self):
@@ -283,13 +289,13 @@
         for seconds in (0.0, SETTLE_TIME):
             self.now += seconds
             for one in self.nodes.values():
-                one.peers.gate.look(one.peers.common_features(), self.now)
+                one.peers.gate.update(one.peers.common_features(), self.now)
 
     def hear_all(self):
         for one in self.nodes.values():
             report = one.report()
             for other in self.nodes.values():
-                other.hear(report)
+                other.receive(report)
 
     def send(self, source, target, data):
         self.sent += 1
@@ -304,9 +310,9 @@
                 continue
             line, msg = self.nodes[target].line, decode_datagram(data)
             if isinstance(msg, gateway.LineState):
-                line.hear_state(msg, source)
+                line.receive_state(msg, source)
             elif isinstance(msg, gateway.LineGrant):
-                line.hear_grant(msg, source)
+                line.receive_grant(msg, source)
         for one in list(self.nodes.values()):
             if one.name not in self.frozen:
                 one.look()
@@ -317,7 +323,7 @@
 
     @property
     def keeper(self):
-        return keeper_of("z", SERVICE, self.nodes)
+        return coordinator_of("z", SERVICE, self.nodes)
 
     def others(self):
         return [one for name, one in self.nodes.items() if name != self.keeper]
@@ -329,7 +335,7 @@
         self.first, self.second, self.third = self.network.others()
 
     def stand(self, *nodes):
-        return [one.line.stands("s") for one in nodes]
+        return [one.line.is_coordinated("s") for one in nodes]
 
     def test_slots_go_to_the_first_in_order_over_all_nodes(self):
         self.first.ask(1, 9.0)
@@ -348,15 +354,15 @@
         self.first.ask(1, 9.0)
         self.second.ask(1, 3.0)
         self.network.play(0.2)
-        self.assertEqual(self.first.line.ahead("s", 1), 1)
-        self.assertEqual(self.second.line.ahead("s", 1), 0)
+        self.assertEqual(self.first.line.requests_ahead("s", 1), 1)
+        self.assertEqual(self.second.line.requests_ahead("s", 1), 0)
 
     def test_without_a_keeper_that_answers_nodes_go_by_their_own_order(self):
         """It died: nobody has noticed yet."""
         dead = self.network.keeper
         self.network.frozen.add(dead)
         self.first.ask(1, 1.0)
-        self.network.play(KEEPER_PATIENCE - 0.03)
+        self.network.play(COORDINATOR_TIMEOUT - 0.03)
         self.assertEqual(self.stand(self.first), [True])
         self.network.play(0.06)
         self.assertEqual(self.stand(self.first), [False])
@@ -424,19 +430,19 @@
         self.network.play(0.1)
         self.network.online -= 1
         self.network.play(0.1)
-        self.first.line._told[SERVICE].taken += 1_000_000
+        self.first.line._queues[SERVICE].last_grant += 1_000_000
         del self.network.nodes[former]
         for one in self.network.nodes.values():
             one.peers.drop(former)
         keeper = self.network.keeper
         asking = next(one for name, one in self.network.nodes.items() if name != keeper)
-        asking.line._told.setdefault(SERVICE, self.first.line._told[SERVICE])
+        asking.line._queues.setdefault(SERVICE, self.first.line._queues[SERVICE])
         asking.ask(2, 1.0)
         self.network.play(0.1)
         self.network.lost = lambda source, target: source == keeper
         self.network.online -= 1
         self.network.play(0.03)
-        member = self.network.nodes[keeper].line._keepers[SERVICE]._members[asking.name]
+        member = self.network.nodes[keeper].line._coordinators[SERVICE]._members[asking.name]
         given = list(member.given)
         self.assertEqual(len(given), 1)
         self.network.play(0.15)
@@ -449,9 +455,9 @@
         line._fleet.engines = lambda service: [entry, dark]
         self.network.online = 2
         self.network.states = {"d": "suspect"}
-        self.assertEqual(line._free("s"), 2 + QUEUED_PLACES)
+        self.assertEqual(line._free_slots("s"), 2 + MAX_ENGINE_QUEUE)
         self.network.states = {"d": "suspect", "f": "suspect"}
-        self.assertEqual(line._free("s"), 2 * (2 + QUEUED_PLACES))
+        self.assertEqual(line._free_slots("s"), 2 * (2 + MAX_ENGINE_QUEUE))
 
     def test_a_grant_for_nobody_is_handed_back(self):
         self.first.ask(1, 1.0)
@@ -506,7 +512,7 @@
         self.assertEqual(network.order, [(self.first.name, 1)])
         network.settle()
         network.play(0.2)
-        self.assertEqual(self.second.line._told[SERVICE].keeper, keeper)
+        self.assertEqual(self.second.line._queues[SERVICE].keeper, keeper)
         self.assertEqual(self.stand(self.second), [True])
 
     def test_one_node_that_cannot_turns_it_off_for_all_that_hear_it(self):
@@ -550,9 +556,9 @@
         line._zones = 3
         for online, places in ((5, 0), (4, 0), (3, 1), (0, 1)):
             self.network.online = online
-            self.assertEqual(line._free("s"), places)
+            self.assertEqual(line._free_slots("s"), places)
         line._zones = 2
-        self.assertEqual(line._free("s"), 2)
+        self.assertEqual(line._free_slots("s"), 2)
 
     def test_nothing_is_sent_while_nobody_waits(self):
         self.network.play(1.0)
@@ -575,7 +581,7 @@
             rate = nodes / state_interval(nodes)
             self.assertLessEqual(rate, STATES_PER_SECOND + 1e-6)
             self.assertLessEqual(rate * self.MESSAGE_TIME * 2, self.CORE_SHARE)
-        self.assertEqual(state_interval(1), LEAST_INTERVAL)
+        self.assertEqual(state_interval(1), MIN_STATE_INTERVAL)
 
     def test_states_of_a_zone_come_no_more_often_than_planned(self):
         network = Network(count=8)
--- a/tests/test_turning_away.py
+++ b/tests/test_load_shedding.py
@@ -7,42 +7,42 @@
 
 import gevent
 
-from postvalve.core.admission.holding import (
+from postvalve.core.admission.online_admission import (
     HOLD_SHARE,
-    LEAST_RETURN,
-    RETURN_SHARE,
-    EngineRoom,
-    HeldRequest,
+    MIN_RETRY_AFTER,
+    RETRY_AFTER_SHARE,
+    AdmissionAction,
+    EngineOccupancy,
     OverloadEpisodes,
-    Ruling,
+    PendingRequest,
+    decide,
     finds_room,
-    rule,
 )
 from postvalve.core.routing.engine_pace import PaceFactors
-from postvalve.core.scheduling.fair_share import ShareClock, TagBook, Work
-from postvalve.core.scheduling.turning_away import (
-    QUEUED_PLACES,
-    free_places,
-    held_longest,
-    line_wait,
-    return_time,
-    rule_in_order,
+from postvalve.core.scheduling.fair_share import ShareClock, TagAssigner, Work
+from postvalve.core.scheduling.load_shedding import (
+    MAX_ENGINE_QUEUE,
+    decide_in_order,
+    free_capacity,
+    hold_expired,
+    retry_after_seconds,
+    zone_queue_wait,
 )
-from postvalve.core.scheduling.waiting_order import (
-    Place,
-    ShareNews,
-    merge_news,
+from postvalve.core.scheduling.queue_order import (
+    QueuePosition,
+    ShareUpdate,
+    merge_share_updates,
     service_hash,
-    unpack_news,
+    unpack_share_update,
 )
 from postvalve.exceptions import RefusedError
 from postvalve.gateway.interfaces import RequestTerms
-from postvalve.gateway.serving.peer_places import NEWS_AGE
-from postvalve.gateway.serving.waiting_room import WaitingRoom
-from tests.gateway_support import QuietLog
-from tests.test_expectation import learnt as learnt_by_pauses
+from postvalve.gateway.serving.admission_queue import AdmissionQueue
+from postvalve.gateway.serving.peer_queue_heads import MAX_REPORT_AGE
+from tests.gateway_support import RecordingEventLog
 from tests.test_fair_share import heaps, skewed
 from tests.test_holding import AIM, DEADLINE, learnt, request, room
+from tests.test_latency_estimate import learnt as learnt_by_pauses
 
 ENGINES, SLOTS, HELD = 5, 8, 0.8
 CAPACITY = ENGINES * SLOTS / HELD
@@ -53,46 +53,46 @@
 
 
 class RuleTest(unittest.TestCase):
-    def rule(self, rooms, ahead=0, now=0.0, **terms):
-        return rule_in_order(request(**terms), rooms, learnt(), now, ahead)
+    def decide(self, occupancies, ahead=0, now=0.0, **terms):
+        return decide_in_order(request(**terms), occupancies, learnt(), now, ahead)
 
     def test_the_first_in_order_get_as_many_slots_as_there_are(self):
-        rooms = [room(8 + QUEUED_PLACES), room(6)]
-        places = free_places(rooms, learnt())
-        self.assertIs(self.rule(rooms, ahead=places - 1), Ruling.START)
-        self.assertIs(self.rule(rooms, ahead=places), Ruling.HOLD)
+        occupancies = [room(8 + MAX_ENGINE_QUEUE), room(6)]
+        places = free_capacity(occupancies, learnt())
+        self.assertIs(self.decide(occupancies, ahead=places - 1), AdmissionAction.START)
+        self.assertIs(self.decide(occupancies, ahead=places), AdmissionAction.HOLD)
 
     def test_an_engine_takes_no_more_than_its_places(self):
         """Those that would make its streams pause longer than callers bear wait in order."""
-        slow = EngineRoom(SLOTS, 0, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
+        slow = EngineOccupancy(SLOTS, 0, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
         pace = learnt_by_pauses(longest=0.4)
-        self.assertEqual(slow.places(pace), SLOTS // 2)
-        slow.online = SLOTS // 2 + QUEUED_PLACES
-        self.assertIs(rule_in_order(request(), [slow], pace, 0.0, 0), Ruling.HOLD)
+        self.assertEqual(slow.capacity(pace), SLOTS // 2)
+        slow.online = SLOTS // 2 + MAX_ENGINE_QUEUE
+        self.assertIs(decide_in_order(request(), [slow], pace, 0.0, 0), AdmissionAction.HOLD)
         slow.online -= 1
-        self.assertIs(rule_in_order(request(), [slow], pace, 0.0, 0), Ruling.START)
+        self.assertIs(decide_in_order(request(), [slow], pace, 0.0, 0), AdmissionAction.START)
 
     def test_who_stands_too_far_behind_hears_it_at_once(self):
-        self.assertIs(self.rule([room(9)], ahead=50, may_return=True), Ruling.REFUSE)
-        self.assertIs(self.rule([room(9)], ahead=50), Ruling.HOLD)
+        self.assertIs(self.decide([room(9)], ahead=50, may_retry=True), AdmissionAction.REFUSE)
+        self.assertIs(self.decide([room(9)], ahead=50), AdmissionAction.HOLD)
 
     def test_the_first_is_held_where_it_can_be_in_time(self):
         for now in (0.0, 0.05):
-            self.assertIs(self.rule([room(9)], now=now, may_return=True), Ruling.HOLD)
+            self.assertIs(self.decide([room(9)], now=now, may_retry=True), AdmissionAction.HOLD)
 
     def test_nobody_is_held_longer_than_without_shares(self):
         for now in [number / 100 for number in range(100)]:
-            ruling = self.rule([room(30)], 500, now)
-            self.assertIs(ruling is Ruling.START, now >= AIM * HOLD_SHARE, now)
+            ruling = self.decide([room(30)], 500, now)
+            self.assertIs(ruling is AdmissionAction.START, now >= AIM * HOLD_SHARE, now)
 
     def test_no_time_told_is_below_nothing(self):
         for left in (-2.0, 0.0, 0.1):
-            self.assertGreaterEqual(return_time(1.0, left, 0.5), 0.0)
+            self.assertGreaterEqual(retry_after_seconds(1.0, left, 0.5), 0.0)
 
     def test_the_time_told_follows_the_line_and_fits_the_client(self):
-        self.assertEqual(return_time(0.0, 60.0, 0.0), LEAST_RETURN)
-        self.assertEqual(return_time(2.0, 60.0, 0.0), 2.0)
-        self.assertEqual(return_time(20.0, 10.0, 1.0), 10.0 * RETURN_SHARE)
+        self.assertEqual(retry_after_seconds(0.0, 60.0, 0.0), MIN_RETRY_AFTER)
+        self.assertEqual(retry_after_seconds(2.0, 60.0, 0.0), 2.0)
+        self.assertEqual(retry_after_seconds(20.0, 10.0, 1.0), 10.0 * RETRY_AFTER_SHARE)
 
 
 class Replay:
@@ -111,7 +111,7 @@
         self.asked = len(self.arrivals)
         self.by_age, self.returns = by_age, returns
         self.clock = ShareClock()
-        self.book = TagBook(self.clock)
+        self.book = TagAssigner(self.clock)
         self.pace = learnt(PRESENT, HELD)
         self.episode = OverloadEpisodes()
         self.ends, self.waiting, self.ghosts = [], [], []
@@ -126,7 +126,7 @@
             self.arrivals.sort(reverse=True)
             while self.arrivals and self.arrivals[-1][0] <= now:
                 at, tenant, first = self.arrivals.pop()
-                tag = self.book.stamp(str(tenant), 1.0, Work(HELD))
+                tag = self.book.assign_tag(str(tenant), 1.0, Work(HELD))
                 self.waiting.append((at if self.by_age else tag, at, tenant, first))
             self._look(now)
 
@@ -134,36 +134,36 @@
         self.waiting.sort()
         held = 0
         for one in list(self.waiting):
-            rooms = [EngineRoom(ENGINES * SLOTS, len(self.ends), 0, 0)]
-            ruling = self._rule(one, rooms, now, held)
-            held += ruling is Ruling.HOLD
-            if ruling is Ruling.HOLD:
+            occupancies = [EngineOccupancy(ENGINES * SLOTS, len(self.ends), 0, 0)]
+            ruling = self._rule(one, occupancies, now, held)
+            held += ruling is AdmissionAction.HOLD
+            if ruling is AdmissionAction.HOLD:
                 continue
             self.waiting.remove(one)
-            if ruling is Ruling.REFUSE:
-                self._refuse(one, rooms, now, held)
+            if ruling is AdmissionAction.REFUSE:
+                self._refuse(one, occupancies, now, held)
             else:
                 self._start(one, now)
 
-    def _rule(self, one, rooms, now, held):
+    def _rule(self, one, occupancies, now, held):
         _, at, _, first = one
-        terms = HeldRequest(at, AIM, first + DEADLINE, 450, at == first)
-        if not finds_room(terms, rooms, self.pace, now):
-            self.episode.note_full(now)
+        terms = PendingRequest(at, AIM, first + DEADLINE, 450, at == first)
+        if not finds_room(terms, occupancies, self.pace, now):
+            self.episode.record_full(now)
         if self.by_age:
             persistent = self.episode.persistent(now)
-            return rule(terms, rooms, self.pace, now, persistent=persistent)
-        return rule_in_order(terms, rooms, self.pace, now, held)
+            return decide(terms, occupancies, self.pace, now, persistent=persistent)
+        return decide_in_order(terms, occupancies, self.pace, now, held)
 
-    def _refuse(self, one, rooms, now, held):
+    def _refuse(self, one, occupancies, now, held):
         _, at, tenant, first = one
         self.refused += 1
         self.ghosts.append(one)
-        self.book.stamp(str(tenant), 1.0, Work(0.0, -HELD))
+        self.book.assign_tag(str(tenant), 1.0, Work(0.0, -HELD))
         if self.returns:
-            wait = line_wait(held, rooms, self.pace)
+            wait = zone_queue_wait(held, occupancies, self.pace)
             left = first + DEADLINE - now
-            seconds = return_time(
+            seconds = retry_after_seconds(
                 max(wait, self.episode.seconds_left(now)), left, self.random.random()
             )
             self.arrivals.append((now + seconds, tenant, first))
@@ -175,7 +175,7 @@
         """
         tag, at, tenant, _ = one
         in_turn = now - at < AIM * HOLD_SHARE
-        self.clock.note_served(tag, min((other[0] for other in self.waiting), default=None))
+        self.clock.record_served(tag, min((other[0] for other in self.waiting), default=None))
         queued = max(0, len(self.ends) - ENGINES * SLOTS + 1)
         begins = now if not queued else sorted(self.ends)[queued - 1]
         self.ends.append(begins + HELD)
@@ -231,17 +231,17 @@
 class NewsTest(unittest.TestCase):
     def test_it_comes_as_it_was_sent_and_zones_tell_the_first(self):
         key = service_hash("s")
-        one = ShareNews(5.0, {key: Place((0, 1), 7.0)})
-        other = ShareNews(9.0, {key: Place((0, 1), 6.0), 3: Place((1, 1), 2.0)})
-        self.assertEqual(unpack_news(one.pack()), one)
-        merged = unpack_news(merge_news([one.pack(), b"", b"xx", other.pack()]))
-        self.assertEqual(merged, ShareNews(9.0, other.first))
-        self.assertEqual(merge_news([b"", b""]), b"")
+        one = ShareUpdate(5.0, {key: QueuePosition((0, 1), 7.0)})
+        other = ShareUpdate(9.0, {key: QueuePosition((0, 1), 6.0), 3: QueuePosition((1, 1), 2.0)})
+        self.assertEqual(unpack_share_update(one.pack()), one)
+        merged = unpack_share_update(merge_share_updates([one.pack(), b"", b"xx", other.pack()]))
+        self.assertEqual(merged, ShareUpdate(9.0, other.queue_heads))
+        self.assertEqual(merge_share_updates([b"", b""]), b"")
 
     def test_what_is_no_news_is_passed_over(self):
-        good = ShareNews(5.0, {1: Place((0, 0), 1.0)}).pack()
-        for data in (b"", good[:-1], ShareNews(float("nan"), {}).pack()):
-            self.assertIsNone(unpack_news(data))
+        good = ShareUpdate(5.0, {1: QueuePosition((0, 0), 1.0)}).pack()
+        for data in (b"", good[:-1], ShareUpdate(float("nan"), {}).pack()):
+            self.assertIsNone(unpack_share_update(data))
 
 
 class RoomCase(unittest.TestCase):
@@ -253,14 +253,16 @@
         self.started, self.refused = [], []
         self.clock = mock.Mock(monotonic=lambda: self.now)
         self.fleet = mock.Mock(
-            rooms=lambda service: [room(self.online)],
+            occupancies=lambda service: [room(self.online)],
             has_room=lambda service: self.online < 8,
             pace=lambda service: self.pace,
         )
         self.pace = learnt()
-        self.room = WaitingRoom(self.clock, QuietLog(), self.fleet, random.Random(1), mock.Mock())
+        self.room = AdmissionQueue(
+            self.clock, RecordingEventLog(), self.fleet, random.Random(1), mock.Mock()
+        )
         # Looks are taken by hand.
-        self.room._looker = mock.Mock()
+        self.room._evaluator = mock.Mock()
 
     def send(self, name, tag=None, rank=(0, 0), allowed=None, age=0.0):
         terms = RequestTerms(name, allowed, None, "", 0, 450, 0)
@@ -282,19 +284,21 @@
 
     def look(self, now=None):
         self.now = self.now if now is None else now
-        self.room._look()
+        self.room._reevaluate()
         for _ in range(3):
             gevent.sleep(0)
 
     def news(self, tag, peer="p"):
-        self.room.peer_places.hear(peer, ShareNews(1.0, {service_hash("s"): Place((0, 0), tag)}))
+        self.room.peer_queue_heads.update(
+            peer, ShareUpdate(1.0, {service_hash("s"): QueuePosition((0, 0), tag)})
+        )
 
 
 class TurnTest(RoomCase):
     def test_slots_beyond_its_places_are_nobodys_turn(self):
         """Else nodes would draw for slots that no request may have."""
         self.pace = learnt_by_pauses(longest=0.4)
-        slow = EngineRoom(SLOTS, SLOTS // 2, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
+        slow = EngineOccupancy(SLOTS, SLOTS // 2, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
         self.room.nodes = lambda: 100
         entry = mock.Mock(service="s")
         self.assertTrue(all(self.room._is_turn(entry, [slow]) for _ in range(50)))
@@ -336,7 +340,7 @@
         self.online = 7
         self.send("behind", 8.0)
         self.assertEqual(self.started, [])
-        self.now = NEWS_AGE + 0.01
+        self.now = MAX_REPORT_AGE + 0.01
         self.send("newer", 9.0)
         self.assertEqual(self.started, [])  # one that waits here goes before it
         self.look()
@@ -344,7 +348,7 @@
 
     def test_those_that_start_move_the_clock_no_further_than_the_first_that_waits(self):
         served = []
-        self.room.on_served = lambda tag, first: served.append((tag, first))
+        self.room.on_started = lambda tag, first: served.append((tag, first))
         self.news(4.0)
         self.send("a", 3.0)
         self.send("b", 6.0)
@@ -365,7 +369,7 @@
 class LookerTest(RoomCase):
     def test_one_that_comes_while_the_line_is_told_that_nobody_waits_is_looked_at(self):
         """A datagram may wait for room in the socket, and others go on meanwhile."""
-        self.room._looker = None
+        self.room._evaluator = None
         told = []
 
         def show(waiting):
@@ -376,7 +380,7 @@
                 self.send("second", 2.0)
                 self.online = 7
 
-        self.room.line = mock.Mock(
+        self.room.zone_queue = mock.Mock(
             stands=lambda service: False,
             granted=lambda service, number: False,
             ahead=lambda service, number: None,
@@ -391,21 +395,21 @@
 class WithoutSharesTest(RoomCase):
     """Without tags the way is by priority, age, rule and draw: a plain copy of it decides alike."""
 
-    def plain(self, held, rooms, draws):
+    def plain(self, held, occupancies, draws):
         """What becomes of waiting requests `(rank, arrived at, may return)` at one look."""
         started, refused = [], []
         for name, (_, at, back) in sorted(held.items(), key=lambda one: one[1][:2]):
-            terms = HeldRequest(at, AIM, at + DEADLINE, 450, back)
-            ruling = rule(terms, rooms, self.pace, self.now)
-            free = sum(max(0, one.slots - one.online) for one in rooms)
-            if ruling is Ruling.START and not (
+            terms = PendingRequest(at, AIM, at + DEADLINE, 450, back)
+            ruling = decide(terms, occupancies, self.pace, self.now)
+            free = sum(max(0, one.slots - one.online) for one in occupancies)
+            if ruling is AdmissionAction.START and not (
                 not free or free >= 5 or draws.uniform(0, 1) * 5 < free
             ):
                 continue
-            if ruling is Ruling.START:
+            if ruling is AdmissionAction.START:
                 started.append(name)
-                rooms[0].online += 1
-            if ruling is Ruling.REFUSE:
+                occupancies[0].online += 1
+            if ruling is AdmissionAction.REFUSE:
                 refused.append(name)
         return started, refused
 
@@ -434,8 +438,8 @@
 
 class HeldTest(unittest.TestCase):
     def test_the_longest_time_is_the_one_without_shares(self):
-        self.assertFalse(held_longest(request(), AIM * HOLD_SHARE - 0.001))
-        self.assertTrue(held_longest(request(), AIM * HOLD_SHARE))
+        self.assertFalse(hold_expired(request(), AIM * HOLD_SHARE - 0.001))
+        self.assertTrue(hold_expired(request(), AIM * HOLD_SHARE))
 
 
 if __name__ == "__main__":
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -18,7 +18,7 @@
 from postvalve.core.membership.ownership import Owners, preferred_owner
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.interfaces import EngineEntry, EngineState, RequestTerms
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 SLOTS = 6
 ZONES = ("z0", "z1", "z2")
@@ -36,11 +36,11 @@
 class ManyEnginesTest(unittest.TestCase):
     def fleet_of(self, engines, seed=1, zone="z0"):
         clock = mock.Mock(**{"monotonic.return_value": 0.0})
-        fleet = EngineFleet(zone, clock, QuietLog(), mock.Mock(), random.Random(seed))
+        fleet = EngineFleet(zone, clock, RecordingEventLog(), mock.Mock(), random.Random(seed))
         fleet.update(entry(number) for number in range(engines))
         for _ in range(10):
-            fleet.pace("s").observe_first(100, 0.05)
-            fleet.pace("s").observe_held(5.0)
+            fleet.pace("s").observe_first_event(100, 0.05)
+            fleet.pace("s").observe_slot_time(5.0)
         return fleet
 
     def place(self, fleet, key="", shared=0, excluded=(), left=1.0):
@@ -76,9 +76,9 @@
         fleet = self.fleet_of(2)
         first, second = (one.life for one in fleet.engines("s"))
         self.fill(fleet, [second])
-        fleet.note_failure(first, "closed")
+        fleet.record_failure(first, "closed")
         self.assertFalse(fleet.has_room("s"))
-        fleet.note_failure(second, "closed")
+        fleet.record_failure(second, "closed")
         self.assertTrue(fleet.has_room("s"))
 
     def test_requests_spread_over_all_engines_of_the_zone(self):
@@ -105,7 +105,7 @@
         *skipped, last = (one.life for one in fleet.engines("s"))
         self.assertEqual(self.place(fleet, excluded=skipped).life, last)
         for life in skipped:
-            fleet.note_failure(life, "closed")
+            fleet.record_failure(life, "closed")
         self.assertEqual(self.place(fleet).life, last)
 
 
--- a/tests/test_node_directory.py
+++ b/tests/test_node_directory.py
@@ -9,7 +9,7 @@
 from postvalve.gateway.interfaces import KeyedRecord
 from postvalve.gateway.jobs.job_log import JOB_TOPIC
 from postvalve.messages.generated import gateway
-from tests.gateway_support import GatewayFleet, QuietLog
+from tests.gateway_support import GatewayFleet, RecordingEventLog
 from tests.waiting import wait_until
 
 
@@ -17,7 +17,7 @@
     return NodeDirectory(
         gateway.NodeStarted(node_id=node_id, peer_address=f"at-{node_id}", zone="z"),
         topics,
-        QuietLog(),
+        RecordingEventLog(),
     )
 
 
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -3,35 +3,35 @@
 import unittest
 
 from postvalve.core.admission.engine_use import EngineUse, engine_hash
-from postvalve.core.admission.online_means import KEPT_WINDOWS, WINDOW, OnlineMeans
+from postvalve.core.admission.online_averages import KEPT_WINDOWS, WINDOW, OnlineAverages
 
 
 class OnlineMeansTest(unittest.TestCase):
     def test_the_average_is_that_of_the_previous_window(self):
-        means = OnlineMeans()
+        means = OnlineAverages()
         for online in (2, 4, 6):
             means.note(1, online)
-        self.assertEqual(means.at(1), 0.0)
-        means.roll(WINDOW)
+        self.assertEqual(means.average(1), 0.0)
+        means.advance(WINDOW)
         means.note(1, 8)
-        self.assertEqual(means.at(1), 4.0)
-        means.roll(2 * WINDOW)
-        self.assertEqual(means.at(1), 8.0)
+        self.assertEqual(means.average(1), 4.0)
+        means.advance(2 * WINDOW)
+        self.assertEqual(means.average(1), 8.0)
 
     def test_an_unchanged_count_persists(self):
-        means = OnlineMeans()
+        means = OnlineAverages()
         for online in (9, 3):
             means.note(1, online)
-        means.roll(5 * WINDOW)
-        self.assertEqual(means.at(1), 3.0)
+        means.advance(5 * WINDOW)
+        self.assertEqual(means.average(1), 3.0)
 
     def test_engines_without_online_work_are_forgotten(self):
-        means = OnlineMeans()
+        means = OnlineAverages()
         for engine in range(100):
             means.note(engine, 1)
             means.note(engine, 0)
         means.note(7, 1)
-        means.roll(WINDOW * (KEPT_WINDOWS + 1))
+        means.advance(WINDOW * (KEPT_WINDOWS + 1))
         self.assertEqual(list(means._engines), [7])
 
 
@@ -40,8 +40,8 @@
         use = EngineUse()
         for _ in range(before):
             use.enter("e", batch=False)
-        use.means.roll(WINDOW)
-        use.means.roll(2 * WINDOW)
+        use.online_averages.advance(WINDOW)
+        use.online_averages.advance(2 * WINDOW)
         for _ in range(before - now):
             use.leave("e", batch=False)
         return use
@@ -52,7 +52,7 @@
 
     def test_slots_are_available_again_after_the_burst(self):
         use = self.use(7, 0)
-        use.means.roll(4 * WINDOW)
+        use.online_averages.advance(4 * WINDOW)
         self.assertEqual(use.batch_room("e", 8), 7)
 
     def test_load_that_peers_no_longer_report_is_removed(self):
@@ -64,12 +64,12 @@
             for _ in range(8):
                 peer.enter("e", batch=False)
             use.observe("n1", peer.report())
-            use.means.roll(WINDOW)
+            use.online_averages.advance(WINDOW)
             drop(use)
-            use.means.roll(3 * WINDOW)
+            use.online_averages.advance(3 * WINDOW)
             self.assertEqual(use.batch_room("e", 8), 7)
-            use.means.roll(WINDOW * (KEPT_WINDOWS + 3))
-            self.assertEqual(len(use.means._engines), 0)
+            use.online_averages.advance(WINDOW * (KEPT_WINDOWS + 3))
+            self.assertEqual(len(use.online_averages._engines), 0)
 
     def test_each_report_of_a_peer_is_one_sample(self):
         """Replacing a peer's counts must record one sample. The state between subtracting its
@@ -78,8 +78,8 @@
         for _ in range(4):
             peer.enter("e", batch=False)
             use.observe("n1", peer.report())
-        use.means.roll(WINDOW)
-        self.assertEqual(use.means.at(engine_hash("e")), 2.5)
+        use.online_averages.advance(WINDOW)
+        self.assertEqual(use.online_averages.average(engine_hash("e")), 2.5)
 
     def test_steady_work_changes_nothing(self):
         for pressing in (True, False):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -8,19 +8,19 @@
 from hypothesis import strategies as st
 
 from postvalve.core.admission.quarantine import (
-    ANSWER_TIME,
-    DOUBT_TIME,
-    DOUBTFUL_ENDS,
-    ENOUGH_VARIANTS,
-    HELD_ENDS,
+    ANSWER_RETENTION,
+    HOLD_AFTER,
+    HOLD_ALL_VARIANTS_AFTER,
     HOLD_TIME,
     MAX_ANSWERS,
-    MAX_CASES,
-    MAX_FACTS,
-    Case,
-    Fact,
+    MAX_ENTRIES,
+    MAX_FAILURES,
+    SUSPECT_AFTER,
+    SUSPICION_TIME,
+    EngineFailure,
     Quarantine,
-    Ruling,
+    QuarantineEntry,
+    RunPermission,
     hold_time,
 )
 from postvalve.core.admission.request_identity import RequestIdentity
@@ -38,11 +38,11 @@
     return RequestIdentity(number.to_bytes(16, "big"), 1)
 
 
-def copy_of(case):
-    return Case(
+def copy_of(entry):
+    return QuarantineEntry(
         {
-            name: Fact(fact.ended_at, fact.variant, fact.trial, fact.excused)
-            for name, fact in case.facts.items()
+            name: EngineFailure(failure.ended_at, failure.variant, failure.trial, failure.excused)
+            for name, failure in entry.failures.items()
         }
     )
 
@@ -50,9 +50,9 @@
 def share_knowledge(source, target, now, delay=0.0):
     """Pass one node's knowledge to another one. Messages contain ages, which grow by the delay."""
     for digest in source.digests():
-        shared = copy_of(source.case(digest))
-        for fact in shared.facts.values():
-            fact.ended_at += delay
+        shared = copy_of(source.entry(digest))
+        for failure in shared.failures.values():
+            failure.ended_at += delay
         target.merge(digest, shared, now)
 
 
@@ -62,103 +62,103 @@
 
     def end(self, *engines, now=0.0, request=REQUEST):
         for engine in engines:
-            self.quarantine.note_end(request, engine, now, now)
+            self.quarantine.record_end(request, engine, now, now)
 
     def ruling(self, now=0.0, request=REQUEST):
-        return self.quarantine.rule(request, now).ruling
+        return self.quarantine.check_request(request, now).permission
 
     def test_one_failed_engine_has_no_effect(self):
         self.end("e1", "e1")
-        self.assertIs(self.ruling(), Ruling.FREE)
+        self.assertIs(self.ruling(), RunPermission.FREE)
 
     def test_a_request_interrupted_twice_runs_alone(self):
         self.end("e1", "e2")
-        self.assertIs(self.ruling(), Ruling.ALONE)
-        self.assertIs(self.ruling(now=DOUBT_TIME), Ruling.FREE)
+        self.assertIs(self.ruling(), RunPermission.ALONE)
+        self.assertIs(self.ruling(now=SUSPICION_TIME), RunPermission.FREE)
 
     def test_a_third_failure_holds_it_back(self):
         self.end("e1", "e2", "e3")
-        decision = self.quarantine.rule(REQUEST, 10.0)
-        self.assertIs(decision.ruling, Ruling.HELD)
+        decision = self.quarantine.check_request(REQUEST, 10.0)
+        self.assertIs(decision.permission, RunPermission.HELD)
         self.assertEqual(
             (decision.ends, decision.age, decision.seconds), (3, 10.0, HOLD_TIME - 10.0)
         )
 
     def test_other_requests_are_unaffected(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=OTHER), Ruling.FREE)
+        self.assertIs(self.ruling(request=OTHER), RunPermission.FREE)
 
     def test_after_its_time_it_runs_alone_and_another_failure_doubles_the_time(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(now=HOLD_TIME), Ruling.ALONE)
+        self.assertIs(self.ruling(now=HOLD_TIME), RunPermission.ALONE)
         self.end("e4", now=HOLD_TIME)
-        self.assertEqual(self.quarantine.rule(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
+        self.assertEqual(self.quarantine.check_request(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
 
     def test_a_variant_under_which_no_engine_failed_runs_alone(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=variant(2)), Ruling.ALONE)
+        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
         self.quarantine.begin_trial(variant(2), "e4", 0.0)
-        self.assertIs(self.ruling(request=variant(3)), Ruling.HELD)
+        self.assertIs(self.ruling(request=variant(3)), RunPermission.HELD)
 
     def test_an_answer_to_one_variant_clears_no_other(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
-        self.quarantine.note_answered(variant(2), 0.0)
-        self.assertIs(self.ruling(), Ruling.HELD)
-        self.assertIs(self.ruling(request=variant(2)), Ruling.ALONE)
+        self.quarantine.record_answer(variant(2), 0.0)
+        self.assertIs(self.ruling(), RunPermission.HELD)
+        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
 
     def test_after_enough_variants_all_are_held_back(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
-        self.assertIs(self.ruling(request=variant(4)), Ruling.ALONE)
+        self.assertIs(self.ruling(request=variant(4)), RunPermission.ALONE)
         self.end("e5", request=variant(3))
-        self.assertIs(self.ruling(request=variant(4)), Ruling.HELD)
+        self.assertIs(self.ruling(request=variant(4)), RunPermission.HELD)
 
     def test_a_trial_holds_the_others_back_while_it_runs(self):
         self.end("e1", "e2")
         trial = self.quarantine.begin_trial(REQUEST, "e3", 1.0)
-        self.assertIs(self.ruling(now=1.0), Ruling.HELD)
-        self.quarantine.note_alive(EngineLife("e3"), 2.0, 2.0)
-        self.assertIs(self.ruling(now=2.0), Ruling.HELD)
+        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.quarantine.record_alive(EngineLife("e3"), 2.0, 2.0)
+        self.assertIs(self.ruling(now=2.0), RunPermission.HELD)
         self.quarantine.end_trial(trial)
-        self.assertIs(self.ruling(now=2.0), Ruling.ALONE)
+        self.assertIs(self.ruling(now=2.0), RunPermission.ALONE)
 
     def test_a_complete_answer_clears_it(self):
         self.end("e1", "e2", "e3")
-        self.assertTrue(self.quarantine.note_answered(REQUEST, 0.0))
-        self.assertFalse(self.quarantine.note_answered(REQUEST, 0.0))
-        self.assertIs(self.ruling(), Ruling.FREE)
+        self.assertTrue(self.quarantine.record_answer(REQUEST, 0.0))
+        self.assertFalse(self.quarantine.record_answer(REQUEST, 0.0))
+        self.assertIs(self.ruling(), RunPermission.FREE)
 
     def test_a_recently_answered_request_is_not_blamed(self):
-        self.quarantine.note_answered(REQUEST, 0.0)
-        self.end("e1", "e2", "e3", now=ANSWER_TIME - 1.0)
-        self.assertIs(self.ruling(now=ANSWER_TIME - 1.0), Ruling.FREE)
-        self.end("e1", "e2", "e3", now=ANSWER_TIME)
-        self.assertIs(self.ruling(now=ANSWER_TIME), Ruling.HELD)
+        self.quarantine.record_answer(REQUEST, 0.0)
+        self.end("e1", "e2", "e3", now=ANSWER_RETENTION - 1.0)
+        self.assertIs(self.ruling(now=ANSWER_RETENTION - 1.0), RunPermission.FREE)
+        self.end("e1", "e2", "e3", now=ANSWER_RETENTION)
+        self.assertIs(self.ruling(now=ANSWER_RETENTION), RunPermission.HELD)
 
     def test_remembered_answers_are_bounded(self):
         for number in range(2 * MAX_ANSWERS):
-            self.quarantine.note_answered(numbered(number), 0.0)
+            self.quarantine.record_answer(numbered(number), 0.0)
         self.assertEqual(len(self.quarantine._answered), MAX_ANSWERS)
 
     def test_an_engine_that_answers_later_had_not_failed(self):
         self.end("e1", "e2", "e3", now=1.0)
-        self.quarantine.note_alive(EngineLife("e3"), 0.9, 0.9)
-        self.assertIs(self.ruling(now=1.0), Ruling.HELD)
-        self.quarantine.note_alive(EngineLife("e3"), 1.1, 1.1)
-        self.assertIs(self.ruling(now=1.1), Ruling.ALONE)
+        self.quarantine.record_alive(EngineLife("e3"), 0.9, 0.9)
+        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.quarantine.record_alive(EngineLife("e3"), 1.1, 1.1)
+        self.assertIs(self.ruling(now=1.1), RunPermission.ALONE)
         self.end("e3", now=1.2)
-        self.assertIs(self.ruling(now=1.2), Ruling.HELD)
+        self.assertIs(self.ruling(now=1.2), RunPermission.HELD)
 
     def test_a_request_sent_after_the_failure_is_not_blamed(self):
         self.end("e1", now=1.0)
-        self.assertFalse(self.quarantine.note_end(OTHER, "e1", 1.5, 1.6))
-        self.assertTrue(self.quarantine.note_end(OTHER, "e1", 0.5, 1.6))
+        self.assertFalse(self.quarantine.record_end(OTHER, "e1", 1.5, 1.6))
+        self.assertTrue(self.quarantine.record_end(OTHER, "e1", 0.5, 1.6))
 
     def test_what_is_old_is_dropped(self):
         self.end("e1", "e2", "e3")
         self.end("e1", request=OTHER)
-        self.quarantine.expire(DOUBT_TIME)
+        self.quarantine.expire(SUSPICION_TIME)
         self.assertEqual(self.quarantine.digests(), [REQUEST.digest])
         self.quarantine.expire(2 * HOLD_TIME - 1.0)
         self.assertEqual(len(self.quarantine), 1)
@@ -167,12 +167,12 @@
 
     def test_memory_is_bounded_and_keeps_the_important_entries(self):
         self.end("e1", "e2", "e3")
-        for number in range(2 * MAX_CASES):
+        for number in range(2 * MAX_ENTRIES):
             self.end("e4", request=numbered(number))
-        self.assertEqual(len(self.quarantine), MAX_CASES)
-        self.assertIs(self.ruling(), Ruling.HELD)
+        self.assertEqual(len(self.quarantine), MAX_ENTRIES)
+        self.assertIs(self.ruling(), RunPermission.HELD)
         self.end(*(f"x{number}" for number in range(100)))
-        self.assertLessEqual(len(self.quarantine.case(REQUEST.digest).facts), MAX_FACTS)
+        self.assertLessEqual(len(self.quarantine.entry(REQUEST.digest).failures), MAX_FAILURES)
 
     def test_suspect_requests_spread_over_the_engines(self):
         engines = [f"e{number}" for number in range(6)]
@@ -186,64 +186,64 @@
     def test_failures_seen_by_three_nodes_add_up(self):
         nodes = [Quarantine(f"n{number}") for number in range(3)]
         for number, node in enumerate(nodes):
-            node.note_end(REQUEST, f"e{number}", 0.0, 0.0)
+            node.record_end(REQUEST, f"e{number}", 0.0, 0.0)
         for source in nodes:
             for target in nodes:
                 share_knowledge(source, target, 0.1)
         for node in nodes:
-            self.assertIs(node.rule(REQUEST, 0.1).ruling, Ruling.HELD)
+            self.assertIs(node.check_request(REQUEST, 0.1).permission, RunPermission.HELD)
 
     def test_the_same_failure_seen_by_two_nodes_counts_once(self):
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(REQUEST, "e1", 0.0, 0.0)
-        second.note_end(REQUEST, "e1", 0.0, 0.0)
+        first.record_end(REQUEST, "e1", 0.0, 0.0)
+        second.record_end(REQUEST, "e1", 0.0, 0.0)
         share_knowledge(second, first, 0.0)
-        self.assertEqual(len(first.case(REQUEST.digest).engines()), 1)
+        self.assertEqual(len(first.entry(REQUEST.digest).engines()), 1)
 
     def test_repeated_reports_do_not_make_a_failure_younger(self):
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(REQUEST, "e1", 0.0, 0.0)
+        first.record_end(REQUEST, "e1", 0.0, 0.0)
         for _ in range(50):
             share_knowledge(first, second, 0.2, delay=0.1)
             share_knowledge(second, first, 0.2, delay=0.1)
-        self.assertEqual(first.case(REQUEST.digest).engines(), {"e1": 0.0})
-        self.assertEqual(second.case(REQUEST.digest).engines(), {"e1": 0.1})
+        self.assertEqual(first.entry(REQUEST.digest).engines(), {"e1": 0.0})
+        self.assertEqual(second.entry(REQUEST.digest).engines(), {"e1": 0.1})
 
     def test_a_node_that_saw_an_answer_excuses_the_request(self):
         first, second = Quarantine("a"), Quarantine("b")
-        second.note_answered(REQUEST, 0.0)
+        second.record_answer(REQUEST, 0.0)
         for number in range(3):
-            first.note_end(REQUEST, f"e{number}", 1.0, 1.0)
+            first.record_end(REQUEST, f"e{number}", 1.0, 1.0)
         share_knowledge(first, second, 1.1)
         share_knowledge(second, first, 1.2)
-        self.assertIs(first.rule(REQUEST, 1.2).ruling, Ruling.FREE)
+        self.assertIs(first.check_request(REQUEST, 1.2).permission, RunPermission.FREE)
 
     def test_an_engine_excused_before_may_fail_later(self):
         """A failure observed after other nodes have seen the engine alive must count."""
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(OTHER, "e1", 0.9, 1.0)
+        first.record_end(OTHER, "e1", 0.9, 1.0)
         share_knowledge(first, second, 1.1)
-        first.note_alive(EngineLife("e1"), 1.2, 1.2)
+        first.record_alive(EngineLife("e1"), 1.2, 1.2)
         share_knowledge(first, second, 1.3)
-        self.assertTrue(second.note_end(REQUEST, "e1", 1.4, 1.5))
+        self.assertTrue(second.record_end(REQUEST, "e1", 1.4, 1.5))
 
     def test_an_outdated_node_does_not_withdraw_an_excuse(self):
         first, second = Quarantine("a"), Quarantine("b")
-        first.note_end(REQUEST, "e1", 0.0, 0.0)
+        first.record_end(REQUEST, "e1", 0.0, 0.0)
         share_knowledge(first, second, 0.1)
-        second.note_alive(EngineLife("e1"), 0.2, 0.2)
+        second.record_alive(EngineLife("e1"), 0.2, 0.2)
         share_knowledge(first, second, 0.3)
-        self.assertEqual(second.case(REQUEST.digest).engines(), {})
+        self.assertEqual(second.entry(REQUEST.digest).engines(), {})
         share_knowledge(second, first, 0.4)
-        self.assertEqual(first.case(REQUEST.digest).engines(), {})
+        self.assertEqual(first.entry(REQUEST.digest).engines(), {})
 
     def test_known_observations_are_not_sent_again(self):
         """Known observations are not new: otherwise nodes would send each other the same ones
         forever."""
         first, second = Quarantine("a"), Quarantine("b")
-        for number in range(3 * MAX_FACTS):
-            first.note_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
-            second.note_end(REQUEST, f"b{number}", 0.01 * number, 0.01 * number)
+        for number in range(3 * MAX_FAILURES):
+            first.record_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
+            second.record_end(REQUEST, f"b{number}", 0.01 * number, 0.01 * number)
         news = []
         first.on_change = second.on_change = news.append
         for _ in range(10):
@@ -253,8 +253,8 @@
 
     def test_outdated_reports_of_a_suspended_node_are_ignored(self):
         stale, fresh = Quarantine("a"), Quarantine("b")
-        stale.note_end(REQUEST, "e1", 0.0, 0.0)
-        share_knowledge(stale, fresh, DOUBT_TIME + 1.0)
+        stale.record_end(REQUEST, "e1", 0.0, 0.0)
+        share_knowledge(stale, fresh, SUSPICION_TIME + 1.0)
         self.assertEqual(len(fresh), 0)
 
     @given(st.integers(0, 2**32))
@@ -271,11 +271,11 @@
             request = generator.choice((REQUEST, OTHER, variant(2)))
             action = generator.randrange(6)
             if action == 0:
-                node.note_end(request, engine, now - 0.1, now)
+                node.record_end(request, engine, now - 0.1, now)
             elif action == 1 and generator.random() < 0.3:
-                node.note_answered(request, now)
+                node.record_answer(request, now)
             elif action == 2:
-                node.note_alive(EngineLife(engine), now, now)
+                node.record_alive(EngineLife(engine), now, now)
             else:
                 share_knowledge(node, generator.choice(nodes), now)
         for _ in range(2):
@@ -283,7 +283,7 @@
                 for target in nodes:
                     share_knowledge(source, target, now)
         for request in (REQUEST, OTHER, variant(2), variant(3)):
-            rulings = {node.rule(request, now) for node in nodes}
+            rulings = {node.check_request(request, now) for node in nodes}
             self.assertEqual(len(rulings), 1)
 
 
@@ -295,34 +295,34 @@
         """Identity, engine, and time of the failure."""
         self.answers = []
 
-    def note_end(self, identity, engine, sent_at, now):
+    def record_end(self, identity, engine, sent_at, now):
         if any(one == engine and at < sent_at for _, one, at in self.ends):
             return
-        if any(one == identity and now - at < ANSWER_TIME for one, at in self.answers):
+        if any(one == identity and now - at < ANSWER_RETENTION for one, at in self.answers):
             return
         self.ends.append((identity, engine, now))
 
-    def note_answered(self, identity, now):
+    def record_answer(self, identity, now):
         self.answers.append((identity, now))
         self.ends = [one for one in self.ends if one[0] != identity]
 
-    def note_alive(self, engine, sent_at, now):
+    def record_alive(self, engine, sent_at, now):
         self.ends = [one for one in self.ends if one[1] != engine or one[2] >= sent_at]
 
-    def rule(self, identity, now):
+    def check_request(self, identity, now):
         own = [one for one in self.ends if one[0].digest == identity.digest]
         first = {}
         for _, engine, at in own:
             first[engine] = min(at, first.get(engine, at))
-        if len(first) < DOUBTFUL_ENDS:
-            return Ruling.FREE
+        if len(first) < SUSPECT_AFTER:
+            return RunPermission.FREE
         latest = max(first.values())
-        if len(first) < HELD_ENDS:
-            return Ruling.ALONE if now - latest < DOUBT_TIME else Ruling.FREE
+        if len(first) < HOLD_AFTER:
+            return RunPermission.ALONE if now - latest < SUSPICION_TIME else RunPermission.FREE
         variants = {one.variant for one, _, _ in own}
-        concerned = identity.variant in variants or len(variants) >= ENOUGH_VARIANTS
+        concerned = identity.variant in variants or len(variants) >= HOLD_ALL_VARIANTS_AFTER
         held = now < latest + hold_time(len(first)) and concerned
-        return Ruling.HELD if held else Ruling.ALONE
+        return RunPermission.HELD if held else RunPermission.ALONE
 
 
 class DifferentialTest(unittest.TestCase):
@@ -342,12 +342,14 @@
             action = generator.random()
             for one in (node, naive):
                 if action < 0.75:
-                    one.note_end(request, engine, sent_at, now)
+                    one.record_end(request, engine, sent_at, now)
                 elif action < 0.85:
-                    one.note_answered(request, now)
+                    one.record_answer(request, now)
                 else:
-                    one.note_alive(EngineLife(engine), sent_at, sent_at)
+                    one.record_alive(EngineLife(engine), sent_at, sent_at)
             for source, target in itertools.product([node, *nodes], nodes):
                 share_knowledge(source, target, now)
             for one, asked in itertools.product(nodes, requests):
-                self.assertEqual(one.rule(asked, now).ruling, naive.rule(asked, now))
+                self.assertEqual(
+                    one.check_request(asked, now).permission, naive.check_request(asked, now)
+                )
--- a/tests/test_quarantine_sharing.py
+++ b/tests/test_quarantine_gossip.py
@@ -11,22 +11,22 @@
 
 import gevent
 
-from postvalve.core.admission.quarantine import HELD_ENDS, Quarantine, Ruling
+from postvalve.core.admission.quarantine import HOLD_AFTER, Quarantine, RunPermission
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.emulator.keyed_topics import MemoryTopics
 from postvalve.emulator.virtual_time import VirtualClock, run_virtual
 from postvalve.gateway.fleet.peer_services import PeerServices
-from postvalve.gateway.fleet.quarantine_sharing import (
+from postvalve.gateway.fleet.quarantine_gossip import (
     DATAGRAM_BYTES,
-    LEARN_PATIENCE,
+    LEARN_TIMEOUT,
     ROUND_DATAGRAMS,
     ROUND_INTERVAL,
     ROUND_PEERS,
-    QuarantineSharing,
+    QuarantineGossip,
 )
 from postvalve.messages.framing import HEADER, decode_datagram
 from postvalve.messages.generated import gateway
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 REQUEST = RequestIdentity(b"0123456789abcdef", 1)
 AGAIN_AFTER = 0.15
@@ -89,7 +89,7 @@
         services = PeerServices(
             gateway.NodeStarted(node_id=name),
             self._clock,
-            QuietLog(),
+            RecordingEventLog(),
             transport,
             None,
             Peers(name, self.sent),
@@ -97,7 +97,7 @@
             self._random,
         )
         quarantine = self.quarantines[name] = Quarantine(name)
-        sharing = self.sharings[name] = QuarantineSharing(services, MemoryTopics(), quarantine)
+        sharing = self.sharings[name] = QuarantineGossip(services, MemoryTopics(), quarantine)
         return sharing
 
     def _send(self, source, target, data):
@@ -114,13 +114,14 @@
 
     def end_engines(self, now, request=REQUEST):
         """Each of some nodes sees another engine end under a request."""
-        for number in range(HELD_ENDS):
-            self.quarantines[f"n{number}"].note_end(request, f"e{number}", now, now)
+        for number in range(HOLD_AFTER):
+            self.quarantines[f"n{number}"].record_end(request, f"e{number}", now, now)
 
     def hold(self, now):
         """Whether all nodes hold the request back."""
         return all(
-            one.rule(REQUEST, now).ruling is Ruling.HELD for one in self.quarantines.values()
+            one.check_request(REQUEST, now).permission is RunPermission.HELD
+            for one in self.quarantines.values()
         )
 
 
@@ -181,17 +182,17 @@
             started = loop.now()
             sharing = network.sharings["late"]
             gevent.spawn(sharing.learn)
-            sharing.note_nodes()
+            sharing.on_peers_known()
             sharing.learned.wait()
             return loop.now() - started, len(network.quarantines["late"])
 
         return run_virtual(play)
 
     def test_it_waits_for_a_peer_that_is_slow(self):
-        self.assertEqual(self.learn(0.8 * LEARN_PATIENCE), (0.8 * LEARN_PATIENCE, 1))
+        self.assertEqual(self.learn(0.8 * LEARN_TIMEOUT), (0.8 * LEARN_TIMEOUT, 1))
 
     def test_it_does_not_wait_for_ever(self):
-        self.assertEqual(self.learn(5 * LEARN_PATIENCE), (LEARN_PATIENCE, 0))
+        self.assertEqual(self.learn(5 * LEARN_TIMEOUT), (LEARN_TIMEOUT, 0))
 
 
 class CostTest(unittest.TestCase):
--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -6,16 +6,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from postvalve.core.serving.read_ahead import (
+from postvalve.core.serving.client_buffer import (
     EVENT_OVERHEAD,
-    HOLD_BACK,
+    MAX_BACKPRESSURE,
+    BufferAccount,
     CutCause,
-    EventStore,
-    Holding,
+    EventBuffer,
     MemoryBudget,
     slow_client_bytes,
 )
-from postvalve.core.serving.transfer_pace import TransferPace
+from postvalve.core.serving.transfer_rate import MinTransferRate
 from postvalve.exceptions import PostvalveError
 
 LIMIT = 400
@@ -44,15 +44,15 @@
     """One stream, and what should come of it."""
 
     def __init__(self, budget, number):
-        self.holding = Holding(f"t{number % 2}")
-        self.store = EventStore(budget, self.holding)
+        self.holding = BufferAccount(f"t{number % 2}")
+        self.store = EventBuffer(budget, self.holding)
         self.given = []
         self.taken = []
 
     def come(self, size, now):
         """An event comes from the engine, as the shell takes it; returns who was given up."""
         event = bytes([len(self.given) % 251]) * size
-        if self.store.ended or self.store.patience(size, now) > 0:
+        if self.store.ended or self.store.max_wait(size, now) > 0:
             return []
         given_up = self.store.put(event, now)
         if self.holding.cause is None:
@@ -63,7 +63,7 @@
         event = self.store.first()
         if event:
             self.taken.append(event)
-            self.store.drop_first(now)
+            self.store.pop_first(now)
 
 
 class StoreTest(unittest.TestCase):
@@ -111,31 +111,31 @@
 
     def test_a_store_that_stays_full_is_given_up(self):
         budget = MemoryBudget(LIMIT)
-        holding = Holding("t")
-        store = EventStore(budget, holding)
+        holding = BufferAccount("t")
+        store = EventBuffer(budget, holding)
         store.put(b"x" * (budget.stream_limit - EVENT_OVERHEAD), 0.0)
-        self.assertEqual(store.patience(10, 0.0), HOLD_BACK)
-        self.assertAlmostEqual(store.patience(10, 0.5), HOLD_BACK - 0.5)
-        self.assertEqual(store.patience(10, HOLD_BACK), 0.0)
+        self.assertEqual(store.max_wait(10, 0.0), MAX_BACKPRESSURE)
+        self.assertAlmostEqual(store.max_wait(10, 0.5), MAX_BACKPRESSURE - 0.5)
+        self.assertEqual(store.max_wait(10, MAX_BACKPRESSURE), 0.0)
         self.assertIs(holding.cause, CutCause.STORE_FULL)
         self.assertEqual(budget.held, 0)
 
     def test_waits_for_room_count_together(self):
         budget = MemoryBudget(LIMIT)
-        store = EventStore(budget, Holding("t"))
+        store = EventBuffer(budget, BufferAccount("t"))
         full = b"x" * (budget.stream_limit - EVENT_OVERHEAD)
         store.put(full, 0.0)
-        store.patience(10, 0.0)
-        store.drop_first(1.5)
-        self.assertEqual(store.patience(10, 1.5), 0.0)
+        store.max_wait(10, 0.0)
+        store.pop_first(1.5)
+        self.assertEqual(store.max_wait(10, 1.5), 0.0)
         store.put(full, 10.0)
-        self.assertAlmostEqual(store.patience(10, 10.0), HOLD_BACK - 1.5)
+        self.assertAlmostEqual(store.max_wait(10, 10.0), MAX_BACKPRESSURE - 1.5)
 
     def test_an_event_larger_than_a_store_passes_alone(self):
         budget = MemoryBudget(LIMIT)
-        store = EventStore(budget, Holding("t"))
+        store = EventBuffer(budget, BufferAccount("t"))
         size = budget.stream_limit - EVENT_OVERHEAD + 1
-        self.assertEqual(store.patience(size, 0.0), 0.0)
+        self.assertEqual(store.max_wait(size, 0.0), 0.0)
         self.assertEqual(store.put(b"x" * size, 0.0), [])
 
 
@@ -144,7 +144,7 @@
         for size in (2, 20, 40, 200, 2_000):
             with self.subTest(size):
                 budget = MemoryBudget(10_000_000)
-                store = EventStore(budget, Holding("t"))
+                store = EventBuffer(budget, BufferAccount("t"))
                 tracemalloc.start()
                 self.addCleanup(tracemalloc.stop)
                 before, _ = tracemalloc.get_traced_memory()
@@ -159,7 +159,7 @@
         self.budget = MemoryBudget(LIMIT)
 
     def hold(self, tenant, size, now):
-        holding = Holding(tenant)
+        holding = BufferAccount(tenant)
         self.assertEqual(self.budget.take(holding, size, now), [])
         return holding
 
@@ -188,7 +188,7 @@
         self.assertEqual(self.budget.take(first, 150, 100.5), [second])
 
     def test_more_than_the_budget_costs_nobody_else(self):
-        other, asking = self.hold("a", 100, 0.0), Holding("b")
+        other, asking = self.hold("a", 100, 0.0), BufferAccount("b")
         self.assertEqual(self.budget.take(asking, LIMIT + 1, 1.0), [asking])
         self.assertIsNone(other.cause)
 
@@ -202,25 +202,25 @@
 
 class TransferPaceTest(unittest.TestCase):
     def test_a_body_may_fall_behind_for_a_while(self):
-        pace = TransferPace(RATE, 3.0, 10.0)
-        self.assertEqual(pace.left(10.0), 3.0)
-        self.assertEqual(pace.left(13.0), 0.0)
+        pace = MinTransferRate(RATE, 3.0, 10.0)
+        self.assertEqual(pace.seconds_left(10.0), 3.0)
+        self.assertEqual(pace.seconds_left(13.0), 0.0)
 
     def test_what_came_early_is_no_credit(self):
-        pace = TransferPace(RATE, 3.0, 0.0)
-        pace.went(4_000_000, 0.0)
-        self.assertEqual(pace.left(0.0), 3.0)
+        pace = MinTransferRate(RATE, 3.0, 0.0)
+        pace.record(4_000_000, 0.0)
+        self.assertEqual(pace.seconds_left(0.0), 3.0)
 
     def test_the_slowest_pace_goes_on_forever(self):
-        pace = TransferPace(RATE, 3.0, 0.0)
+        pace = MinTransferRate(RATE, 3.0, 0.0)
         for second in range(1, 100):
-            pace.went(RATE, float(second))
-            self.assertGreater(pace.left(float(second)), 0.0)
+            pace.record(RATE, float(second))
+            self.assertGreater(pace.seconds_left(float(second)), 0.0)
 
     def test_bytes_one_by_one_are_too_slow(self):
-        pace = TransferPace(RATE, 3.0, 0.0)
-        pace.went(1, 2.9)
-        self.assertLess(pace.left(5.8), 0.0)
+        pace = MinTransferRate(RATE, 3.0, 0.0)
+        pace.record(1, 2.9)
+        self.assertLess(pace.seconds_left(5.8), 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -10,7 +10,7 @@
 import json
 import unittest
 
-from postvalve.core.admission.quarantine import Quarantine, Ruling
+from postvalve.core.admission.quarantine import Quarantine, RunPermission
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.gateway.interfaces import KeyedRecord
@@ -69,7 +69,7 @@
         return all(one == first for one in others)
 
     def test_a_repeated_request_crashes_few_engines(self):
-        self.fleet.make_fragile(FATAL, reborn=True)
+        self.fleet.crash_on_body(FATAL, reborn=True)
         for number in range(16):
             self.send(f"n{number % self.nodes}", FATAL, number)
             wait_until(self.all_know_the_same)
@@ -133,32 +133,32 @@
         self.quarantine = Quarantine("n0")
 
     def end(self, born, at):
-        return self.quarantine.note_end(self.request, EngineLife.of("e", born), at, at)
+        return self.quarantine.record_end(self.request, EngineLife.of("e", born), at, at)
 
     def ruling(self, now):
-        return self.quarantine.rule(self.request, now).ruling
+        return self.quarantine.check_request(self.request, now).permission
 
     def test_each_failed_instance_counts(self):
         for number in range(HOLD_AFTER_ENDS):
             self.assertTrue(self.end(number + 1, float(number)))
-        self.assertIs(self.ruling(3.0), Ruling.HELD)
+        self.assertIs(self.ruling(3.0), RunPermission.HELD)
 
     def test_an_answer_clears_only_the_instance_that_is_still_listed_later(self):
         for number in range(HOLD_AFTER_ENDS):
             self.end(number + 1, 1.0)
         # The answers came from the same address, but from the next instances.
         for number in range(HOLD_AFTER_ENDS):
-            self.quarantine.note_alive(EngineLife.of("e", number + 1), 1.5, 1.6)
-        self.quarantine.confirm(lambda life: True, 1.6)
-        self.assertIs(self.ruling(2.0), Ruling.HELD)
-        self.quarantine.confirm(lambda life: life.born == 3, 9.0)
-        self.assertEqual(self.quarantine.rule(self.request, 9.0).ends, 2)
+            self.quarantine.record_alive(EngineLife.of("e", number + 1), 1.5, 1.6)
+        self.quarantine.confirm_alive(lambda life: True, 1.6)
+        self.assertIs(self.ruling(2.0), RunPermission.HELD)
+        self.quarantine.confirm_alive(lambda life: life.born == 3, 9.0)
+        self.assertEqual(self.quarantine.check_request(self.request, 9.0).ends, 2)
 
     def test_a_directory_that_is_old_confirms_nothing(self):
         self.end(1, 1.0)
-        self.quarantine.note_alive(EngineLife.of("e", 1), 1.5, 1.6)
+        self.quarantine.record_alive(EngineLife.of("e", 1), 1.5, 1.6)
         for _ in range(3):
-            self.quarantine.confirm(lambda life: True, 2.0)
-        self.assertEqual(len(self.quarantine.case(self.request.digest).engines()), 1)
-        self.quarantine.confirm(lambda life: True, 2.7)
-        self.assertEqual(len(self.quarantine.case(self.request.digest).engines()), 0)
+            self.quarantine.confirm_alive(lambda life: True, 2.0)
+        self.assertEqual(len(self.quarantine.entry(self.request.digest).engines()), 1)
+        self.quarantine.confirm_alive(lambda life: True, 2.7)
+        self.assertEqual(len(self.quarantine.entry(self.request.digest).engines()), 0)
--- a/tests/test_relayed_topics.py
+++ b/tests/test_relayed_topics.py
@@ -9,14 +9,14 @@
 
 from postvalve.core.membership.load_report import LoadReport
 from postvalve.core.membership.peers import PeerView
-from postvalve.core.membership.store_path import (
+from postvalve.core.membership.store_reachability import (
     AVOID_TIME,
     FAILING_AFTER,
     HEARD_WITHIN,
     PROBE_INTERVAL,
     AvoidedPeers,
-    RelayPatience,
-    StorePath,
+    RelayTimeout,
+    StoreReachability,
     relay_address,
 )
 from postvalve.emulator.keyed_topics import MemoryTopics
@@ -31,7 +31,7 @@
 from postvalve.gateway.knowledge.relayed_topics import RelayedTopics, RelayServer
 from postvalve.gateway.metrics import GatewayMetrics
 from postvalve.messages.generated import gateway
-from tests.gateway_support import BATCH_PATH, OwnTopics, QuietLog
+from tests.gateway_support import BATCH_PATH, FaultyTopics, RecordingEventLog
 from tests.test_gateway_jobs import JobCase, whole_text
 from tests.waiting import wait_until
 
@@ -50,12 +50,12 @@
 
 class StorePathTest(unittest.TestCase):
     def test_single_failures_change_nothing(self):
-        path = StorePath()
+        path = StoreReachability()
         changes = [path.note(answered) for answered in (False, True, False, True)]
         self.assertEqual((changes, path.failing), ([False] * 4, False))
 
     def test_failures_in_a_row_and_one_answer_change_it(self):
-        path = StorePath()
+        path = StoreReachability()
         changes = [path.note(False) for _ in range(FAILING_AFTER + 1)]
         self.assertEqual(changes.count(True), 1)
         self.assertTrue(path.failing)
@@ -63,10 +63,10 @@
         self.assertFalse(path.failing)
 
     def test_a_store_out_of_reach_is_tried_now_and_then(self):
-        path = StorePath()
+        path = StoreReachability()
         for _ in range(FAILING_AFTER):
             path.note(False)
-        tried = [path.try_own(number * PROBE_INTERVAL / 4) for number in range(9)]
+        tried = [path.use_direct(number * PROBE_INTERVAL / 4) for number in range(9)]
         self.assertEqual(tried, [True, False, False, False] * 2 + [True])
 
     def test_a_peer_of_the_zone_that_reaches_the_store(self):
@@ -93,7 +93,7 @@
         self.assertNotIn("at-a", avoided.at(5.0 + AVOID_TIME))
 
     def test_patience_grows_only_where_several_do_not_answer(self):
-        patience, seconds = RelayPatience(), []
+        patience, seconds = RelayTimeout(), []
         for answered in (False, False, False, False, True, False):
             seconds.append(patience.seconds)
             patience.note(answered)
@@ -127,17 +127,17 @@
 class RelayedTopicsTest(unittest.TestCase):
     def setUp(self):
         self.store = MemoryTopics()
-        self.own = OwnTopics(self.store)
+        self.own = FaultyTopics(self.store)
         self.transport = PeerTransport(RelayServer(self.store))
         self.peers = view(report("a"))
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         self.metrics = GatewayMetrics()
         self.topics = RelayedTopics(
             self.own, "z", Clock(), self.log, self.transport, self.peers, self.metrics
         )
 
     def cut(self, verdict=Verdict.NOT_RUN):
-        self.own.cut = verdict
+        self.own.outage_verdict = verdict
         for _ in range(FAILING_AFTER):
             self.topics.read("t", 0, 0, 0.0, 100)
         self.assertTrue(self.topics.failing)
@@ -166,21 +166,21 @@
             self.topics.read("t", 0, 0, 0.0, 100)
 
     def test_an_append_that_may_be_done_is_not_repeated_by_a_peer(self):
-        self.own.cut = Verdict.MAY_HAVE_RUN
+        self.own.outage_verdict = Verdict.MAY_HAVE_RUN
         with self.assertRaises(StoreUnavailableError) as error:
             self.topics.append("t", 0, [KeyedRecord("k", b"v")])
         self.assertIs(error.exception.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(self.transport.calls, 0)
 
     def test_a_refused_append_is_made_by_a_peer(self):
-        self.own.cut = Verdict.NOT_RUN
+        self.own.outage_verdict = Verdict.NOT_RUN
         self.assertEqual(self.topics.append("t", 0, [KeyedRecord("k", b"v")]), 0)
 
     def test_nobody_is_asked_when_no_peer_reaches_the_store(self):
         self.peers.observe(
             LoadReport(node_id="a", incarnation=1, sequence=2, store_failing=True), 0.0
         )
-        self.own.cut = Verdict.NOT_RUN
+        self.own.outage_verdict = Verdict.NOT_RUN
         with self.assertRaises(StoreUnavailableError):
             self.topics.newest("t", 0)
         self.assertEqual(self.transport.calls, 0)
@@ -203,7 +203,7 @@
 
     def test_the_way_back_is_told_and_used(self):
         self.cut()
-        self.own.cut = None
+        self.own.outage_verdict = None
         self.topics.read("t", 0, 0, 0.0, 100)
         gevent.sleep(0)
         self.assertFalse(self.topics.failing)
@@ -224,25 +224,25 @@
         for _ in range(3):
             self.assertEqual(self.topics.read("t", 0, 0, 0.0, 100).next_offset, 0)
             gevent.sleep(0)
-        self.assertEqual(self.own.held, 1)
+        self.assertEqual(self.own.hung_calls, 1)
         self.assertTrue(self.topics.failing)
 
     @given(st.lists(st.booleans(), max_size=30))
     def test_a_cut_loses_and_doubles_no_append(self, cuts):
         """Against the store alone: the same records in the same order."""
         store = MemoryTopics()
-        own = OwnTopics(store)
+        own = FaultyTopics(store)
         topics = RelayedTopics(
             own,
             "z",
             Clock(),
-            QuietLog(),
+            RecordingEventLog(),
             PeerTransport(RelayServer(store)),
             view(report("a")),
             GatewayMetrics(),
         )
         for number, cut in enumerate(cuts):
-            own.cut = Verdict.NOT_RUN if cut else None
+            own.outage_verdict = Verdict.NOT_RUN if cut else None
             topics.append("t", 0, [KeyedRecord(f"k{number}", b"v")])
         keys = [one.key for one in store.partition("t", 0).log]
         self.assertEqual(keys, [f"k{number}" for number in range(len(cuts))])
@@ -277,7 +277,7 @@
         for verdict in (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN):
             with self.subTest(verdict=verdict):
                 job_id = f"j-{verdict.value}"
-                self.fleet.own_topics["n0"].cut = verdict
+                self.fleet.node_topics["n0"].outage_verdict = verdict
                 topics = self.fleet.nodes["n0"]._topics
                 wait_until(lambda topics=topics: topics.failing)
                 self.assertEqual(self.submit("n0", job_id).status, 202)
@@ -289,13 +289,13 @@
                 revision = self.fleet._version
                 holder = self.fleet.nodes["n0"].configuration
                 wait_until(lambda holder=holder, to=revision: holder.revision == to)
-                self.fleet.own_topics["n0"].cut = None
+                self.fleet.node_topics["n0"].outage_verdict = None
                 wait_until(lambda topics=topics: not topics.failing)
         self.assertEqual(len(self.runs()), 6)
 
     def test_a_job_that_came_to_a_cut_node_is_found_everywhere(self):
         self.usual(silent=True)
-        self.fleet.own_topics["n0"].cut = Verdict.NOT_RUN
+        self.fleet.node_topics["n0"].outage_verdict = Verdict.NOT_RUN
         self.assertEqual(self.submit("n0", "j").status, 202)
         for node in ("n0", "n1", "n2"):
             answer = self.fleet.request(node, "/api/items/j?id=j-1", method="GET")
--- a/tests/test_requests_that_end_engines.py
+++ b/tests/test_requests_that_end_engines.py
@@ -16,8 +16,8 @@
 import gevent
 
 from postvalve.core.admission.quarantine import (
-    BEGIN_TIME,
-    ENOUGH_VARIANTS,
+    FATAL_START_TIME,
+    HOLD_ALL_VARIANTS_AFTER,
     HOLD_TIME,
     Quarantine,
 )
@@ -27,7 +27,13 @@
 from postvalve.gateway.jobs.item_progress import PROGRESS_TOPIC
 from postvalve.gateway.serving.routed_run import RoutedRun, RunServices
 from postvalve.messages.generated import gateway
-from tests.gateway_support import BATCH_PATH, STREAM_PATH, GatewayFleet, QuietLog, SuspendedClock
+from tests.gateway_support import (
+    BATCH_PATH,
+    STREAM_PATH,
+    GatewayFleet,
+    RecordingEventLog,
+    SuspendedClock,
+)
 from tests.stand_in_engine import Behaviour
 from tests.test_gateway_jobs import job_body
 from tests.waiting import wait_until
@@ -45,7 +51,7 @@
     def setUp(self):
         self.fleet = GatewayFleet(self.nodes, self.engines, **self.configuration)
         self.addCleanup(self.fleet.stop)
-        self.fleet.make_fragile(FATAL)
+        self.fleet.crash_on_body(FATAL)
         self.wait_for_peers()
 
     def wait_for_peers(self):
@@ -93,7 +99,7 @@
                 headers=[("Length-Hint", str(number))],
             )
             self.wait_for_news()
-        self.assertLessEqual(len(self.ended()), ENOUGH_ENDS + ENOUGH_VARIANTS - 1)
+        self.assertLessEqual(len(self.ended()), ENOUGH_ENDS + HOLD_ALL_VARIANTS_AFTER - 1)
 
 
 class FailureTest(FatalRequestCase):
@@ -133,20 +139,20 @@
 
         def await_engines(service, patience):
             for number in range(ENOUGH_ENDS):
-                quarantine.note_end(identity, f"e{number}", 0.0, 0.0)
+                quarantine.record_end(identity, f"e{number}", 0.0, 0.0)
             return True
 
         pool = mock.Mock()
         services = RunServices(
             clock=mock.Mock(**{"monotonic.return_value": 0.0}),
-            events=QuietLog(),
+            events=RecordingEventLog(),
             fleet=mock.Mock(**{"engines.return_value": [], "await_engines": await_engines}),
             pool=pool,
             dialect=mock.Mock(
                 **{"identify.return_value": identity, "attempt_headers.return_value": []}
             ),
             metrics=mock.Mock(),
-            waiting_room=mock.Mock(),
+            admission_queue=mock.Mock(),
             quarantine=quarantine,
             limits=mock.Mock(),
         )
@@ -154,7 +160,7 @@
         request = mock.Mock(
             method="POST", target="/x", body=b"", arrived_at=0.0, deadline=5.0, route=route
         )
-        pool.start.side_effect = AssertionError("it was sent")
+        pool.send_request.side_effect = AssertionError("it was sent")
         with self.assertRaises(QuarantinedError):
             RoutedRun(services, request).start()
 
@@ -237,7 +243,7 @@
         self.fleet.start_node("n9")
         node = self.fleet.nodes["n9"]
         wait_until(lambda: len(node.peers.all()) == self.nodes)
-        node._quarantine._cases.clear()
+        node._quarantine._entries.clear()
         for name in [name for name in self.fleet.nodes if name != "n9"]:
             self.fleet.kill(name)
         wait_until(lambda: node.status_document()["quarantine"])
@@ -249,10 +255,10 @@
         self.fleet.start_node("n9", clock=stalled)
         node = self.fleet.nodes["n9"]
         wait_until(lambda: node.ready)
-        node._quarantine._cases.clear()
+        node._quarantine._entries.clear()
         for one in self.fleet.nodes.values():
-            one._sharing._tell = lambda *arguments: None
-        stalled.suspended += 7.0
+            one._quarantine_gossip._tell = lambda *arguments: None
+        stalled.suspended_seconds += 7.0
         wait_until(lambda: node.status_document()["quarantine"])
         self.assertIn(b"request_quarantined", self.send_fatal("n9", number).body)
 
@@ -260,9 +266,9 @@
         self.hold_back()
         self.spare_engines()
         for node in self.fleet.nodes.values():
-            case = node._quarantine.case(node._quarantine.digests()[0])
-            for fact in case.facts.values():
-                fact.ended_at -= HOLD_TIME
+            entry = node._quarantine.entry(node._quarantine.digests()[0])
+            for failure in entry.failures.values():
+                failure.ended_at -= HOLD_TIME
         wait_until(lambda: self.serve("n0", body=FATAL).status == 200)
         for node in self.fleet.nodes:
             wait_until(lambda node=node: self.serve(node, body=FATAL).status == 200, 3.0)
@@ -292,7 +298,7 @@
             gevent.spawn(self.fleet.request, f"n{number % 3}", STREAM_PATH + "long", body=b"long")
             for number in range(8)
         ]
-        gevent.sleep(BEGIN_TIME + 0.4)
+        gevent.sleep(FATAL_START_TIME + 0.4)
         for engine in self.fleet.engines[:4]:
             engine.end()
         gevent.joinall(clients)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -20,7 +20,7 @@
     AnswerPatience,
     PlatformStore,
 )
-from tests.gateway_support import STREAM_PATH, GatewayFleet, QuietLog
+from tests.gateway_support import STREAM_PATH, GatewayFleet, RecordingEventLog
 from tests.ports import free_port
 from tests.soak.proxy import Proxy
 from tests.stand_in_engine import Behaviour, StandInEngine
@@ -82,12 +82,12 @@
 class PeerTest(unittest.TestCase):
     def setUp(self):
         port = free_port()
-        self.server = NetworkTransport(f"127.0.0.1:{port}", QuietLog())
+        self.server = NetworkTransport(f"127.0.0.1:{port}", RecordingEventLog())
         self.server.serve(self.answer, lambda data, sender: None)
         self.addCleanup(self.server.stop)
         self.proxy = Proxy(port)
         self.addCleanup(self.proxy.stop)
-        self.client = NetworkTransport(f"127.0.0.1:{free_port()}", QuietLog())
+        self.client = NetworkTransport(f"127.0.0.1:{free_port()}", RecordingEventLog())
         self.addCleanup(self.client.stop)
         self.hold = 0.0
 
@@ -146,7 +146,9 @@
         )
         deadline = SystemClock().monotonic() + 5.0
         address = f"127.0.0.1:{self.proxy.port}"
-        answer = self.pool.start(address, request, deadline, wanted=lambda: True, **options)
+        answer = self.pool.send_request(
+            address, request, deadline, still_usable=lambda: True, **options
+        )
         try:
             answer.read_head(patience)
             while answer.read_event(patience):
@@ -165,7 +167,7 @@
         with self.assertRaises(AttemptError):
             self.send(patience=0.2)
         self.send()
-        self.send(fresh=True)
+        self.send(new_connection=True)
         self.assertEqual(self.proxy.accepted, 3)
 
 
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent import socket
 
-from postvalve.core.serving.read_ahead import EVENT_OVERHEAD
+from postvalve.core.serving.client_buffer import EVENT_OVERHEAD
 from postvalve.events import Event
 from tests.answers import parse_answer, read_answer
 from tests.gateway_support import HOST, ONCE_PATH, STREAM_PATH, GatewayFleet
@@ -254,7 +254,7 @@
         wait_until(lambda: self.held() > 10 * PADDING)
         holding = self.budget.holdings()[0]
         self.budget.limit = self.held()
-        self.node.slow_clients.take(holding, 1)
+        self.node.slow_clients.hold(holding, 1)
         wait_until(lambda: self.placed() == 0, 1.0)
         wait_until(lambda: sum(engine.cut_by_peer for engine in self.fleet.engines) == 1)
         self.assertFalse(read_answer(connection).whole)
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -47,12 +47,12 @@
 
     def test_what_it_knew_before_is_as_old_as_the_suspension(self):
         wait_until(lambda: self.node.status_document()["knowledge"]["directory_age"] < 1.5)
-        self.fleet.own_topics["n1"].silent = True
-        self.clock.suspended += 7.0
+        self.fleet.node_topics["n1"].silent = True
+        self.clock.suspended_seconds += 7.0
         self.assertGreaterEqual(self.node.status_document()["knowledge"]["directory_age"], 7.0)
 
     def test_peers_get_their_time_anew(self):
-        self.clock.suspended += 7.0
+        self.clock.suspended_seconds += 7.0
         gevent.sleep(1.0)
         self.assertEqual(len(self.node.peers.all()), 1)
         self.assertEqual(self.fleet.events("n1", Event.PEER_SILENT), [])
@@ -62,7 +62,7 @@
         connection = self.fleet.open("n1", STREAM_PATH, headers=[("Deadline-Ms", "3000")])
         self.addCleanup(connection.close)
         wait_until(lambda: self.fleet.engines[0].running)
-        self.clock.suspended += 7.0
+        self.clock.suspended_seconds += 7.0
         answer = read_answer(connection)
         self.assertIn(answer.status, (502, 504))
 
@@ -90,7 +90,7 @@
 
     def serve(self, environ, start_response):
         environ["wsgi.input"].read()
-        self.clock.suspended += self.suspension
+        self.clock.suspended_seconds += self.suspension
         content = json.dumps({"offset": 1, "end": 2}).encode()
         start_response("200 OK", [("Content-Length", str(len(content)))])
         return [content]
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -7,14 +7,14 @@
 
 from postvalve.core.admission.fleet_limits import (
     SETTLE_TIME,
+    CreditDecision,
+    CreditOutcome,
     FleetLimits,
-    Lending,
     LimitTerms,
-    Loan,
 )
 from postvalve.core.scheduling.fair_share import Work
 from postvalve.events import Event
-from postvalve.gateway.serving.tenant_credit import ASK_PATIENCE
+from postvalve.gateway.serving.tenant_credit import CALL_TIMEOUT
 from postvalve.messages.generated import gateway
 from tests.gateway_support import STREAM_PATH, GatewayFleet
 from tests.waiting import PATIENCE, wait_until
@@ -71,7 +71,7 @@
         super().setUp()
         # All nodes of a test share one process: a busy machine would make each of them late.
         for node in self.fleet.nodes.values():
-            node._limits.first_patience = node._limits.patience = PATIENCE
+            node._limits.primary_timeout = node._limits.call_timeout = PATIENCE
 
     def test_a_flood_at_all_nodes_is_held_to_one_limit(self):
         answers = self.flood(["n0", "n1", "n2"], 90)
@@ -107,16 +107,16 @@
         first, second = self.choices()
         (other,) = {"n0", "n1", "n2"} - {first, second}
         limits = self.fleet.nodes[first]._limits.limits
-        lend = limits.lend
+        lend = limits.try_acquire
 
         def lend_late(*arguments):
             gevent.sleep(LATE)
             return lend(*arguments)
 
-        limits.lend = lend_late
+        limits.try_acquire = lend_late
         # A busy machine makes any answer of this one process late.
-        self.assertGreater(ASK_PATIENCE, 2 * LATE)
-        self.fleet.nodes[other]._limits.patience = PATIENCE
+        self.assertGreater(CALL_TIMEOUT, 2 * LATE)
+        self.fleet.nodes[other]._limits.call_timeout = PATIENCE
         # The bucket holds more than these, the second choice's part of it does not.
         self.assertEqual({one.status for one in self.flood([other], 10)}, {200})
         self.assertEqual(self.fleet.events(other, Event.LIMIT_UNKNOWN), [])
@@ -128,7 +128,7 @@
         (other,) = {"n0", "n1", "n2"} - {first, second}
         self.fleet.kill(first)
         self.assertEqual(self.send(other).status, 200)
-        wait_until(lambda: self.fleet.nodes[other]._limits.limits.heard == 2)
+        wait_until(lambda: self.fleet.nodes[other]._limits.limits.live_nodes == 2)
         gevent.sleep(2.0)
         self.assertEqual({self.send(other).status for _ in range(3)}, {200})
 
@@ -137,7 +137,7 @@
         credit = self.fleet.nodes[self.choices()[1]]._limits
         ask = gateway.CreditAsk(tenant="ann", rate=RATE, burst=BURST, revision=1)
         told = {credit.reply(ask).lending for _ in range(20)}
-        self.assertEqual(told, {Lending.LENT.value, Lending.NOT_MINE.value})
+        self.assertEqual(told, {CreditOutcome.GRANTED.value, CreditOutcome.NOT_OWNER.value})
 
     def test_a_leaving_node_lends_no_more(self):
         first = self.choices()[0]
@@ -189,15 +189,15 @@
         """A node that others heard before this one lends now: this one will hear it in a moment."""
         self.refuse()
         self.credit._silent_until.clear()
-        elsewhere = gateway.CreditReply(lending=Lending.NOT_MINE.value)
+        elsewhere = gateway.CreditReply(lending=CreditOutcome.NOT_OWNER.value)
         self.credit._call = lambda node_id, address, ask: elsewhere
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_what_a_second_choice_has_not_left_is_no_limit_reached(self):
         self.refuse()
-        over = Loan(Lending.OVER, 3.0, 0.25)
+        over = CreditDecision(CreditOutcome.OVER_LIMIT, 3.0, 0.25)
         self.credit._ask = lambda node_id, tenant, work: (
-            over if node_id == self.choices()[1] else Loan(Lending.NOT_MINE)
+            over if node_id == self.choices()[1] else CreditDecision(CreditOutcome.NOT_OWNER)
         )
         self.assertEqual(self.send(self.node).status, 503)
 
@@ -209,7 +209,7 @@
         for name, node in self.fleet.nodes.items():
             now = node._clock.monotonic()
             node._limits.limits = FleetLimits(name, now)
-            node._limits.look()
+            node._limits.update_view()
 
     def test_a_request_waits_for_the_first_credit(self):
         self.start_anew()
@@ -232,7 +232,7 @@
     def take_over(self, tenant):
         """Let the lender have a tenant since this moment; returns it."""
         lender = self.fleet.nodes[self.choices(tenant)[0]]
-        lender._limits.limits._forget(lender._clock.monotonic())
+        lender._limits.limits._drop_all(lender._clock.monotonic())
         return lender._limits
 
     def test_one_far_below_its_limit_is_let_in(self):
@@ -243,8 +243,8 @@
 
     def test_credit_that_takes_longer_is_not_waited_for(self):
         lender = self.take_over("ann")
-        lend, looks = lender.limits.lend, itertools.count(1)
-        lender.limits.lend = lambda *arguments: (next(looks), lend(*arguments))[1]
+        lend, looks = lender.limits.try_acquire, itertools.count(1)
+        lender.limits.try_acquire = lambda *arguments: (next(looks), lend(*arguments))[1]
         loan = lender._lend("ann", LimitTerms(RATE, BURST), Work(1.0))
-        self.assertIs(loan.lending, Lending.OVER)
+        self.assertIs(loan.outcome, CreditOutcome.OVER_LIMIT)
         self.assertEqual(next(looks), 2)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -163,7 +163,7 @@
 class CutOffTest(TenantCase):
     def test_a_node_that_may_have_missed_a_key_does_not_call_it_unknown(self):
         """The client of a new key was told 401 for good by a node that was cut off."""
-        self.fleet.own_topics["n0"].silent = self.fleet.own_topics["n1"].silent = True
+        self.fleet.node_topics["n0"].silent = self.fleet.node_topics["n1"].silent = True
         wait_until(
             lambda: (
                 self.send(key("a key of tomorrow")).status == 503
--- a/tests/test_topic_follower.py
+++ b/tests/test_topic_follower.py
@@ -13,7 +13,7 @@
 from postvalve.exceptions import Verdict
 from postvalve.gateway.interfaces import KeyedRecord, StoreUnavailableError, TopicSlice
 from postvalve.gateway.knowledge.topic_follower import TopicFollower
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 from tests.waiting import wait_until
 
 
@@ -39,7 +39,7 @@
     def setUp(self):
         self.topics = self.topics_class()
         self.seen = {}
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         self.follower = TopicFollower(
             self.topics, SystemClock(), self.log, "t", self.observe, wait=0.2, pause=0.01
         )
@@ -169,7 +169,7 @@
         def session(loop):
             clock = VirtualClock(loop)
             follower = TopicFollower(
-                LateTopics(), clock, QuietLog(), "t", lambda *_: None, wait=0.8, pause=9.0
+                LateTopics(), clock, RecordingEventLog(), "t", lambda *_: None, wait=0.8, pause=9.0
             )
             follower.catch_up()
             gevent.spawn(follower.run)
@@ -200,11 +200,11 @@
         self.follower.catch_up()
         record = KeyedRecord("own", b"v")
         offset = self.topics.append("t", 0, [record])
-        self.assertTrue(self.follower.note_own([record], offset))
+        self.assertTrue(self.follower.record_own_write([record], offset))
         self.assertEqual(sorted(self.seen), ["a", "own"])
         self.add("b")
         offset = self.topics.append("t", 0, [record])
-        self.assertFalse(self.follower.note_own([record], offset))
+        self.assertFalse(self.follower.record_own_write([record], offset))
         self.follower.catch_up()
         self.assertEqual(sorted(self.seen), ["a", "b", "own"])
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -4,20 +4,20 @@
 
 from postvalve.events import Event
 from postvalve.node.transport import NetworkTransport
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 from tests.ports import free_port
 from tests.waiting import wait_until
 
 
 class DatagramTest(unittest.TestCase):
     def setUp(self):
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         self.received = []
         self.address = f"127.0.0.1:{free_port()}"
         self.receiver = NetworkTransport(self.address, self.log)
         self.receiver.serve(lambda message: message, self.take)
         self.addCleanup(self.receiver.stop)
-        self.sender = NetworkTransport(f"127.0.0.1:{free_port()}", QuietLog())
+        self.sender = NetworkTransport(f"127.0.0.1:{free_port()}", RecordingEventLog())
         self.sender.serve(lambda message: message, lambda data, sender: None)
         self.addCleanup(self.sender.stop)
 
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -20,7 +20,7 @@
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.interfaces import EngineEntry, EngineState, RequestTerms
 from postvalve.services.engine import EngineAttempt
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 SERVICE = "s"
 SLOTS = 8
@@ -82,13 +82,13 @@
 
     def node(self, number):
         clock = VirtualClock(self.loop)
-        fleet = EngineFleet("z", clock, QuietLog(), None, random.Random(number))
+        fleet = EngineFleet("z", clock, RecordingEventLog(), None, random.Random(number))
         fleet.update(
             EngineEntry(life, SERVICE, f"{life}:1", "z", SLOTS, EngineState.READY)
             for life in self.engines
         )
         if not self.load.learns:
-            fleet.paces.uneven = lambda service: False
+            fleet.paces.reports_pace = lambda service: False
         return fleet
 
     def run(self):
@@ -105,12 +105,12 @@
     def report(self, name, fleet):
         while True:
             gevent.sleep(REPORTS)
-            use, pace = fleet.use.report(), fleet.paces.tell(NODES - 1)
+            use, pace = fleet.use.report(), fleet.paces.pack_report(NODES - 1)
             for other in self.nodes:
                 if other is not fleet:
                     other.use.observe(name, use)
-                    other.paces.hear(name, pace)
-            fleet.paces.look()
+                    other.paces.receive(name, pace)
+            fleet.paces.update()
 
     def request(self, fleet):
         started = self.loop.now()
@@ -123,28 +123,28 @@
         stream = engine.submit(EngineAttempt(number, number, body, 0, ""), self.place)
         for _ in itertools.islice(stream.events(), EVENTS):
             now = self.loop.now()
-            times.asked_at = now - 1.0
-            times.note_event(now)
+            times.requested_at = now - 1.0
+            times.record_event(now)
             if times.events == 1:
-                self.note_first(fleet, placement, engine, now - started)
+                self.record_first(fleet, placement, engine, now - started)
         pace = fleet.pace(SERVICE)
-        pace.observe_held(self.loop.now() - started)
-        fleet.paces.note_end(placement, times)
-        fleet.leave(placement)
+        pace.observe_slot_time(self.loop.now() - started)
+        fleet.paces.record_end(placement, times)
+        fleet.release(placement)
 
-    def note_first(self, fleet, placement, engine, seconds):
+    def record_first(self, fleet, placement, engine, seconds):
         now = self.loop.now()
         if now > WARM_UP:
             self.firsts.append(seconds)
             self.placed[placement.engine.life] += 1
-        fleet.note_read(placement)
+        fleet.record_prompt_read(placement)
         if self.load.tells:
             load = engine.model.load()
             told = EngineLoad(now, load.running, load.waiting, SLOTS, engine.pace())
-            fleet.paces.note_load(placement, told)
-        fleet.paces.note_first_event(placement, seconds)
+            fleet.paces.record_load(placement, told)
+        fleet.paces.record_first_event(placement, seconds)
         if placement.found_slot:
-            fleet.pace(SERVICE).observe_first(placement.to_read, seconds)
+            fleet.pace(SERVICE).observe_first_event(placement.to_read, seconds)
 
 
 def play(speeds, noise, seed=1, **changes):
@@ -180,8 +180,8 @@
         """What attempts show in heaps makes equal engines look as if they differed."""
         session = play(EVEN_SPEEDS, NOISE, tells=False)
         for fleet in session.nodes:
-            self.assertFalse(fleet.paces.uneven(SERVICE))
-            self.assertEqual(fleet.paces.tell(NODES - 1), b"")
+            self.assertFalse(fleet.paces.reports_pace(SERVICE))
+            self.assertEqual(fleet.paces.pack_report(NODES - 1), b"")
             self.assertFalse([one for one in fleet._events.written if "DIFFERS" in one[0].name])
 
 
--- a/tests/test_unknown_messages.py
+++ b/tests/test_unknown_messages.py
@@ -18,7 +18,7 @@
 from postvalve.messages.generated import gateway, peer
 from postvalve.node.passed_over import TOLD_INTERVAL
 from postvalve.node.peer_link import Channel, PeerClients, PeerServer, read_frame
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 from tests.ports import free_port
 
 LATER_KIND = 250
@@ -28,7 +28,7 @@
 
 class CallTest(unittest.TestCase):
     def setUp(self):
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         address = f"127.0.0.1:{free_port()}"
         server = PeerServer(address, lambda message: gateway.RevisionReply(revision=9), self.log)
         server.start()
@@ -95,7 +95,7 @@
 
 class DatagramTest(unittest.TestCase):
     def setUp(self):
-        self.log, self.now = QuietLog(), 0.0
+        self.log, self.now = RecordingEventLog(), 0.0
         self.peers = PeerView("me")
         fleet = mock.Mock(use=EngineUse(), listed_engines=list)
         identity = gateway.NodeStarted(node_id="me", incarnation=1, zone="z")
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -2,15 +2,15 @@
 
 import unittest
 
-from postvalve.core.scheduling.weights import weights_of
+from postvalve.core.scheduling.weights import tenant_weights
 from postvalve.settings.routes import RoutedTenant
 
 
 class WeightTest(unittest.TestCase):
     def test_rates_weigh_where_every_tenant_has_one(self):
         tenants = (RoutedTenant(name="a", rate=4.0), RoutedTenant(name="b", rate=1.0))
-        self.assertEqual(weights_of(tenants), {"a": 4.0, "b": 1.0})
+        self.assertEqual(tenant_weights(tenants), {"a": 4.0, "b": 1.0})
 
     def test_all_count_alike_where_one_has_none(self):
         tenants = (RoutedTenant(name="a", rate=4.0), RoutedTenant(name="b"))
-        self.assertEqual(weights_of(tenants), {"a": 1.0, "b": 1.0})
+        self.assertEqual(tenant_weights(tenants), {"a": 1.0, "b": 1.0})
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from postvalve.core.admission.engine_use import EngineUse
-from postvalve.core.batch.giving_way import RunningItems, encode_running, encode_zone_running
+from postvalve.core.batch.preemption import PeerRunningItems, encode_running, encode_zone_running
 from postvalve.core.membership.load_report import LoadReport, RunningItem
 from postvalve.core.membership.peers import (
     REPORTER_SILENT_AFTER,
@@ -26,19 +26,19 @@
     unpack_digest,
 )
 from postvalve.core.membership.zone_reporting import (
-    DIRECT_PEERS,
     HEARD_WITHIN,
     LISTEN_TIME,
     MAX_DIGEST_INTERVAL,
+    MAX_DIRECT_PEERS,
     MEMBERS_INTERVAL,
     ZoneReporting,
-    tells_by_digest,
+    uses_digests,
 )
 from postvalve.events import Event
 from postvalve.gateway.fleet.load_reports import LoadReports
 from postvalve.gateway.fleet.peer_services import PeerServices
 from postvalve.messages.generated import gateway
-from tests.gateway_support import QuietLog
+from tests.gateway_support import RecordingEventLog
 
 NAMES = st.text(max_size=30)
 COUNTS = st.integers(0, 2**31)
@@ -112,27 +112,27 @@
 
     def test_nodes_of_a_zone_can_run_jobs_while_its_digests_arrive(self):
         self.view.observe_zone(digest(member("a"), member("b", 7)), 0.0)
-        self.assertTrue(self.view.works("a", 1) and self.view.works("b", 7))
-        self.assertFalse(self.view.works("b", 8))
+        self.assertTrue(self.view.can_run_jobs("a", 1) and self.view.can_run_jobs("b", 7))
+        self.assertFalse(self.view.can_run_jobs("b", 8))
         self.assertEqual(self.view.expire(ZONE_SILENT_AFTER - 0.1).zones, [])
         self.view.expire(ZONE_SILENT_AFTER - 0.05)
         self.assertEqual(self.view.expire(ZONE_SILENT_AFTER + 0.1).zones, ["far"])
-        self.assertFalse(self.view.works("a", 1))
+        self.assertFalse(self.view.can_run_jobs("a", 1))
         self.assertEqual(self.view.count(), 0)
 
     def test_a_suspended_node_drops_no_zone(self):
         self.view.observe_zone(digest(member("a")), 0.0)
         self.view.expire(0.5)
         self.assertEqual(self.view.expire(9.0).zones, [])
-        self.assertTrue(self.view.works("a", 1))
+        self.assertTrue(self.view.can_run_jobs("a", 1))
 
     def test_a_digest_without_the_list_keeps_the_list(self):
         self.view.observe_zone(digest(member("a")), 0.0)
         self.view.observe_zone(digest(member("a"), sequence=2, listed=False), 1.0)
-        self.assertTrue(self.view.works("a", 1))
+        self.assertTrue(self.view.can_run_jobs("a", 1))
         self.view.observe_zone(digest(member("b"), sequence=3), 2.0)
-        self.assertFalse(self.view.works("a", 1))
-        self.assertTrue(self.view.works("b", 1))
+        self.assertFalse(self.view.can_run_jobs("a", 1))
+        self.assertTrue(self.view.can_run_jobs("b", 1))
 
     def test_older_digests_of_one_reporter_are_ignored(self):
         self.assertTrue(self.view.observe_zone(digest(member("a"), sequence=5), 0.0))
@@ -144,20 +144,20 @@
         self.view.observe_zone(digest(member("a"), member("b")), 0.0)
         alone = digest(member("b"), reporter="b")
         self.assertFalse(self.view.observe_zone(alone, 0.5))
-        self.assertTrue(self.view.works("a", 1))
+        self.assertTrue(self.view.can_run_jobs("a", 1))
         self.assertTrue(self.view.observe_zone(alone, REPORTER_SILENT_AFTER + 0.1))
-        self.assertFalse(self.view.works("a", 1))
+        self.assertFalse(self.view.can_run_jobs("a", 1))
 
     def test_leaving_nodes_and_those_without_the_store_run_no_jobs(self):
         members = (member("a", leaving=True), member("b", store_silent=True), member("c"))
         self.view.observe_zone(digest(*members), 0.0)
-        self.assertFalse(self.view.works("a", 1) or self.view.works("b", 1))
+        self.assertFalse(self.view.can_run_jobs("a", 1) or self.view.can_run_jobs("b", 1))
         self.assertEqual(self.view.successor("job", self_works=False), "c")
 
     def test_items_that_run_at_leaving_nodes_are_left_to_them(self):
         items = [RunningItem("j", 2)]
         self.view.observe_zone(digest(member("a", leaving=True), running=items), 0.0)
-        self.assertEqual(self.view.running_at_leaving(), {("j", 2)})
+        self.assertEqual(self.view.running_on_leaving_peers(), {("j", 2)})
 
     def test_reports_are_ignored_while_digests_arrive(self):
         self.view.observe_zone(digest(member("a")), 0.0)
@@ -170,7 +170,7 @@
 
 class RunningInZonesTest(unittest.TestCase):
     def test_items_of_an_unknown_node_are_kept_under_its_zone(self):
-        items = RunningItems()
+        items = PeerRunningItems()
         reports = [encode_running([(7, 40)]), encode_running([(7, 50), (8, 60)])]
         packed = encode_zone_running(reports)
         items.observe_zone("zone:far", packed, ["a", "b"])
@@ -210,15 +210,15 @@
         self.assertLess(HEARD_WITHIN, SILENT_AFTER)
 
     def test_few_nodes_get_reports_instead_of_digests(self):
-        self.assertFalse(tells_by_digest(DIRECT_PEERS))
-        self.assertTrue(tells_by_digest(DIRECT_PEERS + 1))
+        self.assertFalse(uses_digests(MAX_DIRECT_PEERS))
+        self.assertTrue(uses_digests(MAX_DIRECT_PEERS + 1))
 
     def test_the_list_is_sent_when_it_changes_and_periodically(self):
         reporting = ZoneReporting("a", "z", 1, 0.0)
         own = LoadReport("a", 1, 1, zone="z")
 
         def listed(now):
-            return unpack_digest(reporting.make(own, [], b"", now)).members is not None
+            return unpack_digest(reporting.build_digest(own, [], b"", now)).members is not None
 
         self.assertTrue(listed(1.0))
         self.assertFalse(listed(1.5))
@@ -230,9 +230,9 @@
     def test_large_digests_are_less_frequent_but_before_a_zone_counts_as_silent(self):
         reporting = ZoneReporting("a", "z", 1, 0.0)
         own = LoadReport("a", 1, 1, zone="z")
-        reporting.make(own, [], b"", 1.0)
+        reporting.build_digest(own, [], b"", 1.0)
         self.assertTrue(reporting.is_due(4, 1.3))
-        reporting.make(own, [], b"x" * 3_000, 2.0)
+        reporting.build_digest(own, [], b"x" * 3_000, 2.0)
         self.assertFalse(reporting.is_due(4, 2.3))
         self.assertTrue(reporting.is_due(4, 2.0 + MAX_DIGEST_INTERVAL))
         self.assertLessEqual(4 * MAX_DIGEST_INTERVAL, ZONE_SILENT_AFTER)
@@ -280,7 +280,7 @@
         network.nodes[self.address] = self
         self.use = EngineUse()
         self.peers = PeerView(self.name)
-        self.log = QuietLog()
+        self.log = RecordingEventLog()
         transport = mock.Mock()
         transport.send = lambda address, data: network.send(self, address, data)
         self.reports = LoadReports(
@@ -297,8 +297,8 @@
         )
 
     def step(self):
-        self.reports.look()
-        self.reports.zones.look()
+        self.reports.send_due()
+        self.reports.zones.send_due()
 
 
 class FleetCase(unittest.TestCase):
@@ -375,9 +375,7 @@
         self.play(2.0)
         self.assertTrue(all(node.use.total("e0").total == 8 for node in self.nodes))
         for module in ("load_reports", "zone_digests"):
-            patch = mock.patch(
-                f"postvalve.gateway.fleet.{module}.tells_by_digest", return_value=True
-            )
+            patch = mock.patch(f"postvalve.gateway.fleet.{module}.uses_digests", return_value=True)
             patch.start()
             self.addCleanup(patch.stop)
         for _ in range(8):
@@ -413,7 +411,9 @@
             told = [event for event, _ in node.log.written]
             self.assertNotIn(Event.PEER_SILENT, told)
             self.assertNotIn(Event.ZONE_SILENT, told)
-            self.assertTrue(all(node.peers.works(one.name, 5) for one in self.nodes if one != node))
+            self.assertTrue(
+                all(node.peers.can_run_jobs(one.name, 5) for one in self.nodes if one != node)
+            )
 
     def test_the_loss_of_a_reporter_drops_no_zone(self):
         self.start(3, 20)
@@ -423,7 +423,7 @@
         self.play(8.0, rest)
         for node in rest:
             self.assertNotIn(Event.ZONE_SILENT, [event for event, _ in node.log.written])
-            self.assertFalse(node.peers.works(lost.name, 5))
+            self.assertFalse(node.peers.can_run_jobs(lost.name, 5))
             self.assertEqual(node.peers.count(), len(rest) - 1)
 
     def test_a_lost_zone_is_dropped(self):
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -4,7 +4,12 @@
 import itertools
 import unittest
 
-from postvalve.core.admission.fleet_limits import FleetLimits, Lending, LimitBounds, LimitTerms
+from postvalve.core.admission.fleet_limits import (
+    CreditOutcome,
+    FleetLimits,
+    LimitBounds,
+    LimitTerms,
+)
 from postvalve.core.membership.ownership import rank_owners
 from tests.limit_model import STEP, allowed
 from tests.test_fleet_limits import FAULTS, flood, settle
@@ -79,11 +84,11 @@
         limits = FleetLimits("n0", 0.0)
         limits.choices = lambda tenant: ["n0"]
         for now, heard in share_at:
-            limits.look(names, 8, now, names, names[:heard])
+            limits.update_view(names, 8, now, names, names[:heard])
         return limits
 
     def lent(self, limits, now):
-        return sum(not limits.lend("t", SMALL, now).wait for _ in range(99))
+        return sum(not limits.try_acquire("t", SMALL, now).wait for _ in range(99))
 
     def test_an_unused_bucket_refills_by_its_share_only(self):
         full = int(LimitBounds().capacity(SMALL))
@@ -133,8 +138,8 @@
 
     def test_refused_clients_retry_when_all_nodes_are_heard_one_by_one(self):
         limits = FleetLimits("n0", 0.0)
-        limits.look(["n0"], 60, 0.2)
-        waits = [limits.lend("t", SMALL, 0.3).wait for _ in range(4)]
+        limits.update_view(["n0"], 60, 0.2)
+        waits = [limits.try_acquire("t", SMALL, 0.3).wait for _ in range(4)]
         self.assertLess(waits[0], 2.0)
         gaps = [late - early for early, late in itertools.pairwise(waits)]
         for gap in gaps:
@@ -143,9 +148,9 @@
     def test_after_the_start_the_retry_time_follows_the_small_share(self):
         limits = FleetLimits("n0", 0.0)
         for step in range(1, 40):
-            limits.look(["n0"], 60, step * 0.5)
-        limits.lend("t", SMALL, 19.6)
-        self.assertGreater(limits.lend("t", SMALL, 19.7).wait, 4.0)
+            limits.update_view(["n0"], 60, step * 0.5)
+        limits.try_acquire("t", SMALL, 19.6)
+        self.assertGreater(limits.try_acquire("t", SMALL, 19.7).wait, 4.0)
 
 
 class SecondaryLenderTest(unittest.TestCase):
@@ -153,7 +158,7 @@
 
     def limits(self, node_id, near):
         found = FleetLimits(node_id, 0.0)
-        found.look(self.LIVE, 8, 0.1, near)
+        found.update_view(self.LIVE, 8, 0.1, near)
         return found
 
     def test_the_secondary_lender_is_in_the_zone_of_the_asking_node(self):
@@ -171,10 +176,12 @@
         limits = FleetLimits("c", 0.0)
         for step in range(1, 100):
             live = "ac" if step < 60 else "abc" if step < 98 else "ac"
-            limits.look(live, 2, step * 0.5)
+            limits.update_view(live, 2, step * 0.5)
             if step == 50:
-                self.assertEqual(limits.lend(tenant, LARGE, 25.0).lending, Lending.LENT)
-        self.assertEqual(limits.lend(tenant, LARGE, 49.6).lending, Lending.OVER)
+                self.assertEqual(
+                    limits.try_acquire(tenant, LARGE, 25.0).outcome, CreditOutcome.GRANTED
+                )
+        self.assertEqual(limits.try_acquire(tenant, LARGE, 49.6).outcome, CreditOutcome.OVER_LIMIT)
 
     def test_all_secondary_lenders_together_grant_no_more_than_one(self):
         bounds, terms = LimitBounds(), LimitTerms(0.001, 0.0)
@@ -187,7 +194,7 @@
         for near in (self.LIVE[:4], self.LIVE[4:]):
             second = self.limits(near[0], near).choices(tenant)[1]
             lender = self.limits(second, near)
-            while lender.lend(tenant, terms, 60.0).lending.value == "lent":
+            while lender.try_acquire(tenant, terms, 60.0).outcome.value == "lent":
                 lent += 1
-        self.assertLessEqual(lent, bounds.deputies_credit(terms))
+        self.assertLessEqual(lent, bounds.secondary_credit(terms))
         self.assertGreater(lent, 0)
--- a/tests/zoned_limit_model.py
+++ b/tests/zoned_limit_model.py
@@ -1,6 +1,6 @@
 """Model of tenant limits in several zones, which hear of each other rarely and may be cut off."""
 
-from postvalve.gateway.serving.tenant_credit import DOUBTED_AFTER, LENDER_SILENT_AFTER
+from postvalve.gateway.serving.tenant_credit import LENDER_SUSPECT_AFTER, LENDER_TIMEOUT
 from tests.limit_model import REPORT_EVERY, STEP, LimitModel, ModelNode
 
 FAR_REPORT_EVERY = 1.0
@@ -14,11 +14,11 @@
         super().__init__(name, now, bounds)
 
     def look(self, announced, now):
-        live = [one for one, at in self.heard.items() if now - at <= LENDER_SILENT_AFTER]
+        live = [one for one, at in self.heard.items() if now - at <= LENDER_TIMEOUT]
         near = [one for one in live if self.zones[one] == self.zones[self.name]]
-        certain = [one for one in live if now - self.heard[one] <= DOUBTED_AFTER]
+        certain = [one for one in live if now - self.heard[one] <= LENDER_SUSPECT_AFTER]
         own = [self.name]
-        self.limits.look(live + own, announced, now, near + own, certain + own)
+        self.limits.update_view(live + own, announced, now, near + own, certain + own)
 
 
 class ZonedLimitModel(LimitModel):
