--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -212,7 +212,7 @@
         self.addCleanup(fleet.stop)
         for module in ("load_reports", "zone_digests"):
             patch = mock.patch(
-                f"postvalve.gateway.fleet.{module}.tells_by_digest", return_value=True
+                f"postvalve.gateway.fleet.{module}.uses_digests", return_value=True
             )
             patch.start()
             self.addCleanup(patch.stop)
