--- a/postvalve/core/admission/engine_use.py
+++ b/postvalve/core/admission/engine_use.py
@@ -24,8 +24,8 @@
 """Tokens per unit in a report."""
 MAX_UNITS = 0xFFFF
 RESERVED_FRACTION = 0.1
-"""Share of an engine's slots that pressing batch items leave free beyond the current online
-load."""
+"""Share of an engine's slots that batch items leave free beyond the current online load if they are
+pressing, that is, due soon."""
 RELAXED_FRACTION = 0.35
 """The same for batch items that are not pressing. In a burst (8 slots, 4 requests a second of half
 a second each) an engine gets two to three requests before batch items have been preempted; these
@@ -45,7 +45,7 @@
 
 @functools.lru_cache(HASHES_KEPT)
 def engine_hash(life: EngineLife) -> int:
-    """Return the 32-bit hash that identifies an engine instance in reports."""
+    """Return the 32-bit hash that identifies a life of an engine in reports."""
     return xxhash.xxh32_intdigest(life.encode())
 
 
@@ -81,7 +81,7 @@
         """Count a request that starts.
 
         Args:
-            life: The engine instance.
+            life: The engine.
             batch: Whether the request is a batch item.
             unread: Prompt tokens that the engine must process for it.
             memory: Tokens that it may need in the engine's memory.
@@ -155,16 +155,16 @@
             total.memory += count.memory
         self._peers[node_id] = counts
         # A report omits engines at which the peer runs nothing any more.
-        self._note_online(former.keys() | counts.keys())
+        self._record_online(former.keys() | counts.keys())
 
     def forget(self, node_id: str) -> None:
         """Drop the counts of a peer that is gone."""
         self._reports.pop(node_id, None)
         former = self._peers.pop(node_id, {})
         self._subtract(former)
-        self._note_online(former)
+        self._record_online(former)
 
-    def _note_online(self, keys: Iterable[int]) -> None:
+    def _record_online(self, keys: Iterable[int]) -> None:
         for key in keys:
             self.online_averages.note(key, self._total(key).online)
 
--- a/postvalve/core/admission/online_admission.py
+++ b/postvalve/core/admission/online_admission.py
@@ -70,24 +70,27 @@
 
 
 def finds_room(
-    req: PendingRequest, rooms: Sequence[EngineOccupancy], pace: ServiceLatency, now: float
+    req: PendingRequest, occupancies: Sequence[EngineOccupancy], latency: ServiceLatency, now: float
 ) -> bool:
     """Return whether a request should be sent to an engine now, regardless of other requests."""
-    if not rooms or any_has_capacity(rooms, pace):
+    if not occupancies or any_has_capacity(occupancies, latency):
         # An engine has a slot that no online work needs: even if the request will be late, it
         # cannot do better elsewhere.
         return True
-    if not pace.known:
+    if not latency.known:
         # Without estimates of the queueing delay, risk a queue of one request.
-        return min(room.online - room.capacity(pace) for room in rooms) < UNKNOWN_LATENCY_QUEUE
+        return (
+            min(occupancy.online - occupancy.capacity(latency) for occupancy in occupancies)
+            < UNKNOWN_LATENCY_QUEUE
+        )
     left = req.arrived_at + req.target_latency - now
-    return any(expected_in_time(rooms, req.tokens, pace, left))
+    return any(expected_in_time(occupancies, req.tokens, latency, left))
 
 
 def decide(
     req: PendingRequest,
-    rooms: Sequence[EngineOccupancy],
-    pace: ServiceLatency,
+    occupancies: Sequence[EngineOccupancy],
+    latency: ServiceLatency,
     now: float,
     *,
     persistent: bool = False,
@@ -102,10 +105,10 @@
         persistent: Whether the overload is persistent; requests are then started first come, first
             served.
     """
-    if persistent or finds_room(req, rooms, pace, now):
+    if persistent or finds_room(req, occupancies, latency, now):
         return AdmissionAction.START
     waited = now - req.arrived_at
-    if pace.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
+    if latency.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
         return (
             AdmissionAction.REFUSE
             if waited >= req.target_latency * REFUSE_SHARE
@@ -152,8 +155,10 @@
         return max(0.0, self._length - (now - self._since))
 
     def retry_after(self, now: float, time_left: float, random_fraction: float) -> float:
-        """Return the retry time, in seconds, for a refused client; `drawn` is a random number from
-        0 to 1."""
+        """Return the retry time, in seconds, for a refused client.
+
+        `random_fraction`, from 0 to 1, spreads the retries of clients refused together.
+        """
         latest = time_left * RETRY_AFTER_SHARE
         return min(
             latest, max(MIN_RETRY_AFTER, self.seconds_left(now)) + RETRY_JITTER * random_fraction
--- a/postvalve/core/admission/quarantine.py
+++ b/postvalve/core/admission/quarantine.py
@@ -2,10 +2,10 @@
 
 A request that crashes every engine that runs it can take the whole fleet down when it is sent again
 and again: with a new id each time, to any node, or as a batch item that is always retried. Such a
-request is known as a *query of death*. The quarantine records observations of the form *an engine
-failed while running this request*. An observation is excused when the engine turns out to be alive
-or the request gets an answer. Observations and excuses are only ever added, so they can be merged
-in any order, and duplicated or lost messages do no harm.
+request is known as a *query of death*. The quarantine records failures: *an engine failed while
+running this request*. A failure is excused when the engine turns out to be alive or the request
+gets an answer. Failures and excuses are only ever added, so they can be merged in any order, and
+duplicated or lost messages do no harm.
 
 Of the requests that an engine was running when it failed, all but one are innocent. They are
 retried elsewhere at once, and their answers clear them. A request under which two engines failed is
@@ -37,7 +37,7 @@
 was running at three engines that failed, the third of which ran no other known suspect request."""
 HOLD_TIME = 60.0
 """Seconds for which a request is held back after the third failure. The time doubles with each
-further one, so a request ends one engine in the first minute, one in the next two, and so on."""
+further one, so a request crashes one engine in the first minute, one in the next two, and so on."""
 MAX_HOLD_TIME = 3600.0
 SUSPICION_TIME = 30.0
 """Seconds after its last failure for which a request stays suspect if it is not held back. Engines
@@ -60,7 +60,7 @@
 HOLD_ALL_VARIANTS_AFTER = 3
 """Number of failing variants from which on all variants of a request are held back."""
 MAX_FAILURES = 12
-"""Observations kept per entry."""
+"""Failures kept per entry."""
 
 
 class RunPermission(enum.Enum):
@@ -76,7 +76,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureId:
-    """Identifies one observation: an engine instance, and a number unique within that instance."""
+    """Identifies one failure: the life of the engine that failed, and a number unique within that
+    life."""
 
     engine: EngineLife
     stamp: int
@@ -84,18 +85,18 @@
 
 @dataclass(slots=True)
 class EngineFailure:
-    """An observation: an engine failed while it ran a request, or is about to run a suspect one."""
+    """An engine that failed while it ran a request, or that is about to run a suspect one."""
 
     ended_at: float
-    """Monotonic seconds; the earliest of all reported times, so that repeated reports do not make
-    an observation younger."""
+    """Monotonic seconds; the earliest of all reported times, so that repeated reports do not make a
+    failure look more recent."""
     variant: int = 0
     """Variant of the request, see `request_identity`."""
     trial: bool = False
     """Whether it was recorded when a suspect request was sent. Only the sending node can excuse
     it."""
     excused: bool = False
-    """Whether the observation no longer counts. An excuse is never withdrawn."""
+    """Whether the failure does not count. An excuse is never withdrawn."""
 
 
 @dataclass(slots=True)
@@ -105,11 +106,13 @@
     failures: dict[FailureId, EngineFailure] = field(default_factory=dict)
 
     def engines(self) -> dict[EngineLife, float]:
-        """Return the engine instances that failed, with the time of each failure."""
+        """Return the lives of engines that failed, with the time of each failure."""
         found: dict[EngineLife, float] = {}
-        for name, failure in self.failures.items():
+        for failure_id, failure in self.failures.items():
             if not failure.excused:
-                found[name.engine] = min(found.get(name.engine, failure.ended_at), failure.ended_at)
+                found[failure_id.engine] = min(
+                    found.get(failure_id.engine, failure.ended_at), failure.ended_at
+                )
         return found
 
     def variants(self) -> set[int]:
@@ -117,7 +120,7 @@
         return {failure.variant for failure in self.failures.values() if not failure.excused}
 
     def of(self, variant: int) -> list[EngineFailure]:
-        """Return the observations of one variant."""
+        """Return the failures of one variant."""
         return [failure for failure in self.failures.values() if failure.variant == variant]
 
     @property
@@ -155,18 +158,21 @@
 
     def merge(self, other: QuarantineEntry) -> bool:
         """Merge another node's knowledge of the same request; returns whether anything was new."""
-        before = {name: failure.excused for name, failure in self.failures.items()}
-        for name, failure in other.failures.items():
+        before = {failure_id: failure.excused for failure_id, failure in self.failures.items()}
+        for failure_id, failure in other.failures.items():
             known = self.failures.setdefault(
-                name, EngineFailure(failure.ended_at, failure.variant, failure.trial)
+                failure_id, EngineFailure(failure.ended_at, failure.variant, failure.trial)
             )
             known.ended_at = min(known.ended_at, failure.ended_at)
             known.excused |= failure.excused
         self._prune()
-        return any(before.get(name) != failure.excused for name, failure in self.failures.items())
+        return any(
+            before.get(failure_id) != failure.excused
+            for failure_id, failure in self.failures.items()
+        )
 
     def _prune(self) -> None:
-        """Drop the least important observations. If they are reported again, they are dropped
+        """Drop the least important failures. If they are reported again, they are dropped
         again."""
         while len(self.failures) > MAX_FAILURES:
             failures = self.failures
@@ -239,10 +245,10 @@
         self._answered: dict[RequestIdentity, float] = {}
         """Time of the last answer of each request, in order of these times."""
         self._unconfirmed: dict[EngineLife, tuple[float, float]] = {}
-        """Implicated engine instances that seem to answer: when the request was sent, and when the
+        """Lives of implicated engines that seem to answer: when the request was sent, and when the
         answer arrived."""
         self._implicated: set[EngineLife] = set()
-        """Engine instances named by observations, some of which may have been excused since."""
+        """Lives of engines named by failures, some of which may have been excused since."""
         self.on_change: Callable[[bytes], None] = lambda digest: None
         """Called with the digest of a request about which something new is known."""
 
@@ -267,8 +273,8 @@
             return _FREE
         age = now - max(ends.values())
         if len(ends) < HOLD_AFTER:
-            ruling = RunPermission.FREE if age >= SUSPICION_TIME else RunPermission.ALONE
-            return QuarantineDecision(ruling, len(ends), age)
+            permission = RunPermission.FREE if age >= SUSPICION_TIME else RunPermission.ALONE
+            return QuarantineDecision(permission, len(ends), age)
         seconds = entry.held_until() - now
         if seconds <= 0 or not entry.applies_to(identity.variant):
             return QuarantineDecision(RunPermission.ALONE, len(ends), age)
@@ -290,13 +296,13 @@
 
         Returns:
             Whether the failure counts against the request. It does not if the request was answered
-                recently, or was sent after the engine had failed under another request.
+            recently, or was sent after the engine had failed under another request.
         """
         if any(failure.ended_at < sent_at for _, _, failure in self._failures_of(engine)):
             return False
         if self._was_answered(identity, now):
             return False
-        self._add(identity, engine, now, trial=False)
+        self._add_failure(identity, engine, now, trial=False)
         return True
 
     def begin_trial(self, identity: RequestIdentity, engine: EngineLife, now: float) -> Trial:
@@ -305,7 +311,7 @@
         It counts until the run has an outcome, so all nodes hold the request back before the engine
         has had time to fail.
         """
-        return Trial(identity.digest, self._add(identity, engine, now, trial=True))
+        return Trial(identity.digest, self._add_failure(identity, engine, now, trial=True))
 
     def end_trial(self, trial: Trial) -> None:
         """End a run of a suspect request. What the run revealed about the engine was recorded
@@ -336,19 +342,19 @@
     def record_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
         """Record that an engine answered a request sent to it at `sent_at`, so it had not failed.
 
-        If engines restart under the same id, the answer may be the next instance's. So it counts
-        only once `confirm` has found that no other instance is listed.
+        If engines restart under the same id, the answer may come from the next life. So it counts
+        only once `confirm_alive` has found that no other life is listed.
         """
         if not engine.born:
-            self._excuse_ends(engine, sent_at)
+            self._excuse_failures(engine, sent_at)
         elif engine in self._implicated:
             self._unconfirmed[engine] = (sent_at, now)
 
     def confirm_alive(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
-        """Excuse the instances that answered and are still listed by the directory.
+        """Excuse the engines that answered and whose lives the directory still lists.
 
         Args:
-            listed: Returns whether the directory lists an instance.
+            listed: Returns whether the directory lists a life.
             known_at: Monotonic seconds up to which the directory is known.
         """
         for engine, (sent_at, answered_at) in list(self._unconfirmed.items()):
@@ -356,9 +362,9 @@
                 del self._unconfirmed[engine]
             elif known_at >= answered_at + LISTING_DELAY:
                 del self._unconfirmed[engine]
-                self._excuse_ends(engine, sent_at)
+                self._excuse_failures(engine, sent_at)
 
-    def _excuse_ends(self, engine: EngineLife, sent_at: float) -> None:
+    def _excuse_failures(self, engine: EngineLife, sent_at: float) -> None:
         ends = self._failures_of(engine)
         for digest, entry, failure in ends:
             if failure.ended_at < sent_at:
@@ -369,14 +375,14 @@
     def _failures_of(
         self, engine: EngineLife
     ) -> list[tuple[bytes, QuarantineEntry, EngineFailure]]:
-        """Return the observations of an engine instance that have not been excused."""
+        """Return the failures of one life of an engine that have not been excused."""
         if engine not in self._implicated:
             return []
         return [
             (digest, entry, failure)
             for digest, entry in self._entries.items()
-            for name, failure in entry.failures.items()
-            if name.engine == engine and not failure.trial and not failure.excused
+            for failure_id, failure in entry.failures.items()
+            if failure_id.engine == engine and not failure.trial and not failure.excused
         ]
 
     def preferred_engine(
@@ -394,7 +400,7 @@
         entry = self._entries.get(digest) or QuarantineEntry()
         if not entry.merge(other):
             return False
-        self._implicated.update(name.engine for name in other.failures)
+        self._implicated.update(failure_id.engine for failure_id in other.failures)
         self._store(digest, entry)
         self.on_change(digest)
         self._excuse_answered(digest, entry)
@@ -410,28 +416,28 @@
 
     def expire(self, now: float) -> list[tuple[bytes, QuarantineEntry]]:
         """Drop entries that are no longer needed and return them. Called about once a second."""
-        cases = self._entries.items()
-        expired = [(digest, entry) for digest, entry in cases if entry.expires_at() <= now]
+        entries = self._entries.items()
+        expired = [(digest, entry) for digest, entry in entries if entry.expires_at() <= now]
         for digest, _ in expired:
             del self._entries[digest]
         self._implicated = {
-            name.engine for entry in self._entries.values() for name in entry.failures
+            failure_id.engine for entry in self._entries.values() for failure_id in entry.failures
         }
         return expired
 
-    def _add(
+    def _add_failure(
         self, identity: RequestIdentity, engine: EngineLife, now: float, *, trial: bool
     ) -> FailureId:
         digest = identity.digest
         self._stamps += 1
         stamp = xxhash.xxh32_intdigest(f"{self._node_id} {now} {self._stamps}".encode())
-        name = FailureId(engine, stamp)
+        failure_id = FailureId(engine, stamp)
         entry = self._entries.get(digest) or QuarantineEntry()
-        entry.merge(QuarantineEntry({name: EngineFailure(now, identity.variant, trial)}))
+        entry.merge(QuarantineEntry({failure_id: EngineFailure(now, identity.variant, trial)}))
         self._implicated.add(engine)
         self._store(digest, entry)
         self.on_change(digest)
-        return name
+        return failure_id
 
     def _excuse(
         self, digest: bytes, entry: QuarantineEntry, failures: Iterable[EngineFailure]
--- a/postvalve/core/admission/service_latency.py
+++ b/postvalve/core/admission/service_latency.py
@@ -60,8 +60,8 @@
 class ServiceLatency:
     """Latency estimates for one service; times in seconds."""
 
-    _first: _DecayedLine = field(default_factory=_DecayedLine)
-    _held: _DecayedLine = field(default_factory=_DecayedLine)
+    _first_event: _DecayedLine = field(default_factory=_DecayedLine)
+    _slot_time: _DecayedLine = field(default_factory=_DecayedLine)
     _pause: _DecayedLine = field(default_factory=_DecayedLine)
     _longest_pause: _DecayedLine = field(default_factory=_DecayedLine)
     _error: float = 0.0
@@ -70,7 +70,7 @@
     @property
     def known(self) -> bool:
         """Whether there are enough samples to base decisions on."""
-        return min(self._first.weight, self._held.weight) >= LEAST_SAMPLES
+        return min(self._first_event.weight, self._slot_time.weight) >= LEAST_SAMPLES
 
     def observe_first_event(self, tokens: int, seconds: float) -> None:
         """Record the latency of the first event of an attempt that found a free slot.
@@ -80,14 +80,14 @@
                 own.
             seconds: Time from sending the request to the event.
         """
-        mean = self._first.mean
-        if self._first.weight >= LEAST_SAMPLES:
+        mean = self._first_event.mean
+        if self._first_event.weight >= LEAST_SAMPLES:
             seconds = min(seconds, mean * LONGEST_FACTOR)
-        self._first.add(tokens / 1000, seconds)
+        self._first_event.add(tokens / 1000, seconds)
 
     def observe_slot_time(self, seconds: float) -> None:
         """Record how long a request occupied its slot."""
-        self._held.add(0.0, seconds)
+        self._slot_time.add(0.0, seconds)
 
     def observe_pause(self, running: int, seconds: float) -> None:
         """Record the mean time between an attempt's events while `running` requests ran at the
@@ -111,10 +111,10 @@
             seconds: Time from sending the request to its first event, minus the latency expected
                 with a free slot.
         """
-        usual = places * self.slot_time / max(1, slots)
-        if usual <= 0:
+        nominal = places * self.slot_time / max(1, slots)
+        if nominal <= 0:
             return
-        factor = min(LONGEST_QUEUE_FACTOR, max(0.0, seconds) / usual)
+        factor = min(LONGEST_QUEUE_FACTOR, max(0.0, seconds) / nominal)
         self._queue_factor += QUEUE_WEIGHT * (factor - self._queue_factor)
 
     def queue_delay_per_place(self, slots: int) -> float:
@@ -123,14 +123,14 @@
 
     def observe_error(self, expected: float, seconds: float) -> None:
         """Record the latency of a first event for which `expected` seconds were estimated."""
-        longest = max(expected, self._first.mean) * LONGEST_FACTOR
+        longest = max(expected, self._first_event.mean) * LONGEST_FACTOR
         error = abs(min(seconds, longest) - expected)
         self._error += ERROR_WEIGHT * (error - self._error)
 
     def first_event(self, tokens: int) -> float:
         """Return the latency of a first event when a slot is free and `tokens` prompt tokens must
         be processed."""
-        return self._first.at(tokens / 1000)
+        return self._first_event.at(tokens / 1000)
 
     def pause(self, running: int) -> float:
         """Return the mean time between events while `running` requests run; 0 if unknown."""
@@ -145,7 +145,7 @@
     @property
     def slot_time(self) -> float:
         """Mean seconds for which a request occupies its slot."""
-        return self._held.mean
+        return self._slot_time.mean
 
     @property
     def margin(self) -> float:
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -35,7 +35,7 @@
     def is_running(self):
         return not (self.suspended or self.down)
 
-    def look(self, announced, now):
+    def update_view(self, announced, now):
         live = [name for name, at in self.heard.items() if now - at <= SILENT_AFTER]
         self.limits.update_view([*live, self.name], announced, now)
 
@@ -73,9 +73,9 @@
         working = [self.nodes[one] for one in at or self.nodes if self.nodes[one].is_running]
         for _ in range(arrivals if working else 0):
             node = self.random.choice(working)
-            node.look(self.announced, self.now)
+            node.update_view(self.announced, self.now)
             self.asked += 1
-            if self.lend(node):
+            if self.try_admit(node):
                 self.total += 1
                 self.admitted.append(self.now)
         while self.admitted and self.admitted[0] <= self.now - self.bounds.window:
@@ -89,18 +89,18 @@
             for second in self.nodes.values():
                 if first is not second and self.can_reach(first.name, second.name):
                     second.heard[first.name] = self.now
-            first.look(self.announced, self.now)
+            first.update_view(self.announced, self.now)
 
-    def lend(self, node):
+    def try_admit(self, node):
         for name in node.limits.choices("t"):
             if name != node.name and not self.can_reach(node.name, name):
                 continue
             other = self.nodes[name]
-            other.look(self.announced, self.now)
-            loan = other.limits.try_acquire("t", self.terms, self.now)
-            if loan.outcome is CreditOutcome.GRANTED:
+            other.update_view(self.announced, self.now)
+            decision = other.limits.try_acquire("t", self.terms, self.now)
+            if decision.outcome is CreditOutcome.GRANTED:
                 return True
-            if loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0:
+            if decision.outcome is CreditOutcome.OVER_LIMIT and decision.share >= 1.0:
                 return False
         return False
 
@@ -134,9 +134,9 @@
 
     def freeze_lender(self, seconds):
         """Suspend the primary lender."""
-        lender = next(iter(self.nodes.values())).limits.choices("t")[0]
-        self.nodes[lender].suspended = True
-        self.after(seconds, lambda: setattr(self.nodes[lender], "suspended", False))
+        primary = next(iter(self.nodes.values())).limits.choices("t")[0]
+        self.nodes[primary].suspended = True
+        self.after(seconds, lambda: setattr(self.nodes[primary], "suspended", False))
 
     def kill(self, share, seconds):
         chosen = self.random.sample(sorted(self.nodes), max(1, int(len(self.nodes) * share)))
@@ -155,7 +155,7 @@
     """The alternative policy: each node enforces a part of the limit, by the number of nodes it
     hears."""
 
-    def lend(self, node):
+    def try_admit(self, node):
         nodes = node.limits.live_nodes
         terms = self.terms
         bucket = getattr(node, "bucket", None)
--- a/tests/test_engine_entries.py
+++ b/tests/test_engine_entries.py
@@ -96,13 +96,13 @@
             self.assertTrue(found.service and found.zone and found.address)
 
 
-class InstanceTest(unittest.TestCase):
+class LifeTest(unittest.TestCase):
     @given(st.text().filter(lambda text: "@" not in text), st.integers(0, 2**53))
-    def test_an_instance_keeps_id_and_start(self, engine_id, born):
+    def test_a_life_keeps_id_and_start(self, engine_id, born):
         life = EngineLife.of(engine_id, born)
         self.assertEqual((life.engine_id, life.born), (engine_id, born))
 
-    def test_only_the_newest_instance_of_an_id_is_accepted(self):
+    def test_only_the_newest_life_of_an_id_is_accepted(self):
         lives = NewestLives()
         logged = [("a", 5), ("a", 5), ("a", 4), ("b", 1), ("a", 6), ("a", 5), ("a", 0)]
         admitted = [lives.admits(EngineLife.of(*one)) for one in logged]
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -124,41 +124,41 @@
     def setUp(self):
         self.limits = FleetLimits("n0", 0.0)
 
-    def look(self, now, live=("n0",), announced=1):
+    def update_view(self, now, live=("n0",), announced=1):
         self.limits.update_view(live, announced, now)
 
-    def take(self, now, terms=LARGE, tenant="t"):
+    def acquire(self, now, terms=LARGE, tenant="t"):
         return self.limits.try_acquire(tenant, terms, now)
 
     def count(self, now, terms=LARGE):
         number = 0
-        while self.take(now, terms).outcome is CreditOutcome.GRANTED:
+        while self.acquire(now, terms).outcome is CreditOutcome.GRANTED:
             number += 1
         return number
 
     def test_a_suspended_lender_starts_with_an_empty_bucket(self):
         for step in range(40):
-            self.look(step * 0.5)
+            self.update_view(step * 0.5)
         self.assertGreater(self.count(20.0), 80)
-        self.look(30.0 + STALL_THRESHOLD)
+        self.update_view(30.0 + STALL_THRESHOLD)
         self.assertLessEqual(self.count(30.0 + STALL_THRESHOLD), 1)
 
     def test_a_new_lender_grants_by_the_share_of_the_fleet_it_hears(self):
-        self.look(0.1, announced=60)
+        self.update_view(0.1, announced=60)
         self.assertAlmostEqual(self.limits.share, 1 / 60)
-        self.look(0.2, live=[f"n{number}" for number in range(30)], announced=60)
+        self.update_view(0.2, live=[f"n{number}" for number in range(30)], announced=60)
         self.assertAlmostEqual(self.limits.share, 0.5)
 
     def test_credit_granted_by_another_lender_is_not_granted_again(self):
         live = ["n0", "n1", "n2", "n3"]
-        self.look(0.1)
+        self.update_view(0.1)
         tenant = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
-        self.assertIs(self.take(9.0, tenant=tenant).outcome, CreditOutcome.GRANTED)
+        self.assertIs(self.acquire(9.0, tenant=tenant).outcome, CreditOutcome.GRANTED)
         for step in range(40):
-            self.look(9.0 + step * 0.5, live=live)
-        self.look(29.0)
+            self.update_view(9.0 + step * 0.5, live=live)
+        self.update_view(29.0)
         lent = 0
-        while self.take(29.0, tenant=tenant).outcome is CreditOutcome.GRANTED:
+        while self.acquire(29.0, tenant=tenant).outcome is CreditOutcome.GRANTED:
             lent += 1
         self.assertLessEqual(lent, 1)
 
@@ -166,23 +166,23 @@
         return rank_owners(tenant, live)[0]
 
     def test_a_node_that_is_not_a_lender_grants_nothing(self):
-        self.look(0.1, live=("n0", "n1", "n2"))
-        told = {self.take(5.0, tenant=f"t{number}").outcome for number in range(60)}
+        self.update_view(0.1, live=("n0", "n1", "n2"))
+        told = {self.acquire(5.0, tenant=f"t{number}").outcome for number in range(60)}
         self.assertIn(CreditOutcome.NOT_OWNER, told)
 
     def test_a_lower_limit_applies_at_once_and_an_older_revision_does_not(self):
         for step in range(40):
-            self.look(step * 0.5)
+            self.update_view(step * 0.5)
         low = LimitTerms(2.0, 2.0, 9)
         self.assertLessEqual(self.count(20.0, low), LimitBounds().capacity(low))
-        self.look(20.5)
+        self.update_view(20.5)
         self.assertLessEqual(self.count(21.0, LimitTerms(65.0, 65.0, 8)), 3)
-        self.look(21.5)
+        self.update_view(21.5)
         self.assertGreater(self.count(22.0, LimitTerms(65.0, 65.0, 10)), 20)
 
     def test_retries_of_refused_clients_are_spaced_out(self):
-        self.look(0.1)
+        self.update_view(0.1)
         self.count(0.2)
-        waits = [self.take(0.2).wait for _ in range(20)]
+        waits = [self.acquire(0.2).wait for _ in range(20)]
         self.assertEqual(waits, sorted(waits))
         self.assertAlmostEqual(waits[-1] - waits[0], 19 / LARGE.rate, places=3)
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -211,9 +211,7 @@
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
         for module in ("load_reports", "zone_digests"):
-            patch = mock.patch(
-                f"postvalve.gateway.fleet.{module}.uses_digests", return_value=True
-            )
+            patch = mock.patch(f"postvalve.gateway.fleet.{module}.uses_digests", return_value=True)
             patch.start()
             self.addCleanup(patch.stop)
         fleet.start_node("n1", zone="y")
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -64,17 +64,17 @@
         for engine in engines:
             self.quarantine.record_end(request, engine, now, now)
 
-    def ruling(self, now=0.0, request=REQUEST):
+    def permission(self, now=0.0, request=REQUEST):
         return self.quarantine.check_request(request, now).permission
 
     def test_one_failed_engine_has_no_effect(self):
         self.end("e1", "e1")
-        self.assertIs(self.ruling(), RunPermission.FREE)
+        self.assertIs(self.permission(), RunPermission.FREE)
 
     def test_a_request_interrupted_twice_runs_alone(self):
         self.end("e1", "e2")
-        self.assertIs(self.ruling(), RunPermission.ALONE)
-        self.assertIs(self.ruling(now=SUSPICION_TIME), RunPermission.FREE)
+        self.assertIs(self.permission(), RunPermission.ALONE)
+        self.assertIs(self.permission(now=SUSPICION_TIME), RunPermission.FREE)
 
     def test_a_third_failure_holds_it_back(self):
         self.end("e1", "e2", "e3")
@@ -86,55 +86,55 @@
 
     def test_other_requests_are_unaffected(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=OTHER), RunPermission.FREE)
+        self.assertIs(self.permission(request=OTHER), RunPermission.FREE)
 
     def test_after_its_time_it_runs_alone_and_another_failure_doubles_the_time(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(now=HOLD_TIME), RunPermission.ALONE)
+        self.assertIs(self.permission(now=HOLD_TIME), RunPermission.ALONE)
         self.end("e4", now=HOLD_TIME)
         self.assertEqual(self.quarantine.check_request(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
 
     def test_a_variant_under_which_no_engine_failed_runs_alone(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
+        self.assertIs(self.permission(request=variant(2)), RunPermission.ALONE)
         self.quarantine.begin_trial(variant(2), "e4", 0.0)
-        self.assertIs(self.ruling(request=variant(3)), RunPermission.HELD)
+        self.assertIs(self.permission(request=variant(3)), RunPermission.HELD)
 
     def test_an_answer_to_one_variant_clears_no_other(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
         self.quarantine.record_answer(variant(2), 0.0)
-        self.assertIs(self.ruling(), RunPermission.HELD)
-        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
+        self.assertIs(self.permission(), RunPermission.HELD)
+        self.assertIs(self.permission(request=variant(2)), RunPermission.ALONE)
 
     def test_after_enough_variants_all_are_held_back(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
-        self.assertIs(self.ruling(request=variant(4)), RunPermission.ALONE)
+        self.assertIs(self.permission(request=variant(4)), RunPermission.ALONE)
         self.end("e5", request=variant(3))
-        self.assertIs(self.ruling(request=variant(4)), RunPermission.HELD)
+        self.assertIs(self.permission(request=variant(4)), RunPermission.HELD)
 
     def test_a_trial_holds_the_others_back_while_it_runs(self):
         self.end("e1", "e2")
         trial = self.quarantine.begin_trial(REQUEST, "e3", 1.0)
-        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.assertIs(self.permission(now=1.0), RunPermission.HELD)
         self.quarantine.record_alive(EngineLife("e3"), 2.0, 2.0)
-        self.assertIs(self.ruling(now=2.0), RunPermission.HELD)
+        self.assertIs(self.permission(now=2.0), RunPermission.HELD)
         self.quarantine.end_trial(trial)
-        self.assertIs(self.ruling(now=2.0), RunPermission.ALONE)
+        self.assertIs(self.permission(now=2.0), RunPermission.ALONE)
 
     def test_a_complete_answer_clears_it(self):
         self.end("e1", "e2", "e3")
         self.assertTrue(self.quarantine.record_answer(REQUEST, 0.0))
         self.assertFalse(self.quarantine.record_answer(REQUEST, 0.0))
-        self.assertIs(self.ruling(), RunPermission.FREE)
+        self.assertIs(self.permission(), RunPermission.FREE)
 
     def test_a_recently_answered_request_is_not_blamed(self):
         self.quarantine.record_answer(REQUEST, 0.0)
         self.end("e1", "e2", "e3", now=ANSWER_RETENTION - 1.0)
-        self.assertIs(self.ruling(now=ANSWER_RETENTION - 1.0), RunPermission.FREE)
+        self.assertIs(self.permission(now=ANSWER_RETENTION - 1.0), RunPermission.FREE)
         self.end("e1", "e2", "e3", now=ANSWER_RETENTION)
-        self.assertIs(self.ruling(now=ANSWER_RETENTION), RunPermission.HELD)
+        self.assertIs(self.permission(now=ANSWER_RETENTION), RunPermission.HELD)
 
     def test_remembered_answers_are_bounded(self):
         for number in range(2 * MAX_ANSWERS):
@@ -144,11 +144,11 @@
     def test_an_engine_that_answers_later_had_not_failed(self):
         self.end("e1", "e2", "e3", now=1.0)
         self.quarantine.record_alive(EngineLife("e3"), 0.9, 0.9)
-        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.assertIs(self.permission(now=1.0), RunPermission.HELD)
         self.quarantine.record_alive(EngineLife("e3"), 1.1, 1.1)
-        self.assertIs(self.ruling(now=1.1), RunPermission.ALONE)
+        self.assertIs(self.permission(now=1.1), RunPermission.ALONE)
         self.end("e3", now=1.2)
-        self.assertIs(self.ruling(now=1.2), RunPermission.HELD)
+        self.assertIs(self.permission(now=1.2), RunPermission.HELD)
 
     def test_a_request_sent_after_the_failure_is_not_blamed(self):
         self.end("e1", now=1.0)
@@ -170,7 +170,7 @@
         for number in range(2 * MAX_ENTRIES):
             self.end("e4", request=numbered(number))
         self.assertEqual(len(self.quarantine), MAX_ENTRIES)
-        self.assertIs(self.ruling(), RunPermission.HELD)
+        self.assertIs(self.permission(), RunPermission.HELD)
         self.end(*(f"x{number}" for number in range(100)))
         self.assertLessEqual(len(self.quarantine.entry(REQUEST.digest).failures), MAX_FAILURES)
 
@@ -283,8 +283,8 @@
                 for target in nodes:
                     share_knowledge(source, target, now)
         for request in (REQUEST, OTHER, variant(2), variant(3)):
-            rulings = {node.check_request(request, now) for node in nodes}
-            self.assertEqual(len(rulings), 1)
+            decisions = {node.check_request(request, now) for node in nodes}
+            self.assertEqual(len(decisions), 1)
 
 
 class NaiveQuarantine:
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -1,8 +1,8 @@
 """Engines that restart under the same id.
 
-Guards against keeping knowledge by engine id instead of by instance. An engine that crashed under a
+Guards against keeping knowledge by engine id instead of by life. An engine that crashed under a
 request and restarted under its id then counted only once, however often it crashed, and the first
-answer of its next instance cleared the request. With four nodes and six engines that restarted
+answer of its next life cleared the request. With four nodes and six engines that restarted
 after 2.5 s, one request had 17 and 16 runs later than 3 s after the third engine had crashed under
 it; with engines that got new ids it had none.
 """
@@ -47,8 +47,8 @@
     it.
 
     Without this wait, each node may let three engines fail. Engines report their start times from
-    the first instance on: when the first one did not, its failure was excused by an answer of the
-    next instance, and 4 to 6 engines failed. When nodes received updates late and the test did not
+    the first life on: when the first one did not, its failure was excused by an answer of the
+    next life, and 4 to 6 engines failed. When nodes received updates late and the test did not
     wait, it was 10.
     """
 
@@ -73,18 +73,18 @@
         for number in range(16):
             self.send(f"n{number % self.nodes}", FATAL, number)
             wait_until(self.all_know_the_same)
-            # Meanwhile the next instances serve other requests, which must not excuse the former
-            # instances.
+            # Meanwhile the next lives serve other requests, which must not excuse the former
+            # ones.
             for other in range(4):
                 self.send(f"n{other % self.nodes}", b"b%d" % other, f"{number}-{other}")
         ended = [engine for engine in self.fleet.engines if engine.ended]
         self.assertLessEqual(len(ended), HOLD_AFTER_ENDS)
 
 
-class NextInstanceTest(RestartCase):
+class NextLifeTest(RestartCase):
     nodes, engines = 1, 2
 
-    def test_a_new_instance_starts_without_history(self):
+    def test_a_new_life_starts_without_history(self):
         ended, other = self.fleet.engines
         ended.usual = Behaviour(cut_after=-1)
         for number in range(6):
@@ -98,7 +98,7 @@
         other.usual = Behaviour(refuse=True)
         self.assertEqual(self.send("n0", number="last").status, 200)
 
-    def test_a_late_record_of_a_former_instance_is_ignored(self):
+    def test_a_late_record_of_a_former_life_is_ignored(self):
         ended = self.fleet.engines[0]
         ended.end()
         self.fleet._start_again(ended)
@@ -110,7 +110,7 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_an_entry_identifies_its_instance(self):
+    def test_an_entry_identifies_its_life(self):
         engine = {
             "service": "s", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 4,
             "state": "ready", "coldRemainingMs": 0, "sequence": 1,
@@ -125,7 +125,7 @@
 
 
 class ImplicationTest(unittest.TestCase):
-    """What a quarantine records of several instances of one engine."""
+    """What a quarantine records of several lives of one engine."""
 
     request = RequestIdentity(b"0123456789abcdef", 1)
 
@@ -135,22 +135,22 @@
     def end(self, born, at):
         return self.quarantine.record_end(self.request, EngineLife.of("e", born), at, at)
 
-    def ruling(self, now):
+    def permission(self, now):
         return self.quarantine.check_request(self.request, now).permission
 
-    def test_each_failed_instance_counts(self):
+    def test_each_failed_life_counts(self):
         for number in range(HOLD_AFTER_ENDS):
             self.assertTrue(self.end(number + 1, float(number)))
-        self.assertIs(self.ruling(3.0), RunPermission.HELD)
+        self.assertIs(self.permission(3.0), RunPermission.HELD)
 
-    def test_an_answer_clears_only_the_instance_that_is_still_listed_later(self):
+    def test_an_answer_clears_only_the_life_that_is_still_listed_later(self):
         for number in range(HOLD_AFTER_ENDS):
             self.end(number + 1, 1.0)
-        # The answers came from the same address, but from the next instances.
+        # The answers came from the same address, but from the next lives.
         for number in range(HOLD_AFTER_ENDS):
             self.quarantine.record_alive(EngineLife.of("e", number + 1), 1.5, 1.6)
         self.quarantine.confirm_alive(lambda life: True, 1.6)
-        self.assertIs(self.ruling(2.0), RunPermission.HELD)
+        self.assertIs(self.permission(2.0), RunPermission.HELD)
         self.quarantine.confirm_alive(lambda life: life.born == 3, 9.0)
         self.assertEqual(self.quarantine.check_request(self.request, 9.0).ends, 2)
 
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -92,8 +92,8 @@
 
     def test_an_unused_bucket_refills_by_its_share_only(self):
         full = int(LimitBounds().capacity(SMALL))
-        looks = [(step * 0.5, 2 if 20 <= step < 30 else 8) for step in range(1, 31)]
-        unasked, asked = self.limits(looks), self.limits(looks[:10])
+        updates = [(step * 0.5, 2 if 20 <= step < 30 else 8) for step in range(1, 31)]
+        unasked, asked = self.limits(updates), self.limits(updates[:10])
         self.assertEqual(self.lent(asked, 5.0), full)
         self.assertLessEqual(self.lent(unasked, 15.0), full / 4 + 1)
 
@@ -117,14 +117,14 @@
             model = ZonedLimitModel(seed, ZONES, NODES, SMALL)
             settle(model)
             flood(model, 10, SMALL.rate / 3, faults=False)
-            zone, lend = seed % ZONES, model.lend
+            zone, try_admit = seed % ZONES, model.try_admit
             results = []
 
-            def recording_lend(node, lend=lend, results=results):
-                results.append((node.name, lend(node)))
+            def recording_try_admit(node, try_admit=try_admit, results=results):
+                results.append((node.name, try_admit(node)))
                 return results[-1][1]
 
-            model.lend = recording_lend
+            model.try_admit = recording_try_admit
             model.cut_zone(zone, CUT)
             flood(model, CUT, SMALL.rate / 3, faults=False)
             lent = [one for name, one in results if model.zones[name] == zone]
--- a/tests/zoned_limit_model.py
+++ b/tests/zoned_limit_model.py
@@ -13,7 +13,7 @@
         """Zone of each node."""
         super().__init__(name, now, bounds)
 
-    def look(self, announced, now):
+    def update_view(self, announced, now):
         live = [one for one, at in self.heard.items() if now - at <= LENDER_TIMEOUT]
         near = [one for one in live if self.zones[one] == self.zones[self.name]]
         certain = [one for one in live if now - self.heard[one] <= LENDER_SUSPECT_AFTER]
@@ -39,7 +39,7 @@
                 if first is not second and heard and self.can_reach(first.name, second.name):
                     second.heard[first.name] = self.now
         for node in working:
-            node.look(self.announced, self.now)
+            node.update_view(self.announced, self.now)
 
     def cut_zone(self, zone, seconds):
         """Cut one zone off from all others."""
