--- a/postvalve/core/admission/service_latency.py
+++ b/postvalve/core/admission/service_latency.py
@@ -9,18 +9,18 @@
 
 from dataclasses import dataclass, field
 
-FORGET = 0.97
+DECAY = 0.97
 """Factor by which each new sample reduces the weight of all earlier ones."""
-LEAST_SAMPLES = 4.0
+MIN_SAMPLES = 4.0
 """Total weight of samples from which on estimates are used."""
-LONGEST_FACTOR = 4.0
+MAX_SAMPLE_FACTOR = 4.0
 """Largest multiple of the mean that a sample counts for, since one engine that does not answer says
 nothing about the others."""
 ERROR_WEIGHT = 0.05
 """Weight of a new error in the moving average of errors."""
 QUEUE_WEIGHT = 0.1
 """Weight of a new sample in the moving average of the delay per place in an engine's queue."""
-LONGEST_QUEUE_FACTOR = 10.0
+MAX_QUEUE_FACTOR = 10.0
 """Largest multiple of the nominal delay (mean slot time divided by the slots) that a place in a
 queue is estimated to cost."""
 
@@ -37,7 +37,7 @@
 
     def add(self, x: float, y: float) -> None:
         for name, value in (("weight", 1.0), ("x", x), ("y", y), ("xx", x * x), ("xy", x * y)):
-            setattr(self, name, getattr(self, name) * FORGET + value)
+            setattr(self, name, getattr(self, name) * DECAY + value)
 
     @property
     def mean(self) -> float:
@@ -70,7 +70,7 @@
     @property
     def known(self) -> bool:
         """Whether there are enough samples to base decisions on."""
-        return min(self._first_event.weight, self._slot_time.weight) >= LEAST_SAMPLES
+        return min(self._first_event.weight, self._slot_time.weight) >= MIN_SAMPLES
 
     def observe_first_event(self, tokens: int, seconds: float) -> None:
         """Record the latency of the first event of an attempt that found a free slot.
@@ -81,8 +81,8 @@
             seconds: Time from sending the request to the event.
         """
         mean = self._first_event.mean
-        if self._first_event.weight >= LEAST_SAMPLES:
-            seconds = min(seconds, mean * LONGEST_FACTOR)
+        if self._first_event.weight >= MIN_SAMPLES:
+            seconds = min(seconds, mean * MAX_SAMPLE_FACTOR)
         self._first_event.add(tokens / 1000, seconds)
 
     def observe_slot_time(self, seconds: float) -> None:
@@ -114,7 +114,7 @@
         nominal = places * self.slot_time / max(1, slots)
         if nominal <= 0:
             return
-        factor = min(LONGEST_QUEUE_FACTOR, max(0.0, seconds) / nominal)
+        factor = min(MAX_QUEUE_FACTOR, max(0.0, seconds) / nominal)
         self._queue_factor += QUEUE_WEIGHT * (factor - self._queue_factor)
 
     def queue_delay_per_place(self, slots: int) -> float:
@@ -123,7 +123,7 @@
 
     def observe_error(self, expected: float, seconds: float) -> None:
         """Record the latency of a first event for which `expected` seconds were estimated."""
-        longest = max(expected, self._first_event.mean) * LONGEST_FACTOR
+        longest = max(expected, self._first_event.mean) * MAX_SAMPLE_FACTOR
         error = abs(min(seconds, longest) - expected)
         self._error += ERROR_WEIGHT * (error - self._error)
 
@@ -134,12 +134,12 @@
 
     def pause(self, running: int) -> float:
         """Return the mean time between events while `running` requests run; 0 if unknown."""
-        return self._pause.at(running) if self._pause.weight >= LEAST_SAMPLES else 0.0
+        return self._pause.at(running) if self._pause.weight >= MIN_SAMPLES else 0.0
 
     def longest_pause(self, running: int) -> float:
         """Return the average of the longest pauses of streams while `running` requests run; 0 if
         unknown."""
-        known = self._longest_pause.weight >= LEAST_SAMPLES
+        known = self._longest_pause.weight >= MIN_SAMPLES
         return self._longest_pause.at(running) if known else 0.0
 
     @property
--- a/postvalve/core/membership/store_reachability.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -16,8 +16,9 @@
 PROBE_INTERVAL = 0.8
 """Seconds between attempts to call an unreachable store directly."""
 HEARD_WITHIN = 1.1
-"""Seconds since a peer was last heard within which it may be asked. Reports come at least every 0.5
-s, and one may be lost. The limit also bounds how long a suspended peer is asked."""
+"""Seconds since a peer was last heard within which it may be asked. One of the
+reports, which come at least every 0.5 s, may be lost. It also bounds how long a suspended peer is
+asked."""
 AVOID_TIME = 2.0
 """Seconds for which a peer that did not answer is not asked again."""
 MIN_RELAY_TIMEOUT = 0.5
--- a/postvalve/core/membership/zone_reporting.py
+++ b/postvalve/core/membership/zone_reporting.py
@@ -37,8 +37,8 @@
 """Most seconds between two digests of a zone. Four in a row must be lost before the zone counts as
 silent."""
 REMOTE_DIGEST_RATE = 5_000.0
-"""Approximate bytes per second of other zones' digests that a node receives. The design limit is 7
-KB/s for all control traffic of a node, and reports of its own zone take the rest."""
+"""Approximate bytes per second of other zones' digests that a node receives. All control
+traffic of a node may take 7 KB/s by design, and reports of its own zone take the rest."""
 MAX_DIRECT_PEERS = int(REMOTE_REPORT_RATE * DIGEST_INTERVAL)
 """Number of nodes in other zones up to which each node reports to them itself."""
 CHECK_INTERVAL = 0.08
@@ -58,9 +58,9 @@
 NO_EXTENSIONS: Extensions = MappingProxyType({})
 
 
-def uses_digests(far_peers: int) -> bool:
+def uses_digests(remote_peers: int) -> bool:
     """Return whether nodes of other zones get digests, given the number of these nodes."""
-    return far_peers > MAX_DIRECT_PEERS
+    return remote_peers > MAX_DIRECT_PEERS
 
 
 def reporter_of(zone: str, node_ids: Iterable[str]) -> str | None:
@@ -107,7 +107,7 @@
         neighbours: Sequence[Peer],
         engine_use: bytes,
         now: float,
-        told: Extensions = NO_EXTENSIONS,
+        rotating_parts: Extensions = NO_EXTENSIONS,
     ) -> bytes:
         """Build the next digest and pack it.
 
@@ -116,7 +116,7 @@
             neighbours: The other nodes of the zone.
             engine_use: Counts of all nodes of the zone together.
             now: Monotonic seconds.
-            told: Optional parts that nodes send in rotation, so that their last reports do not
+            rotating_parts: Optional parts that nodes send in rotation, so that their last reports do not
                 contain them completely.
         """
         reports = sorted([own, *(peer.report for peer in neighbours)], key=lambda one: one.node_id)
@@ -140,7 +140,7 @@
             members_version=version,
             members=members if listed else None,
             running=[item for one in reports for item in one.running],
-            extensions={**merge_extensions(reports), **told},
+            extensions={**merge_extensions(reports), **rotating_parts},
         )
         data = digest.pack()
         self._size = len(data) if not listed or not self._size else self._size
@@ -154,9 +154,9 @@
     for report in reports:
         features &= features_of(report.extensions)
     parts: dict[int, bytes] = {Extension.FEATURES: pack_features(features)}
-    told = [one.extensions.get(Extension.ITEM_PACE, b"") for one in reports]
-    if pace := merge_token_times(told):
-        parts[Extension.ITEM_PACE] = pace
+    token_times = [one.extensions.get(Extension.ITEM_PACE, b"") for one in reports]
+    if merged_times := merge_token_times(token_times):
+        parts[Extension.ITEM_PACE] = merged_times
     shares = merge_share_updates(one.extensions.get(Extension.SHARE_CLOCK, b"") for one in reports)
     if shares:
         parts[Extension.SHARE_CLOCK] = shares
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -157,18 +157,18 @@
         for step in range(40):
             self.update_view(9.0 + step * 0.5, live=live)
         self.update_view(29.0)
-        lent = 0
+        granted = 0
         while self.acquire(29.0, tenant=tenant).outcome is CreditOutcome.GRANTED:
-            lent += 1
-        self.assertLessEqual(lent, 1)
+            granted += 1
+        self.assertLessEqual(granted, 1)
 
     def limits_choice(self, tenant, live):
         return rank_owners(tenant, live)[0]
 
     def test_a_node_that_is_not_a_lender_grants_nothing(self):
         self.update_view(0.1, live=("n0", "n1", "n2"))
-        told = {self.acquire(5.0, tenant=f"t{number}").outcome for number in range(60)}
-        self.assertIn(CreditOutcome.NOT_OWNER, told)
+        outcomes = {self.acquire(5.0, tenant=f"t{number}").outcome for number in range(60)}
+        self.assertIn(CreditOutcome.NOT_OWNER, outcomes)
 
     def test_a_lower_limit_applies_at_once_and_an_older_revision_does_not(self):
         for step in range(40):
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -21,7 +21,7 @@
     PendingRequest,
     decide,
 )
-from postvalve.core.admission.service_latency import LONGEST_QUEUE_FACTOR, ServiceLatency
+from postvalve.core.admission.service_latency import MAX_QUEUE_FACTOR, ServiceLatency
 from postvalve.core.routing.latency_estimate import (
     EngineOccupancy,
     expected_first_event,
@@ -91,7 +91,7 @@
         self.assertAlmostEqual(pace.queue_delay_per_place(8), 0.3, places=2)
         for _ in range(100):
             pace.observe_queue(1, 8, 500.0)
-        self.assertLessEqual(pace.queue_delay_per_place(8), 0.1 * LONGEST_QUEUE_FACTOR + 1e-9)
+        self.assertLessEqual(pace.queue_delay_per_place(8), 0.1 * MAX_QUEUE_FACTOR + 1e-9)
 
     @given(st.lists(st.tuples(st.integers(0, 10**6), st.floats(0, 100)), max_size=60))
     def test_estimates_are_never_negative(self, samples):
@@ -311,8 +311,8 @@
         self.assertGreater(float(answer.headers["retry-after"]), 0)
         self.assertEqual(read_answer(first).status, 200)
         self.assertNotIn("r2", [run[0] for run in self.engine.runs])
-        told = self.fleet.events("n0", Event.ROUTED_REQUEST_TURNED_AWAY)
-        self.assertEqual([one["request"] for one in told], ["r2"])
+        events = self.fleet.events("n0", Event.ROUTED_REQUEST_TURNED_AWAY)
+        self.assertEqual([one["request"] for one in events], ["r2"])
 
     def test_a_retry_waits_and_is_served(self):
         self.train()
@@ -327,9 +327,9 @@
         self.train()
         first = self.send(1)
         self.running()
-        turned_away = read_answer(self.send(2))
-        self.assertEqual(turned_away.status, 503)
-        self.assertGreaterEqual(float(turned_away.headers["retry-after"]), MIN_RETRY_AFTER)
+        refused = read_answer(self.send(2))
+        self.assertEqual(refused.status, 503)
+        self.assertGreaterEqual(float(refused.headers["retry-after"]), MIN_RETRY_AFTER)
         left = 5000 - int(MIN_RETRY_AFTER * 1000)
         again = self.send(3, deadline_ms=left)
         self.assertEqual([read_answer(first).status, read_answer(again).status], [200, 200])
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -252,20 +252,20 @@
         self.chance = chance
         self.loss = 0.0
         self.nodes = {}
-        self.on_the_way = []
-        self.across = 0
+        self.in_flight = []
+        self.cross_zone = 0
         """Datagrams sent from one zone to another."""
 
     def send(self, sender, address, data):
         receiver = self.nodes[address]
-        self.across += sender.identity.zone != receiver.identity.zone
+        self.cross_zone += sender.identity.zone != receiver.identity.zone
         if self.chance.random() >= self.loss:
-            self.on_the_way.append((address, data))
+            self.in_flight.append((address, data))
 
     def deliver(self):
-        while self.on_the_way:
-            index = self.chance.randrange(len(self.on_the_way))
-            address, data = self.on_the_way.pop(index)
+        while self.in_flight:
+            index = self.chance.randrange(len(self.in_flight))
+            address, data = self.in_flight.pop(index)
             self.nodes[address].reports.receive(data, address)
 
 
@@ -394,15 +394,15 @@
             self.assertEqual(node.reports.items.at(9), [(50, runner.name)])
 
     def test_cross_zone_traffic_does_not_grow_with_the_nodes(self):
-        crossed = []
+        sent = []
         for nodes_each in (8, 16):
             self.setUp()
             self.start(5, nodes_each)
             self.play(4.0)
-            before = self.network.across
+            before = self.network.cross_zone
             self.play(4.0)
-            crossed.append(self.network.across - before)
-        self.assertLessEqual(crossed[1], crossed[0] * 1.1)
+            sent.append(self.network.cross_zone - before)
+        self.assertLessEqual(sent[1], sent[0] * 1.1)
 
     def test_nodes_starting_together_drop_no_peer(self):
         self.start(4, 11)
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -87,20 +87,20 @@
             limits.update_view(names, 8, now, names, names[:heard])
         return limits
 
-    def lent(self, limits, now):
+    def granted(self, limits, now):
         return sum(not limits.try_acquire("t", SMALL, now).wait for _ in range(99))
 
     def test_an_unused_bucket_refills_by_its_share_only(self):
         full = int(LimitBounds().capacity(SMALL))
         updates = [(step * 0.5, 2 if 20 <= step < 30 else 8) for step in range(1, 31)]
         unasked, asked = self.limits(updates), self.limits(updates[:10])
-        self.assertEqual(self.lent(asked, 5.0), full)
-        self.assertLessEqual(self.lent(unasked, 15.0), full / 4 + 1)
+        self.assertEqual(self.granted(asked, 5.0), full)
+        self.assertLessEqual(self.granted(unasked, 15.0), full / 4 + 1)
 
     def test_a_node_that_starts_has_no_credit_for_the_time_before_it_heard_the_fleet(self):
         limits = self.limits([(0.1, 1), (0.6, 1), (1.2, 8)])
-        self.assertEqual(self.lent(limits, 1.2), 0)
-        self.assertEqual(self.lent(limits, 1.2 + 1.2 / SMALL.rate), 1)
+        self.assertEqual(self.granted(limits, 1.2), 0)
+        self.assertEqual(self.granted(limits, 1.2 + 1.2 / SMALL.rate), 1)
 
 
 class CutZoneTest(unittest.TestCase):
@@ -111,7 +111,7 @@
     4 s, 56 of 100 requests were.
     """
 
-    def test_most_are_let_in(self):
+    def test_most_requests_are_admitted(self):
         asked, refused = 0, 0
         for seed in range(48):
             model = ZonedLimitModel(seed, ZONES, NODES, SMALL)
@@ -127,9 +127,9 @@
             model.try_admit = recording_try_admit
             model.cut_zone(zone, CUT)
             flood(model, CUT, SMALL.rate / 3, faults=False)
-            lent = [one for name, one in results if model.zones[name] == zone]
-            asked += len(lent)
-            refused += lent.count(False)
+            granted = [one for name, one in results if model.zones[name] == zone]
+            asked += len(granted)
+            refused += granted.count(False)
         self.assertLess(refused, asked / 3)
 
 
@@ -190,11 +190,11 @@
             for one in map(str, range(99))
             if self.limits("n0", self.LIVE).choices(one)[0] == "n7"
         )
-        lent = 0
+        granted = 0
         for near in (self.LIVE[:4], self.LIVE[4:]):
             second = self.limits(near[0], near).choices(tenant)[1]
             lender = self.limits(second, near)
             while lender.try_acquire(tenant, terms, 60.0).outcome.value == "lent":
-                lent += 1
-        self.assertLessEqual(lent, bounds.secondary_credit(terms))
-        self.assertGreater(lent, 0)
+                granted += 1
+        self.assertLessEqual(granted, bounds.secondary_credit(terms))
+        self.assertGreater(granted, 0)
