--- a/postvalve/core/membership/zone_reporting.py
+++ b/postvalve/core/membership/zone_reporting.py
@@ -116,8 +116,8 @@
             neighbours: The other nodes of the zone.
             engine_use: Counts of all nodes of the zone together.
             now: Monotonic seconds.
-            rotating_parts: Optional parts that nodes send in rotation, so that their last reports do not
-                contain them completely.
+            rotating_parts: Optional parts that nodes send in rotation, so that their last reports
+                do not contain them completely.
         """
         reports = sorted([own, *(peer.report for peer in neighbours)], key=lambda one: one.node_id)
         members = tuple(map(_member, reports))
