--- a/postvalve/core/membership/extensions.py
+++ b/postvalve/core/membership/extensions.py
@@ -30,8 +30,7 @@
 
 
 class Feature(enum.IntFlag):
-    """Features that need several nodes. They are used only while all nodes that are heard support
-    them."""
+    """Features that need several nodes. They are used only while all known nodes support them."""
 
     NONE = 0
     LINE = 1
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -163,14 +163,14 @@
         return SilentPeers(nodes, zones)
 
     def all(self) -> list[Peer]:
-        """Return all peers heard recently, directly or in a digest."""
+        """Return all peers known from recent reports or digests."""
         found = list(self._peers.values())
         for zone in self._zones.values():
             found += zone.members.values()
         return found
 
     def count(self) -> int:
-        """Return the number of all peers heard recently."""
+        """Return the number of all peers known from recent reports or digests."""
         return len(self._peers) + sum(len(zone.members) for zone in self._zones.values())
 
     def features(self) -> Feature:
@@ -178,7 +178,7 @@
         return self.gate.enabled
 
     def common_features(self) -> Feature:
-        """Return the features that all nodes that are heard support.
+        """Return the features that all known nodes support.
 
         For a zone known by digests, the newest digest decides, even if the list of members is
         older: a node with an older build may have replaced one of them.
--- a/postvalve/core/membership/shared_freshness.py
+++ b/postvalve/core/membership/shared_freshness.py
@@ -1,4 +1,4 @@
-"""How current the knowledge of a store topic is, taken over all nodes that are heard.
+"""How current the knowledge of a store topic is, across all nodes that report to this one.
 
 A failed read of one node proves little: the store may be rejecting that node, or its connection may
 have stalled, while others are served. If no node has read the topic for a while, the store was
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 UNAVAILABLE_AFTER = 2.0
-"""Seconds without news at any node after which the store counts as unavailable. It is longer than a
-follower goes without news when its path to the store breaks."""
+"""Seconds without updates at any node after which the store counts as unavailable. It is longer
+than a follower goes without updates when its path to the store breaks."""
 STALL_THRESHOLD = 1.5
 """Seconds between two updates from which this node itself must have been suspended."""
 
@@ -27,7 +27,7 @@
 
     @property
     def unavailable(self) -> bool:
-        """Whether the store is unavailable to all nodes that are heard."""
+        """Whether the store is unavailable to all known nodes."""
         return self._unavailable
 
     def update(self, now: float) -> None:
--- a/tests/test_engine_entries.py
+++ b/tests/test_engine_entries.py
@@ -104,8 +104,8 @@
 
     def test_only_the_newest_life_of_an_id_is_accepted(self):
         lives = NewestLives()
-        logged = [("a", 5), ("a", 5), ("a", 4), ("b", 1), ("a", 6), ("a", 5), ("a", 0)]
-        admitted = [lives.admits(EngineLife.of(*one)) for one in logged]
+        records = [("a", 5), ("a", 5), ("a", 4), ("b", 1), ("a", 6), ("a", 5), ("a", 0)]
+        admitted = [lives.admits(EngineLife.of(*one)) for one in records]
         self.assertEqual(admitted, [True, True, False, True, True, False, False])
 
     def test_what_is_remembered_is_bounded(self):
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -361,13 +361,13 @@
     @given(st.lists(st.integers(0, 300), max_size=20), st.integers(1, 60))
     def test_every_change_is_reported(self, changes, peers):
         pace = ReportSchedule(ZONE_REPORT_RATE)
-        told = -1
+        sent_at = -1
         for step in range(400):
             if step in changes:
                 pace.record_change()
             if pace.take_turn(peers, step / 100):
-                told = step
-        self.assertGreaterEqual(told, max(changes, default=0))
+                sent_at = step
+        self.assertGreaterEqual(sent_at, max(changes, default=0))
 
 
 def report(node_id, incarnation=1, sequence=1, **fields):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -244,12 +244,12 @@
         for number in range(3 * MAX_FAILURES):
             first.record_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
             second.record_end(REQUEST, f"b{number}", 0.01 * number, 0.01 * number)
-        news = []
-        first.on_change = second.on_change = news.append
+        changes = []
+        first.on_change = second.on_change = changes.append
         for _ in range(10):
             share_knowledge(first, second, 1.0)
             share_knowledge(second, first, 1.0)
-        self.assertLessEqual(len(news), 2)
+        self.assertLessEqual(len(changes), 2)
 
     def test_outdated_reports_of_a_suspended_node_are_ignored(self):
         stale, fresh = Quarantine("a"), Quarantine("b")
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -408,9 +408,9 @@
         self.start(4, 11)
         self.play(8.0)
         for node in self.nodes:
-            told = [event for event, _ in node.log.written]
-            self.assertNotIn(Event.PEER_SILENT, told)
-            self.assertNotIn(Event.ZONE_SILENT, told)
+            logged = [event for event, _ in node.log.written]
+            self.assertNotIn(Event.PEER_SILENT, logged)
+            self.assertNotIn(Event.ZONE_SILENT, logged)
             self.assertTrue(
                 all(node.peers.can_run_jobs(one.name, 5) for one in self.nodes if one != node)
             )
