--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -78,7 +78,7 @@
         one.forget("two")
         self.assertEqual(one.total("e").total, 1)
 
-    def test_a_report_that_names_no_engine_ends_the_former_one(self):
+    def test_an_empty_report_replaces_the_former_one(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=False)
         for _ in range(3):
@@ -98,7 +98,7 @@
             use.enter("e", batch=True)
         self.assertEqual(use.batch_room("e", 12), 0)
 
-    def test_batch_gives_way_to_any_that_waits_among_batch(self):
+    def test_batch_is_preempted_for_requests_queued_behind_it(self):
         use = EngineUse()
         for _ in range(8):
             use.enter("e", batch=True)
@@ -286,7 +286,7 @@
         self.fleet.record_failure("n", "dark")
         self.assertEqual(place(False), "f")
 
-    def test_nodes_that_see_the_same_do_not_all_fill_one_engine(self):
+    def test_nodes_with_the_same_view_do_not_all_fill_one_engine(self):
         """Sixteen nodes start an item each before they hear of each other's. No engine may get
         more requests than it has slots: eight engines of 8 slots, seven of which run one online
         request."""
@@ -333,7 +333,7 @@
         self.assertEqual([one and one.engine.life for one in placed], ["n", "n", "f", "f", None])
 
 
-class ReportPaceTest(unittest.TestCase):
+class ReportScheduleTest(unittest.TestCase):
     def turns(self, peers, seconds, change_every, rate=ZONE_REPORT_RATE):
         pace = ReportSchedule(rate)
         taken = []
@@ -383,7 +383,7 @@
         self.assertEqual(view.expire(SILENT_AFTER + 0.1).nodes, ["a"])
         self.assertFalse(view.can_run_jobs("a", 1))
 
-    def test_a_node_that_stood_still_believes_nobody_gone(self):
+    def test_a_suspended_node_drops_no_peer(self):
         view = PeerView("me")
         view.observe(report("a"), 0.0)
         view.expire(0.5)
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -126,7 +126,7 @@
         self.assertAlmostEqual(first, 0.65, delta=0.01)
 
 
-class RuleTest(unittest.TestCase):
+class DecisionTest(unittest.TestCase):
     def decide(self, rooms, now=0.0, pace=None, **terms):
         return decide(request(**terms), rooms, pace or learnt(), now)
 
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -6,7 +6,7 @@
 from postvalve.core.admission.online_averages import KEPT_WINDOWS, WINDOW, OnlineAverages
 
 
-class OnlineMeansTest(unittest.TestCase):
+class OnlineAveragesTest(unittest.TestCase):
     def test_the_average_is_that_of_the_previous_window(self):
         means = OnlineAverages()
         for online in (2, 4, 6):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -56,7 +56,7 @@
         target.merge(digest, shared, now)
 
 
-class RulingTest(unittest.TestCase):
+class PermissionTest(unittest.TestCase):
     def setUp(self):
         self.quarantine = Quarantine("n0")
 
