--- a/postvalve/core/admission/online_admission.py
+++ b/postvalve/core/admission/online_admission.py
@@ -1,10 +1,11 @@
-"""Whether an online request goes to an engine now, waits at the node, or is asked to come back.
-
-Engines serve first come, first served. In a heap of requests that is larger than their slots
-this makes everybody late by a little. So a request goes to an engine's queue only if it can still
-be in time there; those that can't leave the slots to those that can. One that has its time before
-it is refused at once, not run, with the time at which room is expected; one that has come back, or
-can't, waits at the node and takes the first slot that nobody needs to be in time.
+"""Admission of online requests: start now, hold at this node, or refuse with a retry time.
+
+Engines serve their queues first come, first served. In a burst larger than their slots this would
+make every request a little late. So a request is sent to an engine's queue only if it can still be
+in time there, and leaves the slots to other requests otherwise. A request whose client has time to
+retry is refused at once, without being run, together with the time at which capacity is expected.
+One that is a retry already, or whose client has no time for one, is held at the node and takes the
+first slot that no other request needs to be in time.
 """
 
 from __future__ import annotations
@@ -23,32 +24,32 @@
 REFUSE_SHARE = 0.12
 """Share of its target latency within which a request is refused, if at all."""
 HOLD_SHARE = 0.8
-"""Share of its target latency that a request is held at the most before an engine gets it: one
-that has come back must reach an engine while its client still waits."""
+"""Share of its target latency for which a request is held at most before it is sent to an engine. A
+retried request must reach an engine while its client is still waiting."""
 FIRST_TRY_SHARE = 0.97
-"""Share of the longest time that clients give from which a request counts as a first try; less
-than a client has left that came back after `MIN_RETRY_AFTER`, for any time up to 10 s."""
+"""Share of the longest deadline that clients set from which a request counts as a first try. It is
+more than a client has left that retried after `MIN_RETRY_AFTER`, for any deadline up to 10 s."""
 MIN_RETRY_AFTER = 0.3
-"""Seconds after which a refused client may come back at the earliest."""
+"""Shortest retry time, in seconds, told to a refused client."""
 RETRY_AFTER_SHARE = 0.3
-"""Share of the time left after which a refused client comes back at the latest."""
+"""Share of the client's remaining time that the retry time may take at most."""
 RETRY_JITTER = 0.5
-"""Seconds over which clients that were refused together come back."""
+"""Seconds over which the retries of clients refused together are spread."""
 UNKNOWN_LATENCY_QUEUE = 1
-"""Online requests that may wait at an engine before its pace is known."""
+"""Online requests that may queue at an engine while its latencies are unknown."""
 PERSISTENT_AFTER = 2.5
-"""Seconds after which an overload is none that clients can wait out: by then those that were told
-to come back are here, and whoever is refused or held only comes later."""
+"""Seconds after which an overload counts as persistent, so that waiting does not help clients. By
+then those told to retry are back, and refusing or holding any request only makes it later."""
 EPISODE_WEIGHT = 0.3
-"""Weight of a new overload in the expected length of the next one."""
+"""Weight of a new overload in the moving average of overload lengths."""
 EPISODE_GAP = 0.5
-"""Seconds in which every request finds room, after which an overload is over."""
+"""Seconds in which every request finds capacity, after which an overload is over."""
 INITIAL_EPISODE_LENGTH = 1.0
-"""Seconds that the first overload is expected to last."""
+"""Expected length, in seconds, of the first overload."""
 
 
 class AdmissionAction(enum.Enum):
-    """What becomes of a request now."""
+    """What to do with an online request now."""
 
     START = "start"
     HOLD = "hold"
@@ -57,52 +58,57 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """What decides about a request; times in monotonic seconds."""
+    """Properties of an online request that the decision depends on; times in monotonic seconds."""
 
     arrived_at: float
     target_latency: float
     deadline: float
     tokens: int
-    """Prompt tokens that an engine may have to read for it."""
+    """Prompt tokens that an engine may have to process for it."""
     may_retry: bool
-    """Whether its client can come back in time if it is refused."""
+    """Whether its client has time for a retry if it is refused."""
 
 
 def finds_room(
-    req: PendingRequest, rooms: Sequence[EngineOccupancy], pace: ServiceLatency, now: float
+    req: PendingRequest, occupancies: Sequence[EngineOccupancy], latency: ServiceLatency, now: float
 ) -> bool:
-    """Whether an engine should get a request now, for its own sake."""
-    if not rooms or any_has_capacity(rooms, pace):
-        # A slot that no online work needs: late or not, nothing better can be had.
+    """Return whether a request should be sent to an engine now, regardless of other requests."""
+    if not occupancies or any_has_capacity(occupancies, latency):
+        # An engine has a slot that no online work needs: even if the request will be late, it
+        # cannot do better elsewhere.
         return True
-    if not pace.known:
-        # Nobody can say what a queue costs yet: one place in it is risked.
-        return min(room.online - room.capacity(pace) for room in rooms) < UNKNOWN_LATENCY_QUEUE
+    if not latency.known:
+        # Without estimates of the queueing delay, risk a queue of one request.
+        return (
+            min(occupancy.online - occupancy.capacity(latency) for occupancy in occupancies)
+            < UNKNOWN_LATENCY_QUEUE
+        )
     left = req.arrived_at + req.target_latency - now
-    return any(expected_in_time(rooms, req.tokens, pace, left))
+    return any(expected_in_time(occupancies, req.tokens, latency, left))
 
 
 def decide(
     req: PendingRequest,
-    rooms: Sequence[EngineOccupancy],
-    pace: ServiceLatency,
+    occupancies: Sequence[EngineOccupancy],
+    latency: ServiceLatency,
     now: float,
     *,
     persistent: bool = False,
 ) -> AdmissionAction:
-    """Decide about a request at `now`; alike for all that wait.
+    """Decide on a request at `now`; the same rule applies to all waiting requests.
 
     Args:
         req: The request.
         rooms: Load of the engines that may take it.
-        pace: Of these engines.
+        pace: Latency estimates for these engines.
         now: Monotonic seconds.
-        persistent: Whether the slots ran out long ago: then engines serve first come, first served.
+        persistent: Whether the overload is persistent; requests are then started first come, first
+            served.
     """
-    if persistent or finds_room(req, rooms, pace, now):
+    if persistent or finds_room(req, occupancies, latency, now):
         return AdmissionAction.START
     waited = now - req.arrived_at
-    if pace.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
+    if latency.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
         return (
             AdmissionAction.REFUSE
             if waited >= req.target_latency * REFUSE_SHARE
@@ -114,7 +120,7 @@
 
 
 class OverloadEpisodes:
-    """When the slots ran out, and for how long they usually do."""
+    """Tracks when the engines ran out of slots, and how long overloads usually last."""
 
     def __init__(self) -> None:
         self._since: float | None = None
@@ -122,33 +128,38 @@
         self._length = INITIAL_EPISODE_LENGTH
 
     def record_full(self, now: float) -> None:
-        """A request found no room in time at `now`.
+        """Record that a request found no capacity in time at `now`.
 
-        Slots come free all through an overload; it is over when nobody was short of one for a
-        while.
+        Slots become free all through an overload. It is over only when no request has been short of
+        a slot for `EPISODE_GAP`.
         """
-        self._end_old(now)
+        self._close_expired(now)
         self._since = now if self._since is None else self._since
         self._last = now
 
-    def _end_old(self, now: float) -> None:
+    def _close_expired(self, now: float) -> None:
         if self._since is not None and now - self._last > EPISODE_GAP:
             self._length += EPISODE_WEIGHT * (self._last - self._since - self._length)
             self._since = None
 
     def persistent(self, now: float) -> bool:
-        """Whether the present overload has lasted for longer than clients can wait."""
-        self._end_old(now)
+        """Return whether the present overload has lasted for longer than clients can wait."""
+        self._close_expired(now)
         return self._since is not None and now - self._since > PERSISTENT_AFTER
 
     def seconds_left(self, now: float) -> float:
-        """Seconds until there is room again, as far as can be told."""
-        self._end_old(now)
+        """Return the expected seconds until there is capacity again."""
+        self._close_expired(now)
         if self._since is None:
             return 0.0
         return max(0.0, self._length - (now - self._since))
 
-    def retry_after(self, now: float, time_left: float, drawn: float) -> float:
-        """Seconds told to a refused client; `drawn` is from 0 to 1."""
+    def retry_after(self, now: float, time_left: float, random_fraction: float) -> float:
+        """Return the retry time, in seconds, for a refused client.
+
+        `random_fraction`, from 0 to 1, spreads the retries of clients refused together.
+        """
         latest = time_left * RETRY_AFTER_SHARE
-        return min(latest, max(MIN_RETRY_AFTER, self.seconds_left(now)) + RETRY_JITTER * drawn)
+        return min(
+            latest, max(MIN_RETRY_AFTER, self.seconds_left(now)) + RETRY_JITTER * random_fraction
+        )
--- a/postvalve/core/admission/quarantine.py
+++ b/postvalve/core/admission/quarantine.py
@@ -1,18 +1,20 @@
-"""Requests under which engines ended, and whether they may run again.
-
-A request that makes each engine end that runs it takes the whole fleet away from everybody when it
-comes again and again: under ids of its own, at any node, or as an item that is always tried again.
-What nodes saw of it is held here as small facts that merge: *an engine ended under this request*.
-A fact is excused when the engine turns out to live, or the request gets an answer. Facts and
-excuses are only added, so the order in which nodes hear of them, doubles and losses do no harm.
-Such a request is known as a *query of death*.
-
-Of the requests that an engine ran as it ended all but one are innocent. They go on elsewhere at
-once, and their answers clear them. One under which two engines ended is doubtful: it runs once at
-a time in the whole fleet, at an engine that its digest chooses, so that doubtful ones spread and
-copies of one meet. One under which a third ended is held back for a time that doubles with each
-end that follows. A variant of it under which no engine ended yet may be somebody else's: it runs
-alone, until so many variants did the same that the headers can't be what matters.
+"""Quarantine of requests that may crash the engines that run them.
+
+A request that crashes every engine that runs it can take the whole fleet down when it is sent again
+and again: with a new id each time, to any node, or as a batch item that is always retried. Such a
+request is known as a *query of death*. The quarantine records failures: *an engine failed while
+running this request*. A failure is excused when the engine turns out to be alive or the request
+gets an answer. Failures and excuses are only ever added, so they can be merged in any order, and
+duplicated or lost messages do no harm.
+
+Of the requests that an engine was running when it failed, all but one are innocent. They are
+retried elsewhere at once, and their answers clear them. A request under which two engines failed is
+suspect: it runs once at a time in the whole fleet, at an engine chosen by its digest, so that
+suspect requests spread over the engines and copies of one request meet at the same engine. A
+request under which a third engine failed is held back for a time that doubles with each further
+failure. A variant of such a request under which no engine has failed may belong to another client:
+it runs alone until several variants have caused failures, which shows that the headers make no
+difference.
 """
 
 from __future__ import annotations
@@ -29,50 +31,53 @@
 from postvalve.core.membership.ownership import preferred_owner
 
 SUSPECT_AFTER = 2
-"""Engines that ended under a request from which on it runs alone: it was cut twice in a row."""
+"""Failed engines from which on a request runs alone: it was interrupted twice in a row."""
 HOLD_AFTER = 3
-"""Engines from which on it is held back. An innocent one has been where three engines ended, the
-third of which ran no other doubtful one that is known."""
+"""Failed engines from which on a request is held back. An innocent request gets there only if it
+was running at three engines that failed, the third of which ran no other known suspect request."""
 HOLD_TIME = 60.0
-"""Seconds for which it is held back after the third end, doubled for each one that follows: one
-engine in the first minute, one in the next two, and so on."""
+"""Seconds for which a request is held back after the third failure. The time doubles with each
+further one, so a request crashes one engine in the first minute, one in the next two, and so on."""
 MAX_HOLD_TIME = 3600.0
 SUSPICION_TIME = 30.0
-"""Seconds after its last end from which a request that is not held back is like any other. Engines
-that end for causes of their own rarely meet the same request twice in so short a time."""
+"""Seconds after its last failure for which a request stays suspect if it is not held back. Engines
+that fail for other reasons rarely run the same request twice in so short a time."""
 FATAL_START_TIME = 1.0
-"""Seconds after a run's first event from which it is not what ended its engine: one that makes
-engines end does so as it begins to run, after 50 to 140 ms where it was seen."""
+"""Seconds after the first event of a run from which the run is not taken for the cause of its
+engine's failure. Requests that crash engines do so as they begin to run: after 50 to 140 ms where
+this was observed."""
 ANSWER_RETENTION = 30.0
-"""Seconds for which an answer speaks for a request that comes again. One that many send runs at all
-engines at all times, so it is there whenever one ends: beside a request that ended all engines of a
-run, three, 84 in 100 of those that were all alike got a 502 without this, and 23 with it."""
+"""Seconds for which an answer counts in favour of the same request when it is sent again. A request
+that many clients send runs at all engines at all times, so it is there whenever one fails: beside a
+request that crashed all three engines of a run, 84 of 100 such common requests got a 502 without
+this rule, and 23 with it."""
 LISTING_DELAY = 1.0
-"""Seconds after its first answer in which an engine that started again may not be listed yet."""
+"""Seconds after its first answer in which a restarted engine may not be listed yet."""
 MAX_ANSWERS = 4_096
-"""Answers that are remembered: 136 a second, twice a node's share of the planned load."""
+"""Answers remembered: 136 a second, which is twice a node's share of the planned load."""
 MAX_ENTRIES = 512
-"""Requests that are known at once. One engine that ends brings as many as it has slots, 8 to 20."""
+"""Entries kept. Each engine failure adds as many as the engine has slots, 8 to 20."""
 HOLD_ALL_VARIANTS_AFTER = 3
-"""Variants under which engines ended from which on all others are held back too."""
+"""Number of failing variants from which on all variants of a request are held back."""
 MAX_FAILURES = 12
-"""Facts that are kept of each."""
+"""Failures kept per entry."""
 
 
 class RunPermission(enum.Enum):
     """Whether a request may run."""
 
     FREE = "free"
-    """Like any other."""
+    """It may run without restriction."""
     ALONE = "alone"
-    """Once at a time in the whole fleet, and at one engine only."""
+    """It may run once at a time in the whole fleet, and at one engine only."""
     HELD = "held"
-    """Not now."""
+    """It may not run now."""
 
 
 @dataclass(frozen=True, slots=True)
 class FailureId:
-    """One fact: a life of an engine, and a number that no other fact of that life has."""
+    """Identifies one failure: the life of the engine that failed, and a number unique within that
+    life."""
 
     engine: EngineLife
     stamp: int
@@ -80,16 +85,18 @@
 
 @dataclass(slots=True)
 class EngineFailure:
-    """That an engine ended under a request, or is about to be tried."""
+    """An engine that failed while it ran a request, or that is about to run a suspect one."""
 
     ended_at: float
-    """Monotonic seconds; of all that were heard the earliest, so that retelling ages nothing."""
+    """Monotonic seconds; the earliest of all reported times, so that repeated reports do not make a
+    failure look more recent."""
     variant: int = 0
-    """Of the request, see `request_identity`."""
+    """Variant of the request, see `request_identity`."""
     trial: bool = False
-    """Whether it was told when a doubtful request was sent; only its sender can excuse it."""
+    """Whether it was recorded when a suspect request was sent. Only the sending node can excuse
+    it."""
     excused: bool = False
-    """Whether it does not count; that is never taken back."""
+    """Whether the failure does not count. An excuse is never withdrawn."""
 
 
 @dataclass(slots=True)
@@ -99,42 +106,47 @@
     failures: dict[FailureId, EngineFailure] = field(default_factory=dict)
 
     def engines(self) -> dict[EngineLife, float]:
-        """Lives of engines that ended, and when."""
+        """Return the lives of engines that failed, with the time of each failure."""
         found: dict[EngineLife, float] = {}
-        for name, failure in self.failures.items():
+        for failure_id, failure in self.failures.items():
             if not failure.excused:
-                found[name.engine] = min(found.get(name.engine, failure.ended_at), failure.ended_at)
+                found[failure_id.engine] = min(
+                    found.get(failure_id.engine, failure.ended_at), failure.ended_at
+                )
         return found
 
     def variants(self) -> set[int]:
-        """Variants under which engines ended."""
+        """Return the variants under which engines failed."""
         return {failure.variant for failure in self.failures.values() if not failure.excused}
 
     def of(self, variant: int) -> list[EngineFailure]:
-        """Facts of one variant."""
+        """Return the failures of one variant."""
         return [failure for failure in self.failures.values() if failure.variant == variant]
 
     @property
     def on_trial(self) -> bool:
-        """Whether a run of it is under way, as far as is known."""
+        """Whether a run of the request is in progress, as far as is known."""
         return any(failure.trial and not failure.excused for failure in self.failures.values())
 
     def applies_to(self, variant: int) -> bool:
-        """Whether what is known holds a variant back, that of a run under way among others."""
+        """Return whether a variant is restricted by this entry, for example by a run in
+        progress."""
         known = self.variants()
         return self.on_trial or variant in known or len(known) >= HOLD_ALL_VARIANTS_AFTER
 
     def held_until(self) -> float:
-        """Monotonic seconds until which it is held back; in the past where it is not."""
+        """Return until when the request is held back, in monotonic seconds; in the past if it is
+        not."""
         ends = self.engines()
         if len(ends) < HOLD_AFTER:
             return float("-inf")
         return max(ends.values()) + hold_time(len(ends))
 
     def expires_at(self) -> float:
-        """Monotonic seconds from which nothing of it is needed any more.
+        """Return the monotonic time from which the entry may be dropped.
 
-        One that was held back is remembered as long again: the next end must count as one more.
+        An entry that was held back is kept for the same time again, so that the next failure counts
+        as a further one.
         """
         ends = self.engines()
         latest = max(
@@ -144,20 +156,24 @@
             return latest + SUSPICION_TIME
         return self.held_until() + hold_time(len(ends))
 
-    def merge(self, told: QuarantineEntry) -> bool:
-        """Take in what another one knows of the same request; tells whether any of it is news."""
-        before = {name: failure.excused for name, failure in self.failures.items()}
-        for name, failure in told.failures.items():
+    def merge(self, other: QuarantineEntry) -> bool:
+        """Merge another node's knowledge of the same request; returns whether anything was new."""
+        before = {failure_id: failure.excused for failure_id, failure in self.failures.items()}
+        for failure_id, failure in other.failures.items():
             known = self.failures.setdefault(
-                name, EngineFailure(failure.ended_at, failure.variant, failure.trial)
+                failure_id, EngineFailure(failure.ended_at, failure.variant, failure.trial)
             )
             known.ended_at = min(known.ended_at, failure.ended_at)
             known.excused |= failure.excused
         self._prune()
-        return any(before.get(name) != failure.excused for name, failure in self.failures.items())
+        return any(
+            before.get(failure_id) != failure.excused
+            for failure_id, failure in self.failures.items()
+        )
 
     def _prune(self) -> None:
-        """Drop the facts of least weight; those that come again are dropped again."""
+        """Drop the least important failures. If they are reported again, they are dropped
+        again."""
         while len(self.failures) > MAX_FAILURES:
             failures = self.failures
             del failures[
@@ -166,21 +182,21 @@
 
 
 def hold_time(ends: int) -> float:
-    """Seconds for which a request is held back after so many engines ended under it."""
+    """Return for how many seconds a request is held back after the given number of failures."""
     return min(MAX_HOLD_TIME, HOLD_TIME * 2.0 ** min(16, ends - HOLD_AFTER))
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineDecision:
-    """A ruling, and what it was made of."""
+    """Permission to run a request, and what it was based on."""
 
     permission: RunPermission
     ends: int = 0
-    """Engines that ended under the request."""
+    """Number of engines that failed under the request."""
     age: float = 0.0
-    """Seconds since the last of them did."""
+    """Seconds since the last failure."""
     seconds: float = 0.0
-    """For which it is held back from now on."""
+    """Seconds for which the request is still held back."""
 
 
 _FREE = QuarantineDecision(RunPermission.FREE)
@@ -188,20 +204,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What is known of a request, for operators."""
+    """Summary of a quarantine entry for operators."""
 
     ends: int
-    """Engines that ended under it."""
+    """Number of engines that failed under the request."""
     variants: int
-    """Of the request, under which they did."""
+    """Number of variants of the request under which engines failed."""
     age: float
-    """Seconds since the last of them did."""
+    """Seconds since the last failure."""
     seconds: float
-    """For which it is held back from now on; 0 where it is not."""
+    """Seconds for which the request is still held back; 0 if it is not."""
     on_trial: bool
 
     def fields(self) -> dict[str, Any]:
-        """As fields of a log line, or of a status document."""
+        """Return the fields of a log event or of the status document."""
         return {
             "ends": self.ends,
             "variants": self.variants,
@@ -213,37 +229,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """A run of a doubtful request, told before it began."""
+    """One run of a suspect request, announced before it starts."""
 
     digest: bytes
     failure: FailureId
 
 
 class Quarantine:
-    """Cases by digest. Times are monotonic seconds."""
+    """Quarantine entries by request digest. Times are monotonic seconds."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
         self._entries: dict[bytes, QuarantineEntry] = {}
         self._stamps = 0
         self._answered: dict[RequestIdentity, float] = {}
-        """When a request was answered last, the latest one last."""
-        self._answering: dict[EngineLife, tuple[float, float]] = {}
-        """Blamed lives that seem to answer: when the request was sent, and when they did."""
-        self._blamed: set[EngineLife] = set()
-        """Engines that facts name, some of which may not stand any more."""
+        """Time of the last answer of each request, in order of these times."""
+        self._unconfirmed: dict[EngineLife, tuple[float, float]] = {}
+        """Lives of implicated engines that seem to answer: when the request was sent, and when the
+        answer arrived."""
+        self._implicated: set[EngineLife] = set()
+        """Lives of engines named by failures, some of which may have been excused since."""
         self.on_change: Callable[[bytes], None] = lambda digest: None
-        """Called with a digest of which something new is known."""
+        """Called with the digest of a request about which something new is known."""
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def digests(self) -> list[bytes]:
-        """Of all requests that something is known of."""
+        """Return the digests of all requests with an entry."""
         return list(self._entries)
 
     def entry(self, digest: bytes) -> QuarantineEntry | None:
-        """What is known of a request."""
+        """Return the entry of a request."""
         return self._entries.get(digest)
 
     def check_request(self, identity: RequestIdentity, now: float) -> QuarantineDecision:
@@ -256,15 +273,15 @@
             return _FREE
         age = now - max(ends.values())
         if len(ends) < HOLD_AFTER:
-            ruling = RunPermission.FREE if age >= SUSPICION_TIME else RunPermission.ALONE
-            return QuarantineDecision(ruling, len(ends), age)
+            permission = RunPermission.FREE if age >= SUSPICION_TIME else RunPermission.ALONE
+            return QuarantineDecision(permission, len(ends), age)
         seconds = entry.held_until() - now
         if seconds <= 0 or not entry.applies_to(identity.variant):
             return QuarantineDecision(RunPermission.ALONE, len(ends), age)
         return QuarantineDecision(RunPermission.HELD, len(ends), age, seconds)
 
     def summary(self, digest: bytes, now: float) -> Summary:
-        """What is known of a request."""
+        """Return a summary of what is known of a request."""
         entry = self._entries.get(digest, QuarantineEntry())
         ends = entry.engines()
         age = now - max(ends.values(), default=now)
@@ -274,37 +291,41 @@
     def record_end(
         self, identity: RequestIdentity, engine: EngineLife, sent_at: float, now: float
     ) -> bool:
-        """An engine's connection ended under a request, before its answer was whole.
+        """Record that an engine's connection broke during a request, before the answer was
+        complete.
 
         Returns:
-            Whether that counts: a request that was answered lately, or was sent there after the
-            engine had ended for somebody else, did not end it.
+            Whether the failure counts against the request. It does not if the request was answered
+            recently, or was sent after the engine had failed under another request.
         """
-        if any(failure.ended_at < sent_at for _, _, failure in self._ends_of(engine)):
+        if any(failure.ended_at < sent_at for _, _, failure in self._failures_of(engine)):
             return False
         if self._was_answered(identity, now):
             return False
-        self._add(identity, engine, now, trial=False)
+        self._add_failure(identity, engine, now, trial=False)
         return True
 
     def begin_trial(self, identity: RequestIdentity, engine: EngineLife, now: float) -> Trial:
-        """A doubtful request is about to be sent: it counts as an end until it has an outcome.
+        """Record a failure in advance for a suspect request that is about to be sent.
 
-        So all nodes hold it back before the engine has had the time to end.
+        It counts until the run has an outcome, so all nodes hold the request back before the engine
+        has had time to fail.
         """
-        return Trial(identity.digest, self._add(identity, engine, now, trial=True))
+        return Trial(identity.digest, self._add_failure(identity, engine, now, trial=True))
 
     def end_trial(self, trial: Trial) -> None:
-        """The run has an outcome, and whatever it says of the engine was noted."""
+        """End a run of a suspect request. What the run revealed about the engine was recorded
+        before."""
         entry = self._entries.get(trial.digest)
         if entry is not None and trial.failure in entry.failures:
             self._excuse(trial.digest, entry, [entry.failures[trial.failure]])
 
     def record_answer(self, identity: RequestIdentity, now: float) -> bool:
-        """An engine ran the request, to its end or for long: none ended because of it.
+        """Record that an engine ran the request to its end, or for long: it did not cause a
+        failure.
 
         Returns:
-            Whether that is news.
+            Whether this is new information.
         """
         self._answered.pop(identity, None)
         self._answered[identity] = now
@@ -319,70 +340,74 @@
         return at - self._answered.get(identity, float("-inf")) < ANSWER_RETENTION
 
     def record_alive(self, engine: EngineLife, sent_at: float, now: float) -> None:
-        """An engine answered a request that was sent to it at `sent_at`: it had not ended.
+        """Record that an engine answered a request sent to it at `sent_at`, so it had not failed.
 
-        Where engines come back under their ids it may have been the next life that answered. So
-        the answer counts once `confirm` has seen that no other life is listed.
+        If engines restart under the same id, the answer may come from the next life. So it counts
+        only once `confirm_alive` has found that no other life is listed.
         """
         if not engine.born:
-            self._excuse_ends(engine, sent_at)
-        elif engine in self._blamed:
-            self._answering[engine] = (sent_at, now)
+            self._excuse_failures(engine, sent_at)
+        elif engine in self._implicated:
+            self._unconfirmed[engine] = (sent_at, now)
 
     def confirm_alive(self, listed: Callable[[EngineLife], bool], known_at: float) -> None:
-        """See which lives that answered are still the ones that the directory lists.
+        """Excuse the engines that answered and whose lives the directory still lists.
 
         Args:
-            listed: Tells whether the directory lists a life.
+            listed: Returns whether the directory lists a life.
             known_at: Monotonic seconds up to which the directory is known.
         """
-        for engine, (sent_at, answered_at) in list(self._answering.items()):
+        for engine, (sent_at, answered_at) in list(self._unconfirmed.items()):
             if not listed(engine):
-                del self._answering[engine]
+                del self._unconfirmed[engine]
             elif known_at >= answered_at + LISTING_DELAY:
-                del self._answering[engine]
-                self._excuse_ends(engine, sent_at)
+                del self._unconfirmed[engine]
+                self._excuse_failures(engine, sent_at)
 
-    def _excuse_ends(self, engine: EngineLife, sent_at: float) -> None:
-        ends = self._ends_of(engine)
+    def _excuse_failures(self, engine: EngineLife, sent_at: float) -> None:
+        ends = self._failures_of(engine)
         for digest, entry, failure in ends:
             if failure.ended_at < sent_at:
                 self._excuse(digest, entry, [failure])
         if all(failure.ended_at < sent_at for _, _, failure in ends):
-            self._blamed.discard(engine)
+            self._implicated.discard(engine)
 
-    def _ends_of(self, engine: EngineLife) -> list[tuple[bytes, QuarantineEntry, EngineFailure]]:
-        """Facts that stand and name an engine."""
-        if engine not in self._blamed:
+    def _failures_of(
+        self, engine: EngineLife
+    ) -> list[tuple[bytes, QuarantineEntry, EngineFailure]]:
+        """Return the failures of one life of an engine that have not been excused."""
+        if engine not in self._implicated:
             return []
         return [
             (digest, entry, failure)
             for digest, entry in self._entries.items()
-            for name, failure in entry.failures.items()
-            if name.engine == engine and not failure.trial and not failure.excused
+            for failure_id, failure in entry.failures.items()
+            if failure_id.engine == engine and not failure.trial and not failure.excused
         ]
 
     def preferred_engine(
         self, identity: RequestIdentity, engines: Iterable[EngineLife]
     ) -> EngineLife | None:
-        """Where a doubtful request runs; alike at all nodes with the same engines."""
+        """Return the engine that runs a suspect request; the same at all nodes with the same
+        engines."""
         return preferred_owner(identity.digest.hex(), list(engines))
 
-    def merge(self, digest: bytes, told: QuarantineEntry, now: float) -> bool:
-        """Take in what another node, or the store, knows of a request; tells if that is news."""
-        if told.expires_at() <= now:
+    def merge(self, digest: bytes, other: QuarantineEntry, now: float) -> bool:
+        """Merge what another node or the store knows of a request; returns whether anything was
+        new."""
+        if other.expires_at() <= now:
             return False
         entry = self._entries.get(digest) or QuarantineEntry()
-        if not entry.merge(told):
+        if not entry.merge(other):
             return False
-        self._blamed.update(name.engine for name in told.failures)
-        self._keep(digest, entry)
+        self._implicated.update(failure_id.engine for failure_id in other.failures)
+        self._store(digest, entry)
         self.on_change(digest)
-        self._speak_for(digest, entry)
+        self._excuse_answered(digest, entry)
         return True
 
-    def _speak_for(self, digest: bytes, entry: QuarantineEntry) -> None:
-        """Excuse what others tell of a request that this node saw answered lately."""
+    def _excuse_answered(self, digest: bytes, entry: QuarantineEntry) -> None:
+        """Excuse reported failures of a request that this node has seen answered recently."""
         for variant in entry.variants():
             failures = entry.of(variant)
             first = min(failure.ended_at for failure in failures if not failure.excused)
@@ -390,42 +415,44 @@
                 self._excuse(digest, entry, failures)
 
     def expire(self, now: float) -> list[tuple[bytes, QuarantineEntry]]:
-        """Drop what is not needed any more; returns it. Called about each second."""
-        cases = self._entries.items()
-        old = [(digest, entry) for digest, entry in cases if entry.expires_at() <= now]
-        for digest, _ in old:
+        """Drop entries that are no longer needed and return them. Called about once a second."""
+        entries = self._entries.items()
+        expired = [(digest, entry) for digest, entry in entries if entry.expires_at() <= now]
+        for digest, _ in expired:
             del self._entries[digest]
-        self._blamed = {name.engine for entry in self._entries.values() for name in entry.failures}
-        return old
+        self._implicated = {
+            failure_id.engine for entry in self._entries.values() for failure_id in entry.failures
+        }
+        return expired
 
-    def _add(
+    def _add_failure(
         self, identity: RequestIdentity, engine: EngineLife, now: float, *, trial: bool
     ) -> FailureId:
         digest = identity.digest
         self._stamps += 1
         stamp = xxhash.xxh32_intdigest(f"{self._node_id} {now} {self._stamps}".encode())
-        name = FailureId(engine, stamp)
+        failure_id = FailureId(engine, stamp)
         entry = self._entries.get(digest) or QuarantineEntry()
-        entry.merge(QuarantineEntry({name: EngineFailure(now, identity.variant, trial)}))
-        self._blamed.add(engine)
-        self._keep(digest, entry)
+        entry.merge(QuarantineEntry({failure_id: EngineFailure(now, identity.variant, trial)}))
+        self._implicated.add(engine)
+        self._store(digest, entry)
         self.on_change(digest)
-        return name
+        return failure_id
 
     def _excuse(
         self, digest: bytes, entry: QuarantineEntry, failures: Iterable[EngineFailure]
     ) -> bool:
-        fresh = [failure for failure in failures if not failure.excused]
-        for failure in fresh:
+        newly_excused = [failure for failure in failures if not failure.excused]
+        for failure in newly_excused:
             failure.excused = True
-        if fresh:
+        if newly_excused:
             self.on_change(digest)
-        return bool(fresh)
+        return bool(newly_excused)
 
-    def _keep(self, digest: bytes, entry: QuarantineEntry) -> None:
-        """Keep a case; where there are too many an old one of little weight goes."""
+    def _store(self, digest: bytes, entry: QuarantineEntry) -> None:
+        """Store an entry. If there are too many, drop an old one of little importance."""
         self._entries[digest] = entry
         if len(self._entries) <= MAX_ENTRIES:
             return
-        light = (one for one, kept in self._entries.items() if len(kept.engines()) < SUSPECT_AFTER)
-        del self._entries[next(light, next(iter(self._entries)))]
+        minor = (one for one, kept in self._entries.items() if len(kept.engines()) < SUSPECT_AFTER)
+        del self._entries[next(minor, next(iter(self._entries)))]
--- a/postvalve/core/membership/shared_freshness.py
+++ b/postvalve/core/membership/shared_freshness.py
@@ -1,51 +1,53 @@
-"""Up to when a topic of the store is known to any node that is heard.
+"""How current the knowledge of a store topic is, across all nodes that report to this one.
 
-One node's failed read says little: the store may turn that node away, or its connection may have
-fallen silent, while it serves everybody else. Where no node has read the topic for a while, the
-store was away for all of them, and what has gone from the topic since may have lapsed only.
+A failed read of one node proves little: the store may be rejecting that node, or its connection may
+have stalled, while others are served. If no node has read the topic for a while, the store was
+unavailable to all of them, and records that have disappeared since may only have lapsed.
 """
 
 from __future__ import annotations
 
 UNAVAILABLE_AFTER = 2.0
-"""Seconds of which no node knows anything, after which the store counts as away: longer than one
-follower is blind when the way of its read is lost."""
+"""Seconds without updates at any node after which the store counts as unavailable. It is longer
+than a follower goes without updates when its path to the store breaks."""
 STALL_THRESHOLD = 1.5
-"""Seconds between two looks after which this node itself must have stood still."""
+"""Seconds between two updates from which this node itself must have been suspended."""
 
 
 class SharedFreshness:
-    """The newest time up to which anybody knows a topic, and the last time the store was away."""
+    """Newest time up to which any node knows a topic, and the end of the store's last outage."""
 
     def __init__(self, now: float) -> None:
         self._fresh_at = now
-        self._looked_at = now
-        self._away = False
+        self._updated_at = now
+        self._unavailable = False
         self.returned_at = float("-inf")
-        """Monotonic seconds at which the store had surely returned, after it was away for all."""
+        """Monotonic seconds by which the store had certainly recovered from its last outage for all
+        nodes."""
 
     @property
     def unavailable(self) -> bool:
-        """Whether the store is away for all nodes that are heard."""
-        return self._away
+        """Whether the store is unavailable to all known nodes."""
+        return self._unavailable
 
     def update(self, now: float) -> None:
-        """See what time it is; called a few times a second.
+        """Take in the current time; called several times a second.
 
-        A node that stood still has heard nobody, which says nothing of the others.
+        If this node was suspended, it has received nothing meanwhile, which says nothing about the
+        others.
         """
-        if now - self._looked_at > STALL_THRESHOLD:
+        if now - self._updated_at > STALL_THRESHOLD:
             self._fresh_at = max(self._fresh_at, now)
-        self._looked_at = now
+        self._updated_at = now
         if now - self._fresh_at >= UNAVAILABLE_AFTER:
-            self._away = True
+            self._unavailable = True
 
     def note(self, fresh_at: float, now: float) -> None:
-        """A node knows all that was acknowledged until monotonic time `fresh_at`."""
+        """Record that a node knows everything acknowledged until monotonic time `fresh_at`."""
         self.update(now)
         if fresh_at <= self._fresh_at:
             return
         self._fresh_at = fresh_at
-        if self._away and now - fresh_at < UNAVAILABLE_AFTER:
-            self._away = False
+        if self._unavailable and now - fresh_at < UNAVAILABLE_AFTER:
+            self._unavailable = False
             self.returned_at = fresh_at
--- a/tests/limit_model.py
+++ b/tests/limit_model.py
@@ -1,4 +1,5 @@
-"""Nodes that limit tenants together, as a model: views, cuts, stops; no sockets, no clock."""
+"""Model of nodes that enforce tenant limits together, under partitions and outages; without sockets
+or real time."""
 
 import random
 from collections import deque
@@ -13,7 +14,7 @@
 
 
 def allowed(terms, bounds=BOUNDS):
-    """Requests that may run within any window."""
+    """Return the requests that may run within any window."""
     return (terms.rate * bounds.window + terms.burst) * (1 + bounds.over) + bounds.slack
 
 
@@ -22,7 +23,7 @@
         self.name = name
         self.bounds = bounds
         self.heard = {}
-        self.stopped = False
+        self.suspended = False
         self.down = False
         self.start(now)
 
@@ -31,16 +32,16 @@
         self.heard = {}
 
     @property
-    def works(self):
-        return not (self.stopped or self.down)
+    def is_running(self):
+        return not (self.suspended or self.down)
 
-    def look(self, announced, now):
+    def update_view(self, announced, now):
         live = [name for name, at in self.heard.items() if now - at <= SILENT_AFTER]
         self.limits.update_view([*live, self.name], announced, now)
 
 
 class LimitModel:
-    """So many nodes; `way` is a function that lets one request in at a node, or not."""
+    """A fleet of nodes, each of which admits requests by asking the tenant's lenders for credit."""
 
     def __init__(self, seed, nodes, terms, bounds=BOUNDS):
         self.random = random.Random(seed)
@@ -54,69 +55,70 @@
         self.admitted = deque()
         self.total = 0
         self.asked = 0
-        self.worst = 0
-        self.ends = []
+        self.max_in_window = 0
+        self.scheduled = []
 
-    def reach(self, first, second):
-        both = self.nodes[first].works and self.nodes[second].works
+    def can_reach(self, first, second):
+        both = self.nodes[first].is_running and self.nodes[second].is_running
         return both and self.side[first] == self.side[second]
 
     def step(self, arrivals, at=None):
-        """One step of time with so many requests, each at a node that works, or one of `at`."""
+        """Advance the time by one step, with requests at random running nodes, or at those of
+        `at`."""
         self.now += STEP
-        while self.ends and self.ends[0][0] <= self.now:
-            self.ends.pop(0)[1]()
+        while self.scheduled and self.scheduled[0][0] <= self.now:
+            self.scheduled.pop(0)[1]()
         if round(self.now / STEP) % round(REPORT_EVERY / STEP) == 0:
             self.report()
-        working = [self.nodes[one] for one in at or self.nodes if self.nodes[one].works]
+        working = [self.nodes[one] for one in at or self.nodes if self.nodes[one].is_running]
         for _ in range(arrivals if working else 0):
             node = self.random.choice(working)
-            node.look(self.announced, self.now)
+            node.update_view(self.announced, self.now)
             self.asked += 1
-            if self.lend(node):
+            if self.try_admit(node):
                 self.total += 1
                 self.admitted.append(self.now)
         while self.admitted and self.admitted[0] <= self.now - self.bounds.window:
             self.admitted.popleft()
-        self.worst = max(self.worst, len(self.admitted))
+        self.max_in_window = max(self.max_in_window, len(self.admitted))
 
     def report(self):
         for first in self.nodes.values():
-            if not first.works:
+            if not first.is_running:
                 continue
             for second in self.nodes.values():
-                if first is not second and self.reach(first.name, second.name):
+                if first is not second and self.can_reach(first.name, second.name):
                     second.heard[first.name] = self.now
-            first.look(self.announced, self.now)
+            first.update_view(self.announced, self.now)
 
-    def lend(self, node):
+    def try_admit(self, node):
         for name in node.limits.choices("t"):
-            if name != node.name and not self.reach(node.name, name):
+            if name != node.name and not self.can_reach(node.name, name):
                 continue
             other = self.nodes[name]
-            other.look(self.announced, self.now)
-            loan = other.limits.try_acquire("t", self.terms, self.now)
-            if loan.outcome is CreditOutcome.GRANTED:
+            other.update_view(self.announced, self.now)
+            decision = other.limits.try_acquire("t", self.terms, self.now)
+            if decision.outcome is CreditOutcome.GRANTED:
                 return True
-            if loan.outcome is CreditOutcome.OVER_LIMIT and loan.share >= 1.0:
+            if decision.outcome is CreditOutcome.OVER_LIMIT and decision.share >= 1.0:
                 return False
         return False
 
     # Faults
 
-    def after(self, seconds, what):
-        self.ends.append((self.now + seconds, what))
-        self.ends.sort(key=lambda one: one[0])
+    def after(self, seconds, action):
+        self.scheduled.append((self.now + seconds, action))
+        self.scheduled.sort(key=lambda one: one[0])
 
     def cut(self, share, seconds):
-        """Part a share of the nodes from the others."""
+        """Cut a share of the nodes off from the others; they still reach each other."""
         chosen = self.random.sample(sorted(self.nodes), int(len(self.nodes) * share))
         for name in chosen:
             self.side[name] = 1
         self.after(seconds, lambda: self.side.update(dict.fromkeys(chosen, 0)))
 
     def isolate(self, share, seconds):
-        """Part a share of the nodes from everybody."""
+        """Cut each of a share of the nodes off from all others."""
         chosen = self.random.sample(sorted(self.nodes), int(len(self.nodes) * share))
         for number, name in enumerate(chosen):
             self.side[name] = 10 + number
@@ -125,14 +127,16 @@
     def freeze(self, share, seconds):
         chosen = self.random.sample(sorted(self.nodes), max(1, int(len(self.nodes) * share)))
         for name in chosen:
-            self.nodes[name].stopped = True
-        self.after(seconds, lambda: [setattr(self.nodes[one], "stopped", False) for one in chosen])
+            self.nodes[name].suspended = True
+        self.after(
+            seconds, lambda: [setattr(self.nodes[one], "suspended", False) for one in chosen]
+        )
 
     def freeze_lender(self, seconds):
-        """The node that lends stands still."""
-        lender = next(iter(self.nodes.values())).limits.choices("t")[0]
-        self.nodes[lender].stopped = True
-        self.after(seconds, lambda: setattr(self.nodes[lender], "stopped", False))
+        """Suspend the primary lender."""
+        primary = next(iter(self.nodes.values())).limits.choices("t")[0]
+        self.nodes[primary].suspended = True
+        self.after(seconds, lambda: setattr(self.nodes[primary], "suspended", False))
 
     def kill(self, share, seconds):
         chosen = self.random.sample(sorted(self.nodes), max(1, int(len(self.nodes) * share)))
@@ -148,9 +152,10 @@
 
 
 class ShareModel(LimitModel):
-    """The other way: a part of the limit at each node, by the number of nodes that it hears."""
+    """The alternative policy: each node enforces a part of the limit, by the number of nodes it
+    hears."""
 
-    def lend(self, node):
+    def try_admit(self, node):
         nodes = node.limits.live_nodes
         terms = self.terms
         bucket = getattr(node, "bucket", None)
--- a/tests/test_connection_share.py
+++ b/tests/test_connection_share.py
@@ -1,4 +1,4 @@
-"""Connections to engines are shared by all nodes."""
+"""Idle connections to engines are limited across all nodes."""
 
 import socket
 import unittest
@@ -10,7 +10,7 @@
 from postvalve.gateway.engines.engine_connections import ConnectionPool
 
 
-class RestingLimitTest(unittest.TestCase):
+class IdleLimitTest(unittest.TestCase):
     def test_the_smallest_bound_is_shared_equally(self):
         self.assertEqual(idle_connection_limit([], 5), MAX_IDLE_CONNECTIONS)
         self.assertEqual(idle_connection_limit([0], 5), MAX_IDLE_CONNECTIONS)
@@ -52,7 +52,7 @@
     def open_ends(self):
         return [pair[0].fileno() >= 0 for pair in self.pairs]
 
-    def test_no_more_rest_than_may(self):
+    def test_connections_beyond_the_limit_are_closed(self):
         self.pool.set_idle_limit(2)
         self.rest(3)
         self.assertEqual(self.open_ends(), [True, True, False])
@@ -63,7 +63,7 @@
         self.pool.expire()
         self.assertEqual(self.open_ends(), [False, False, False, True])
 
-    def test_those_that_rested_too_long_are_closed(self):
+    def test_connections_idle_for_too_long_are_closed(self):
         self.rest(1, "timeout=2")
         self.rest(1, "timeout=9")
         self.clock.now = 3.0
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -1,4 +1,5 @@
-"""Limits of tenants over all nodes: never exceeded, and hardly anything refused below them."""
+"""Tenant limits across all nodes are never exceeded, and hardly any request below them is
+refused."""
 
 import random
 import unittest
@@ -31,7 +32,7 @@
 
 
 def flood(model, seconds, rate, *, faults=True, at=None):
-    """Requests at so many a second, at all nodes or those named, and a fault now and then."""
+    """Send `rate` requests per second to all nodes or those of `at`, with random faults."""
     due = 0.0
     for _ in range(int(seconds / STEP)):
         due += rate * STEP
@@ -42,16 +43,16 @@
 
 
 class BoundTest(unittest.TestCase):
-    def test_no_window_is_over_what_is_allowed_whatever_befalls_the_nodes(self):
+    def test_no_window_exceeds_the_limit_under_random_faults(self):
         for seed in range(24):
             terms = TERMS[seed % len(TERMS)]
             model = LimitModel(seed, 13, terms)
             settle(model)
             flood(model, 30, 7 * terms.rate + 5)
-            self.assertLessEqual(model.worst, allowed(terms), (seed, terms))
+            self.assertLessEqual(model.max_in_window, allowed(terms), (seed, terms))
             self.assertGreater(model.total, 0)
 
-    def test_a_fault_in_the_midst_of_a_flood(self):
+    def test_a_fault_during_a_flood(self):
         for number, fault in enumerate(FAULTS):
             for seed in range(3):
                 model = LimitModel(100 + seed, 13, LARGE)
@@ -59,11 +60,11 @@
                 flood(model, 2, 700, faults=False)
                 fault(model)
                 flood(model, 14, 700, faults=False)
-                self.assertLessEqual(model.worst, allowed(LARGE), (number, seed))
+                self.assertLessEqual(model.max_in_window, allowed(LARGE), (number, seed))
 
 
 class StrictBoundTest(unittest.TestCase):
-    """Deployments allow more or less over a limit: it is a setting, not a constant."""
+    """The tolerance of a limit is a setting of the deployment, not a constant."""
 
     def test_a_flood_stays_within_stricter_bounds(self):
         for bounds in (LimitBounds(5.0, 0.05, 6.0), LimitBounds(2.0, 0.0, 3.0)):
@@ -71,15 +72,16 @@
                 model = LimitModel(seed, 13, LARGE, bounds=bounds)
                 settle(model)
                 flood(model, 20, 7 * LARGE.rate, faults=False)
-                self.assertLessEqual(model.worst, allowed(LARGE, bounds), (seed, bounds))
+                self.assertLessEqual(model.max_in_window, allowed(LARGE, bounds), (seed, bounds))
                 self.assertGreater(model.total, 0.9 * 20 * LARGE.rate)
 
 
 class ServedTest(unittest.TestCase):
-    """What is refused of traffic at 0.6 of the limit, at 61 nodes.
+    """Share of requests refused at 0.6 of the limit, with 61 nodes.
 
-    By a lender 0 in 100; by a part of the limit at each node 36 in 100 of a tenant of 65 requests a
-    second, and all of one of 0.8, whose part is below one request.
+    A lender refuses none. With a fixed part of the limit at each node, 36 of 100 requests are
+    refused for a tenant of 65 requests a second, and all of them for one of 0.8, whose part is
+    below one request.
     """
 
     def refused(self, model, rate):
@@ -87,13 +89,13 @@
         model.random = random.Random(5)
         due = 0.0
         for _ in range(int(20 / STEP)):
-            # As clients come: most of them by way of a few nodes.
+            # Requests arrive unevenly, since most clients use only a few nodes.
             due += model.random.expovariate(1.0) * rate * STEP
             model.step(int(due))
             due -= int(due)
         return 1 - model.total / model.asked
 
-    def test_the_usual_of_large_and_small_tenants(self):
+    def test_usual_traffic_of_large_and_small_tenants_is_served(self):
         for terms in (LARGE, SMALL):
             self.assertEqual(self.refused(LimitModel(1, 61, terms), 0.6 * terms.rate), 0)
 
@@ -122,65 +124,65 @@
     def setUp(self):
         self.limits = FleetLimits("n0", 0.0)
 
-    def look(self, now, live=("n0",), announced=1):
+    def update_view(self, now, live=("n0",), announced=1):
         self.limits.update_view(live, announced, now)
 
-    def take(self, now, terms=LARGE, tenant="t"):
+    def acquire(self, now, terms=LARGE, tenant="t"):
         return self.limits.try_acquire(tenant, terms, now)
 
     def count(self, now, terms=LARGE):
         number = 0
-        while self.take(now, terms).outcome is CreditOutcome.GRANTED:
+        while self.acquire(now, terms).outcome is CreditOutcome.GRANTED:
             number += 1
         return number
 
-    def test_one_that_stood_still_begins_with_nothing(self):
+    def test_a_suspended_lender_starts_with_an_empty_bucket(self):
         for step in range(40):
-            self.look(step * 0.5)
+            self.update_view(step * 0.5)
         self.assertGreater(self.count(20.0), 80)
-        self.look(30.0 + STALL_THRESHOLD)
+        self.update_view(30.0 + STALL_THRESHOLD)
         self.assertLessEqual(self.count(30.0 + STALL_THRESHOLD), 1)
 
-    def test_one_that_has_just_started_lends_by_the_share_that_it_hears(self):
-        self.look(0.1, announced=60)
+    def test_a_new_lender_grants_by_the_share_of_the_fleet_it_hears(self):
+        self.update_view(0.1, announced=60)
         self.assertAlmostEqual(self.limits.share, 1 / 60)
-        self.look(0.2, live=[f"n{number}" for number in range(30)], announced=60)
+        self.update_view(0.2, live=[f"n{number}" for number in range(30)], announced=60)
         self.assertAlmostEqual(self.limits.share, 0.5)
 
-    def test_what_another_has_lent_meanwhile_is_not_lent_again(self):
+    def test_credit_granted_by_another_lender_is_not_granted_again(self):
         live = ["n0", "n1", "n2", "n3"]
-        self.look(0.1)
-        mine = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
-        self.assertIs(self.take(9.0, tenant=mine).outcome, CreditOutcome.GRANTED)
+        self.update_view(0.1)
+        tenant = next(one for one in map(str, range(99)) if self.limits_choice(one, live) != "n0")
+        self.assertIs(self.acquire(9.0, tenant=tenant).outcome, CreditOutcome.GRANTED)
         for step in range(40):
-            self.look(9.0 + step * 0.5, live=live)
-        self.look(29.0)
-        lent = 0
-        while self.take(29.0, tenant=mine).outcome is CreditOutcome.GRANTED:
-            lent += 1
-        self.assertLessEqual(lent, 1)
+            self.update_view(9.0 + step * 0.5, live=live)
+        self.update_view(29.0)
+        granted = 0
+        while self.acquire(29.0, tenant=tenant).outcome is CreditOutcome.GRANTED:
+            granted += 1
+        self.assertLessEqual(granted, 1)
 
     def limits_choice(self, tenant, live):
         return rank_owners(tenant, live)[0]
 
-    def test_a_tenant_of_other_nodes_gets_nothing_here(self):
-        self.look(0.1, live=("n0", "n1", "n2"))
-        told = {self.take(5.0, tenant=f"t{number}").outcome for number in range(60)}
-        self.assertIn(CreditOutcome.NOT_OWNER, told)
+    def test_a_node_that_is_not_a_lender_grants_nothing(self):
+        self.update_view(0.1, live=("n0", "n1", "n2"))
+        outcomes = {self.acquire(5.0, tenant=f"t{number}").outcome for number in range(60)}
+        self.assertIn(CreditOutcome.NOT_OWNER, outcomes)
 
-    def test_a_lower_limit_binds_at_once_and_a_late_word_of_the_former_does_not(self):
+    def test_a_lower_limit_applies_at_once_and_an_older_revision_does_not(self):
         for step in range(40):
-            self.look(step * 0.5)
+            self.update_view(step * 0.5)
         low = LimitTerms(2.0, 2.0, 9)
         self.assertLessEqual(self.count(20.0, low), LimitBounds().capacity(low))
-        self.look(20.5)
+        self.update_view(20.5)
         self.assertLessEqual(self.count(21.0, LimitTerms(65.0, 65.0, 8)), 3)
-        self.look(21.5)
+        self.update_view(21.5)
         self.assertGreater(self.count(22.0, LimitTerms(65.0, 65.0, 10)), 20)
 
-    def test_those_that_are_refused_come_back_one_after_the_other(self):
-        self.look(0.1)
+    def test_retries_of_refused_clients_are_spaced_out(self):
+        self.update_view(0.1)
         self.count(0.2)
-        waits = [self.take(0.2).wait for _ in range(20)]
+        waits = [self.acquire(0.2).wait for _ in range(20)]
         self.assertEqual(waits, sorted(waits))
         self.assertAlmostEqual(waits[-1] - waits[0], 19 / LARGE.rate, places=3)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the gateway: routes, engines, counts, paces of reports, peers."""
+"""Decisions of the gateway: routes, choice of engines, counts, report schedule, and peers."""
 
 import random
 import unittest
@@ -78,7 +78,7 @@
         one.forget("two")
         self.assertEqual(one.total("e").total, 1)
 
-    def test_a_report_that_names_no_engine_ends_the_former_one(self):
+    def test_an_empty_report_replaces_the_former_one(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=False)
         for _ in range(3):
@@ -88,7 +88,7 @@
             one.observe("two", two.report())
         self.assertEqual(one.total("e").online, 0)
 
-    def test_batch_fills_the_gaps_that_online_work_leaves_now(self):
+    def test_batch_fills_slots_that_online_work_leaves_free(self):
         use = EngineUse()
         self.assertEqual(use.batch_room("e", 12), 10)
         for _ in range(4):
@@ -98,7 +98,7 @@
             use.enter("e", batch=True)
         self.assertEqual(use.batch_room("e", 12), 0)
 
-    def test_batch_gives_way_to_any_that_waits_among_batch(self):
+    def test_batch_is_preempted_for_requests_queued_behind_it(self):
         use = EngineUse()
         for _ in range(8):
             use.enter("e", batch=True)
@@ -116,7 +116,7 @@
                 use.enter("e", batch=False)
             self.assertEqual(use.excess("e", 12), excess)
 
-    def test_prompt_tokens_count_until_they_are_read(self):
+    def test_prompt_tokens_count_until_they_are_processed(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=False, unread=6_000)
         two.enter("e", batch=True, unread=1)
@@ -130,7 +130,7 @@
         one.forget("two")
         self.assertEqual(one.total("e").unread, 0)
 
-    def test_memory_counts_until_a_request_is_left(self):
+    def test_memory_counts_until_a_request_ends(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=True, unread=300, memory=2_000)
         one.enter("e", batch=False, memory=100)
@@ -155,7 +155,7 @@
         self.assertEqual(use.total("e").total, 0)
 
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=30))
-    def test_what_is_left_is_counted_out(self, changes):
+    def test_counts_return_to_zero(self, changes):
         use = EngineUse()
         for engine, batch in changes:
             use.enter(engine, batch=batch)
@@ -174,11 +174,11 @@
         chooser = EngineChooser("near", random.Random(1))
         return chooser.choose(options, key, tokens).life
 
-    def test_near_before_far_until_it_is_full(self):
+    def test_the_own_zone_is_preferred_until_it_is_full(self):
         self.assertEqual(self.choose([option("n", "near", 7), option("f", "far", 0)]), "n")
         self.assertEqual(self.choose([option("n", "near", 9), option("f", "far", 0)]), "f")
 
-    def test_a_free_engine_that_reads_a_long_prompt_is_avoided(self):
+    def test_a_free_engine_that_processes_a_long_prompt_is_avoided(self):
         reading = option("a", "near", 1, unread=20_000)
         self.assertEqual(self.choose([reading, option("b", "near", 6)]), "b")
         self.assertEqual(self.choose([reading, option("f", "far", 6)]), "f")
@@ -194,7 +194,7 @@
         self.assertEqual(self.choose([cold, option("b", "near", 8)]), "b")
         self.assertEqual(self.choose([cold, option("b", "near", 10)]), "a")
 
-    def test_what_is_kept_is_left_where_reading_it_anew_costs_less(self):
+    def test_a_cached_prefix_is_given_up_when_processing_it_again_costs_less(self):
         keeper = EngineChooser("near", random.Random(1))
         options = [option("a", "near", 0), option("b", "near", 0)]
         best = keeper.choose(options, "key", 5_000)
@@ -216,7 +216,8 @@
 
         self.assertEqual({choose(load) for load in range(6)}, {"own"})
         self.assertNotIn("own", {choose(load) for load in (7, 9, 12)})
-        # What it would have to read anew costs more than its counts are worth.
+        # Processing the shared prompt prefix again would cost more than the benefit of more
+        # accurate counts.
         holders = {choose(0, key=f"k{number}", tokens=5_000) for number in range(40)}
         self.assertGreater(len(holders), 10)
 
@@ -228,18 +229,19 @@
             EngineChooser("near", random.Random(seed)).choose(busy, "", 0).life
             for seed in range(100)
         ]
-        # One of two drawn: the best of seven is among them two times in seven.
+        # Two of the engines are drawn at random: the best of seven is among them two times in
+        # seven.
         self.assertLess(chosen.count("best"), 45)
         self.assertGreater(chosen.count("best"), 15)
 
-    def test_batch_items_send_nobody_to_another_zone(self):
+    def test_batch_items_divert_no_request_to_another_zone(self):
         filled = option("n", "near", 10, batch=8)
         self.assertEqual(self.choose([filled, option("f", "far", 0)]), "n")
         self.assertEqual(self.choose([option("m", "near", 9, batch=8), filled]), "m")
         online = option("n", "near", 10, batch=0)
         self.assertEqual(self.choose([online, option("f", "far", 9, batch=8)]), "f")
 
-    def test_long_shared_parts_go_where_they_were(self):
+    def test_long_shared_prefixes_go_to_the_same_engine(self):
         options = [option(f"e{n}", "near", n) for n in range(5)]
         chosen = {self.choose(options, f"key{n}", 5000) for n in range(30)}
         self.assertGreater(len(chosen), 3)
@@ -284,9 +286,10 @@
         self.fleet.record_failure("n", "dark")
         self.assertEqual(place(False), "f")
 
-    def test_nodes_that_see_the_same_do_not_all_fill_one_engine(self):
-        """Sixteen nodes start an item each before they hear of each other's: no engine gets more
-        than it has slots for. Eight of 8 slots; seven of them run one online request."""
+    def test_nodes_with_the_same_view_do_not_all_fill_one_engine(self):
+        """Sixteen nodes start an item each before they hear of each other's. No engine may get
+        more requests than it has slots: eight engines of 8 slots, seven of which run one online
+        request."""
         counts = Counter()
         for seed in range(16):
             fleet = EngineFleet(
@@ -311,7 +314,7 @@
         self.fleet.update(entries)
 
         def rooms():
-            # The same entries told again are no news.
+            # Listing the same entries again must not change anything.
             self.fleet.update(entries)
             return [self.fleet.batch_room("s", pressing=one) for one in (False, True)]
 
@@ -325,12 +328,12 @@
         self.assertEqual(self.place(50_000), "n")
         self.assertEqual([self.place(50_000), self.place(50_000)], ["f", None])
 
-    def test_items_start_only_where_little_is_to_be_read(self):
+    def test_items_start_only_where_few_prompt_tokens_are_pending(self):
         placed = [self.fleet.place_batch("s", 2_000, 0, (), pressing=True) for _ in range(5)]
         self.assertEqual([one and one.engine.life for one in placed], ["n", "n", "f", "f", None])
 
 
-class ReportPaceTest(unittest.TestCase):
+class ReportScheduleTest(unittest.TestCase):
     def turns(self, peers, seconds, change_every, rate=ZONE_REPORT_RATE):
         pace = ReportSchedule(rate)
         taken = []
@@ -341,30 +344,30 @@
                 taken.append(step / 100)
         return taken
 
-    def test_few_peers_hear_every_change_soon(self):
+    def test_few_peers_receive_every_change_soon(self):
         gaps = self.turns(3, 4, 0.1)
         self.assertEqual(len(gaps), 40)
 
-    def test_nothing_to_tell_is_told_now_and_then(self):
+    def test_reports_without_changes_are_sent_periodically(self):
         taken = self.turns(3, 4, 100)
         self.assertEqual(len(taken), 4 / IDLE_INTERVAL)
 
     @given(st.integers(1, 60), st.sampled_from([0.01, 0.05, 0.3]))
-    def test_what_a_node_hears_is_bounded(self, peers, change_every):
+    def test_received_reports_are_bounded(self, peers, change_every):
         taken = self.turns(peers, 5, change_every)
         heard = len(taken) * peers / 5
         self.assertLessEqual(heard, max(ZONE_REPORT_RATE, peers / IDLE_INTERVAL) + peers / 5)
 
     @given(st.lists(st.integers(0, 300), max_size=20), st.integers(1, 60))
-    def test_every_change_is_told(self, changes, peers):
+    def test_every_change_is_reported(self, changes, peers):
         pace = ReportSchedule(ZONE_REPORT_RATE)
-        told = -1
+        sent_at = -1
         for step in range(400):
             if step in changes:
                 pace.record_change()
             if pace.take_turn(peers, step / 100):
-                told = step
-        self.assertGreaterEqual(told, max(changes, default=0))
+                sent_at = step
+        self.assertGreaterEqual(sent_at, max(changes, default=0))
 
 
 def report(node_id, incarnation=1, sequence=1, **fields):
@@ -380,7 +383,7 @@
         self.assertEqual(view.expire(SILENT_AFTER + 0.1).nodes, ["a"])
         self.assertFalse(view.can_run_jobs("a", 1))
 
-    def test_a_node_that_stood_still_believes_nobody_gone(self):
+    def test_a_suspended_node_drops_no_peer(self):
         view = PeerView("me")
         view.observe(report("a"), 0.0)
         view.expire(0.5)
@@ -390,18 +393,18 @@
             view.expire(second)
         self.assertEqual(view.expire(9.0).nodes, ["a"])
 
-    def test_old_reports_are_passed_over(self):
+    def test_old_reports_are_ignored(self):
         view = PeerView("me")
         self.assertTrue(view.observe(report("a", sequence=5), 0.0))
         self.assertFalse(view.observe(report("a", sequence=4), 0.1))
 
-    def test_a_new_life_counts_though_its_clock_went_back(self):
+    def test_a_new_incarnation_counts_although_its_clock_went_back(self):
         view = PeerView("me")
         view.observe(report("a", incarnation=9, sequence=5), 0.0)
         self.assertTrue(view.observe(report("a", incarnation=3, sequence=1), 0.1))
         self.assertFalse(view.can_run_jobs("a", 9))
 
-    def test_leaving_nodes_and_those_without_the_store_work_on_nothing(self):
+    def test_leaving_nodes_and_those_without_the_store_run_no_jobs(self):
         view = PeerView("me")
         view.observe(report("a", leaving=True), 0.0)
         view.observe(report("b", log_silence_ms=9_000), 0.0)
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Online requests go to an engine, wait at the node or come back: rules, pace, and the shell."""
+"""Admission of online requests: latency estimates, decision rules, and requests held at a node."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
     PendingRequest,
     decide,
 )
-from postvalve.core.admission.service_latency import LONGEST_QUEUE_FACTOR, ServiceLatency
+from postvalve.core.admission.service_latency import MAX_QUEUE_FACTOR, ServiceLatency
 from postvalve.core.routing.latency_estimate import (
     EngineOccupancy,
     expected_first_event,
@@ -53,7 +53,7 @@
     return PendingRequest(arrived_at, AIM, arrived_at + DEADLINE, tokens, may_retry)
 
 
-class PaceTest(unittest.TestCase):
+class EstimatesTest(unittest.TestCase):
     def test_nothing_is_known_before_there_are_samples(self):
         pace = ServiceLatency()
         self.assertFalse(pace.known)
@@ -62,7 +62,7 @@
         self.assertFalse(pace.known)
         self.assertTrue(learnt().known)
 
-    def test_the_time_to_a_first_event_grows_with_what_must_be_read(self):
+    def test_the_first_event_latency_grows_with_the_prompt(self):
         pace = ServiceLatency()
         draw = random.Random(1)
         for _ in range(300):
@@ -78,12 +78,12 @@
             pace.observe_first_event(450, 0.2)
         self.assertAlmostEqual(pace.first_event(450), 0.2, delta=0.01)
 
-    def test_a_dark_engine_says_little_of_the_others(self):
+    def test_an_unresponsive_engine_barely_affects_the_estimate(self):
         pace = learnt(first=0.08)
         pace.observe_first_event(450, 60.0)
         self.assertLess(pace.first_event(450), 0.1)
 
-    def test_a_place_in_a_queue_costs_what_it_showed(self):
+    def test_the_queue_delay_follows_observed_delays(self):
         pace = learnt(held=0.8)
         self.assertAlmostEqual(pace.queue_delay_per_place(8), 0.1)
         for _ in range(100):
@@ -91,7 +91,7 @@
         self.assertAlmostEqual(pace.queue_delay_per_place(8), 0.3, places=2)
         for _ in range(100):
             pace.observe_queue(1, 8, 500.0)
-        self.assertLessEqual(pace.queue_delay_per_place(8), 0.1 * LONGEST_QUEUE_FACTOR + 1e-9)
+        self.assertLessEqual(pace.queue_delay_per_place(8), 0.1 * MAX_QUEUE_FACTOR + 1e-9)
 
     @given(st.lists(st.tuples(st.integers(0, 10**6), st.floats(0, 100)), max_size=60))
     def test_estimates_are_never_negative(self, samples):
@@ -112,12 +112,12 @@
         self.assertAlmostEqual(queue_wait(room(8), pace), 0.1)
         self.assertAlmostEqual(queue_wait(room(11), pace), 0.4)
 
-    def test_batch_items_give_way(self):
+    def test_batch_items_are_preempted(self):
         pace = learnt()
         self.assertLessEqual(queue_wait(room(4, batch=4), pace), 0.15)
         self.assertLessEqual(queue_wait(room(7, batch=8), pace), 0.15)
 
-    def test_prompts_before_it_are_read_first(self):
+    def test_prompts_ahead_are_processed_first(self):
         pace = ServiceLatency()
         for tokens in range(0, 40_000, 500):
             pace.observe_first_event(tokens, 0.05 + tokens / 60_000)
@@ -126,7 +126,7 @@
         self.assertAlmostEqual(first, 0.65, delta=0.01)
 
 
-class RuleTest(unittest.TestCase):
+class DecisionTest(unittest.TestCase):
     def decide(self, rooms, now=0.0, pace=None, **terms):
         return decide(request(**terms), rooms, pace or learnt(), now)
 
@@ -144,7 +144,7 @@
         for now in (0.0, 0.5):
             self.assertIs(self.decide([room(3, batch=9)], now), AdmissionAction.START)
 
-    def test_a_client_that_can_come_back_is_refused_soon_or_not_at_all(self):
+    def test_a_client_that_can_retry_is_refused_soon_or_not_at_all(self):
         full = [room(12)]
         times = [number / 1000 for number in range(0, 1_250, 5)]
         rulings = [self.decide(full, now, may_retry=True) for now in times]
@@ -154,11 +154,11 @@
         self.assertAlmostEqual(min(refused), AIM * REFUSE_SHARE, delta=0.006)
         self.assertLessEqual(max(refused), AIM / 4)
 
-    def test_a_client_that_cannot_come_back_is_never_refused(self):
+    def test_a_client_that_cannot_retry_is_never_refused(self):
         for now in (0.0, 0.03, 0.05, 0.5, 2.0):
             self.assertIsNot(self.decide([room(30)], now), AdmissionAction.REFUSE)
 
-    def test_nobody_is_held_for_ever(self):
+    def test_no_request_is_held_forever(self):
         self.assertIs(self.decide([room(30)], AIM * HOLD_SHARE + 0.01), AdmissionAction.START)
         unknown = ServiceLatency()
         self.assertIs(
@@ -166,13 +166,13 @@
         )
 
     def test_an_overload_that_lasts_is_served_first_come_first_served(self):
-        for back in (False, True):
+        for can_retry in (False, True):
             for now in (0.0, 0.04, 1.0):
-                terms = request(may_retry=back)
+                terms = request(may_retry=can_retry)
                 ruling = decide(terms, [room(30)], learnt(), now, persistent=True)
                 self.assertIs(ruling, AdmissionAction.START)
 
-    def test_before_anything_is_known_one_place_in_a_queue_is_risked(self):
+    def test_without_estimates_a_queue_of_one_is_allowed(self):
         unknown = ServiceLatency()
         self.assertIs(self.decide([room(8)], pace=unknown), AdmissionAction.START)
         self.assertIs(self.decide([room(9), room(9)], pace=unknown), AdmissionAction.HOLD)
@@ -182,11 +182,11 @@
         st.floats(0, 6),
         st.booleans(),
     )
-    def test_refusals_are_only_made_where_all_slots_serve_online_work(self, rooms, now, back):
-        ruling = self.decide(rooms, now, may_retry=back)
+    def test_refusals_are_only_made_where_all_slots_serve_online_work(self, rooms, now, can_retry):
+        ruling = self.decide(rooms, now, may_retry=can_retry)
         if ruling is AdmissionAction.REFUSE:
             self.assertTrue(all(one.online >= one.slots for one in rooms))
-            self.assertTrue(back)
+            self.assertTrue(can_retry)
 
     def test_nobody_is_refused_beside_a_free_slot_however_slow_the_engines_are(self):
         slow = learnt(first=1.0)
@@ -194,8 +194,8 @@
             for now in (0.0, 0.04, 0.05):
                 self.assertIs(self.decide(rooms, now, slow, may_retry=True), AdmissionAction.START)
 
-    def test_against_first_come_first_served_more_are_in_time(self):
-        """A naive queue in front of one engine, and the rule before it, on the same arrivals."""
+    def test_more_requests_are_in_time_than_first_come_first_served(self):
+        """Compares the rule with a plain queue in front of one engine, on the same arrivals."""
         for seed in range(5):
             draw = random.Random(seed)
             arrivals = sorted(draw.uniform(0, 2.4) for _ in range(60))
@@ -203,7 +203,7 @@
 
 
 def in_time(arrivals, ruled):
-    """Requests in time at one engine of 8 slots that holds each for 0.8 s."""
+    """Return how many requests are in time at one engine of 8 slots, each occupied for 0.8 s."""
     pace = learnt()
     free_at = [0.0] * 8
     waiting = list(arrivals)
@@ -222,7 +222,7 @@
                 terms = PendingRequest(arrived_at, AIM, arrived_at + DEADLINE, 450, True)
                 ruling = decide(terms, [room(max(online, backlog))], pace, now)
                 if ruling is AdmissionAction.REFUSE:
-                    queue.remove(arrived_at)  # it comes back when this is over
+                    queue.remove(arrived_at)  # the client retries after the burst
                 if ruling is not AdmissionAction.START:
                     continue
             queue.remove(arrived_at)
@@ -234,7 +234,7 @@
 
 
 class EpisodeTest(unittest.TestCase):
-    def test_the_first_one_is_guessed_and_the_next_ones_learnt(self):
+    def test_overload_lengths_are_learnt_after_an_initial_guess(self):
         episodes = OverloadEpisodes()
         self.assertEqual(episodes.seconds_left(0.0), 0.0)
         now = 0.0
@@ -259,7 +259,7 @@
         episodes.record_full(now + 1.0)
         self.assertFalse(episodes.persistent(now + 1.0))
 
-    def test_the_time_told_fits_the_clients_time_and_is_spread(self):
+    def test_the_retry_time_fits_the_clients_deadline_and_is_spread(self):
         episodes = OverloadEpisodes()
         episodes.record_full(0.0)
         self.assertAlmostEqual(episodes.retry_after(0.0, 60.0, 0.0), INITIAL_EPISODE_LENGTH)
@@ -273,7 +273,7 @@
 
 
 class HeldAtNodeTest(unittest.TestCase):
-    """One engine of one slot that holds each request until it is let go."""
+    """One engine with one slot, which takes 0.4 s for each request."""
 
     def setUp(self):
         self.fleet = GatewayFleet(nodes=1, engines=1, targetLatencyMs=300)
@@ -289,7 +289,7 @@
         node = self.fleet.nodes["n0"]
         wait_until(lambda: [one.slots for one in node._fleet.listed_engines()] == [1])
 
-    def teach(self):
+    def train(self):
         pace = self.fleet.nodes["n0"]._fleet.pace("s")
         for _ in range(50):
             pace.observe_first_event(0, 0.1)
@@ -303,7 +303,7 @@
         wait_until(lambda: self.engine.running == 1)
 
     def test_what_cannot_be_in_time_is_refused_with_a_time_to_come_back(self):
-        self.teach()
+        self.train()
         first = self.send(1)
         self.running()
         answer = read_answer(self.send(2))
@@ -311,11 +311,11 @@
         self.assertGreater(float(answer.headers["retry-after"]), 0)
         self.assertEqual(read_answer(first).status, 200)
         self.assertNotIn("r2", [run[0] for run in self.engine.runs])
-        told = self.fleet.events("n0", Event.ROUTED_REQUEST_TURNED_AWAY)
-        self.assertEqual([one["request"] for one in told], ["r2"])
+        events = self.fleet.events("n0", Event.ROUTED_REQUEST_TURNED_AWAY)
+        self.assertEqual([one["request"] for one in events], ["r2"])
 
-    def test_a_client_that_came_back_waits_and_is_served(self):
-        self.teach()
+    def test_a_retry_waits_and_is_served(self):
+        self.train()
         first = self.send(1)
         self.running()
         again = self.send(2, deadline_ms=3500)
@@ -323,19 +323,19 @@
         released = self.fleet.events("n0", Event.ROUTED_REQUEST_RELEASED)
         self.assertEqual([one["request"] for one in released], ["r2"])
 
-    def test_a_client_that_came_back_as_soon_as_it_may_is_not_refused_again(self):
-        self.teach()
+    def test_an_immediate_retry_is_not_refused_again(self):
+        self.train()
         first = self.send(1)
         self.running()
-        turned_away = read_answer(self.send(2))
-        self.assertEqual(turned_away.status, 503)
-        self.assertGreaterEqual(float(turned_away.headers["retry-after"]), MIN_RETRY_AFTER)
+        refused = read_answer(self.send(2))
+        self.assertEqual(refused.status, 503)
+        self.assertGreaterEqual(float(refused.headers["retry-after"]), MIN_RETRY_AFTER)
         left = 5000 - int(MIN_RETRY_AFTER * 1000)
         again = self.send(3, deadline_ms=left)
         self.assertEqual([read_answer(first).status, read_answer(again).status], [200, 200])
 
     def test_a_client_that_leaves_while_it_waits_is_not_sent_on(self):
-        self.teach()
+        self.train()
         first = self.send(1)
         self.running()
         gone = self.send(2, deadline_ms=3500)
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,5 @@
-"""Load reports: the packed form, and counts of all nodes whatever is lost or late."""
+"""Load reports: the packed form, and correct counts at all nodes although reports are lost or
+late."""
 
 import contextlib
 import random
@@ -41,11 +42,11 @@
 
 class PackedReportTest(unittest.TestCase):
     @given(REPORTS)
-    def test_a_report_comes_back_as_it_was(self, report):
+    def test_a_report_is_unpacked_as_it_was_packed(self, report):
         self.assertEqual(unpack_report(report.pack()), report)
 
     @given(REPORTS, st.integers(1, 400))
-    def test_a_cut_report_is_none(self, report, missing):
+    def test_a_truncated_report_is_rejected(self, report, missing):
         data = report.pack()
         with self.assertRaises(LoadReportError):
             unpack_report(data[: max(0, len(data) - missing)])
@@ -55,21 +56,21 @@
         with contextlib.suppress(LoadReportError):
             unpack_report(data)
 
-    def test_a_long_silence_is_cut_to_what_fits(self):
+    def test_a_long_silence_is_clamped(self):
         report = unpack_report(LoadReport("n", 1, 1, log_silence_ms=10**9).pack())
         self.assertGreaterEqual(report.log_silence_ms, 600_000)
 
 
 class CountsTest(unittest.TestCase):
-    def test_all_nodes_agree_with_a_naive_count_when_nothing_moves(self):
+    def test_all_nodes_agree_with_a_naive_count_in_the_end(self):
         for seed in range(20):
-            self._play(random.Random(seed))
+            self._simulate(random.Random(seed))
 
-    def _play(self, chance):
+    def _simulate(self, chance):
         nodes = {f"n{number}": EngineUse() for number in range(12)}
         naive: dict[str, int] = dict.fromkeys(("e0", "e1", "e2"), 0)
         running: list[tuple[str, str]] = []
-        on_the_way: list[tuple[str, str, bytes]] = []
+        in_flight: list[tuple[str, str, bytes]] = []
         for _ in range(400):
             node_id, engine = chance.choice(list(nodes)), chance.choice(list(naive))
             if running and chance.random() < 0.45:
@@ -82,10 +83,10 @@
                 naive[engine] += 1
             for other in nodes:
                 if other != node_id and chance.random() < 0.3:
-                    on_the_way.append((other, node_id, nodes[node_id].report()))
-            if on_the_way and chance.random() < 0.5:
-                # Some come in another order, and some never.
-                target, sender, data = on_the_way.pop(chance.randrange(len(on_the_way)))
+                    in_flight.append((other, node_id, nodes[node_id].report()))
+            if in_flight and chance.random() < 0.5:
+                # Some reports arrive out of order, and some never.
+                target, sender, data = in_flight.pop(chance.randrange(len(in_flight)))
                 nodes[target].observe(sender, data)
         for node_id, node in nodes.items():
             for other in nodes.keys() - {node_id}:
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -1,4 +1,4 @@
-"""Room for batch items by what online work had a moment ago."""
+"""Slots available to batch items, limited by the recent average of online requests."""
 
 import unittest
 
@@ -6,8 +6,8 @@
 from postvalve.core.admission.online_averages import KEPT_WINDOWS, WINDOW, OnlineAverages
 
 
-class OnlineMeansTest(unittest.TestCase):
-    def test_the_mean_is_that_of_the_window_before(self):
+class OnlineAveragesTest(unittest.TestCase):
+    def test_the_average_is_that_of_the_previous_window(self):
         means = OnlineAverages()
         for online in (2, 4, 6):
             means.note(1, online)
@@ -18,7 +18,7 @@
         means.advance(2 * WINDOW)
         self.assertEqual(means.average(1), 8.0)
 
-    def test_what_did_not_change_has_stayed(self):
+    def test_an_unchanged_count_persists(self):
         means = OnlineAverages()
         for online in (9, 3):
             means.note(1, online)
@@ -35,7 +35,7 @@
         self.assertEqual(list(means._engines), [7])
 
 
-class RoomInAHeapTest(unittest.TestCase):
+class RoomInBurstTest(unittest.TestCase):
     def use(self, before, now):
         use = EngineUse()
         for _ in range(before):
@@ -46,18 +46,19 @@
             use.leave("e", batch=False)
         return use
 
-    def test_a_slot_that_is_free_for_a_moment_is_no_room(self):
+    def test_a_slot_free_for_a_moment_is_not_available(self):
         self.assertEqual(self.use(7, 5).batch_room("e", 8), 0)
         self.assertEqual(self.use(3, 0).batch_room("e", 8), 4)
 
-    def test_there_is_room_again_when_the_heap_is_over(self):
+    def test_slots_are_available_again_after_the_burst(self):
         use = self.use(7, 0)
         use.online_averages.advance(4 * WINDOW)
         self.assertEqual(use.batch_room("e", 8), 7)
 
-    def test_work_of_peers_that_has_ended_leaves_the_room_it_took(self):
-        """A report names only engines where something runs, and a peer that is gone tells nothing:
-        items would never start at an engine where no other online request comes."""
+    def test_load_that_peers_no_longer_report_is_removed(self):
+        """Load that a peer no longer reports must be removed from the average. Reports name only
+        engines where something runs, and a peer that is gone sends none. Without the removal, batch
+        items would never start at an engine that gets no other online request."""
         for drop in (lambda use: use.observe("n1", b""), lambda use: use.forget("n1")):
             peer, use = EngineUse(), EngineUse()
             for _ in range(8):
@@ -70,8 +71,9 @@
             use.online_averages.advance(WINDOW * (KEPT_WINDOWS + 3))
             self.assertEqual(len(use.online_averages._engines), 0)
 
-    def test_each_report_of_a_peer_is_one_count(self):
-        """The one between taking its former counts off and adding the new ones is no count."""
+    def test_each_report_of_a_peer_is_one_sample(self):
+        """Replacing a peer's counts must record one sample. The state between subtracting its
+        former counts and adding the new ones must not be recorded."""
         peer, use = EngineUse(), EngineUse()
         for _ in range(4):
             peer.enter("e", batch=False)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What nodes know together of requests under which engines ended."""
+"""Quarantine of requests under which engines failed, as shared by all nodes."""
 
 import itertools
 import random
@@ -47,16 +47,16 @@
     )
 
 
-def tell(source, target, now, delay=0.0):
-    """Let one node know everything that another knows, as a message tells it by ages."""
+def share_knowledge(source, target, now, delay=0.0):
+    """Pass one node's knowledge to another one. Messages contain ages, which grow by the delay."""
     for digest in source.digests():
-        told = copy_of(source.entry(digest))
-        for failure in told.failures.values():
+        shared = copy_of(source.entry(digest))
+        for failure in shared.failures.values():
             failure.ended_at += delay
-        target.merge(digest, told, now)
+        target.merge(digest, shared, now)
 
 
-class RulingTest(unittest.TestCase):
+class PermissionTest(unittest.TestCase):
     def setUp(self):
         self.quarantine = Quarantine("n0")
 
@@ -64,19 +64,19 @@
         for engine in engines:
             self.quarantine.record_end(request, engine, now, now)
 
-    def ruling(self, now=0.0, request=REQUEST):
+    def permission(self, now=0.0, request=REQUEST):
         return self.quarantine.check_request(request, now).permission
 
-    def test_one_engine_that_ends_holds_nobody_back(self):
+    def test_one_failed_engine_has_no_effect(self):
         self.end("e1", "e1")
-        self.assertIs(self.ruling(), RunPermission.FREE)
+        self.assertIs(self.permission(), RunPermission.FREE)
 
-    def test_a_request_that_was_cut_twice_runs_alone(self):
+    def test_a_request_interrupted_twice_runs_alone(self):
         self.end("e1", "e2")
-        self.assertIs(self.ruling(), RunPermission.ALONE)
-        self.assertIs(self.ruling(now=SUSPICION_TIME), RunPermission.FREE)
+        self.assertIs(self.permission(), RunPermission.ALONE)
+        self.assertIs(self.permission(now=SUSPICION_TIME), RunPermission.FREE)
 
-    def test_a_third_end_holds_it_back(self):
+    def test_a_third_failure_holds_it_back(self):
         self.end("e1", "e2", "e3")
         decision = self.quarantine.check_request(REQUEST, 10.0)
         self.assertIs(decision.permission, RunPermission.HELD)
@@ -84,73 +84,73 @@
             (decision.ends, decision.age, decision.seconds), (3, 10.0, HOLD_TIME - 10.0)
         )
 
-    def test_other_requests_are_not_touched(self):
+    def test_other_requests_are_unaffected(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=OTHER), RunPermission.FREE)
+        self.assertIs(self.permission(request=OTHER), RunPermission.FREE)
 
-    def test_after_its_time_it_runs_alone_and_one_more_end_doubles_the_time(self):
+    def test_after_its_time_it_runs_alone_and_another_failure_doubles_the_time(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(now=HOLD_TIME), RunPermission.ALONE)
+        self.assertIs(self.permission(now=HOLD_TIME), RunPermission.ALONE)
         self.end("e4", now=HOLD_TIME)
         self.assertEqual(self.quarantine.check_request(REQUEST, HOLD_TIME).seconds, 2 * HOLD_TIME)
 
-    def test_a_variant_under_which_no_engine_ended_runs_alone(self):
+    def test_a_variant_under_which_no_engine_failed_runs_alone(self):
         self.end("e1", "e2", "e3")
-        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
+        self.assertIs(self.permission(request=variant(2)), RunPermission.ALONE)
         self.quarantine.begin_trial(variant(2), "e4", 0.0)
-        self.assertIs(self.ruling(request=variant(3)), RunPermission.HELD)
+        self.assertIs(self.permission(request=variant(3)), RunPermission.HELD)
 
     def test_an_answer_to_one_variant_clears_no_other(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
         self.quarantine.record_answer(variant(2), 0.0)
-        self.assertIs(self.ruling(), RunPermission.HELD)
-        self.assertIs(self.ruling(request=variant(2)), RunPermission.ALONE)
+        self.assertIs(self.permission(), RunPermission.HELD)
+        self.assertIs(self.permission(request=variant(2)), RunPermission.ALONE)
 
     def test_after_enough_variants_all_are_held_back(self):
         self.end("e1", "e2", "e3")
         self.end("e4", request=variant(2))
-        self.assertIs(self.ruling(request=variant(4)), RunPermission.ALONE)
+        self.assertIs(self.permission(request=variant(4)), RunPermission.ALONE)
         self.end("e5", request=variant(3))
-        self.assertIs(self.ruling(request=variant(4)), RunPermission.HELD)
+        self.assertIs(self.permission(request=variant(4)), RunPermission.HELD)
 
     def test_a_trial_holds_the_others_back_while_it_runs(self):
         self.end("e1", "e2")
         trial = self.quarantine.begin_trial(REQUEST, "e3", 1.0)
-        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.assertIs(self.permission(now=1.0), RunPermission.HELD)
         self.quarantine.record_alive(EngineLife("e3"), 2.0, 2.0)
-        self.assertIs(self.ruling(now=2.0), RunPermission.HELD)
+        self.assertIs(self.permission(now=2.0), RunPermission.HELD)
         self.quarantine.end_trial(trial)
-        self.assertIs(self.ruling(now=2.0), RunPermission.ALONE)
+        self.assertIs(self.permission(now=2.0), RunPermission.ALONE)
 
-    def test_a_whole_answer_clears_it(self):
+    def test_a_complete_answer_clears_it(self):
         self.end("e1", "e2", "e3")
         self.assertTrue(self.quarantine.record_answer(REQUEST, 0.0))
         self.assertFalse(self.quarantine.record_answer(REQUEST, 0.0))
-        self.assertIs(self.ruling(), RunPermission.FREE)
+        self.assertIs(self.permission(), RunPermission.FREE)
 
-    def test_one_that_was_answered_lately_did_not_end_an_engine(self):
+    def test_a_recently_answered_request_is_not_blamed(self):
         self.quarantine.record_answer(REQUEST, 0.0)
         self.end("e1", "e2", "e3", now=ANSWER_RETENTION - 1.0)
-        self.assertIs(self.ruling(now=ANSWER_RETENTION - 1.0), RunPermission.FREE)
+        self.assertIs(self.permission(now=ANSWER_RETENTION - 1.0), RunPermission.FREE)
         self.end("e1", "e2", "e3", now=ANSWER_RETENTION)
-        self.assertIs(self.ruling(now=ANSWER_RETENTION), RunPermission.HELD)
+        self.assertIs(self.permission(now=ANSWER_RETENTION), RunPermission.HELD)
 
-    def test_answers_are_remembered_in_bounds(self):
+    def test_remembered_answers_are_bounded(self):
         for number in range(2 * MAX_ANSWERS):
             self.quarantine.record_answer(numbered(number), 0.0)
         self.assertEqual(len(self.quarantine._answered), MAX_ANSWERS)
 
-    def test_an_engine_that_answers_later_had_not_ended(self):
+    def test_an_engine_that_answers_later_had_not_failed(self):
         self.end("e1", "e2", "e3", now=1.0)
         self.quarantine.record_alive(EngineLife("e3"), 0.9, 0.9)
-        self.assertIs(self.ruling(now=1.0), RunPermission.HELD)
+        self.assertIs(self.permission(now=1.0), RunPermission.HELD)
         self.quarantine.record_alive(EngineLife("e3"), 1.1, 1.1)
-        self.assertIs(self.ruling(now=1.1), RunPermission.ALONE)
+        self.assertIs(self.permission(now=1.1), RunPermission.ALONE)
         self.end("e3", now=1.2)
-        self.assertIs(self.ruling(now=1.2), RunPermission.HELD)
+        self.assertIs(self.permission(now=1.2), RunPermission.HELD)
 
-    def test_what_is_sent_to_an_engine_that_has_ended_did_not_end_it(self):
+    def test_a_request_sent_after_the_failure_is_not_blamed(self):
         self.end("e1", now=1.0)
         self.assertFalse(self.quarantine.record_end(OTHER, "e1", 1.5, 1.6))
         self.assertTrue(self.quarantine.record_end(OTHER, "e1", 0.5, 1.6))
@@ -165,16 +165,16 @@
         self.quarantine.expire(2 * HOLD_TIME)
         self.assertEqual(len(self.quarantine), 0)
 
-    def test_memory_is_bounded_and_keeps_what_weighs_most(self):
+    def test_memory_is_bounded_and_keeps_the_important_entries(self):
         self.end("e1", "e2", "e3")
         for number in range(2 * MAX_ENTRIES):
             self.end("e4", request=numbered(number))
         self.assertEqual(len(self.quarantine), MAX_ENTRIES)
-        self.assertIs(self.ruling(), RunPermission.HELD)
+        self.assertIs(self.permission(), RunPermission.HELD)
         self.end(*(f"x{number}" for number in range(100)))
         self.assertLessEqual(len(self.quarantine.entry(REQUEST.digest).failures), MAX_FAILURES)
 
-    def test_doubtful_requests_spread_over_the_engines(self):
+    def test_suspect_requests_spread_over_the_engines(self):
         engines = [f"e{number}" for number in range(6)]
         chosen = {
             self.quarantine.preferred_engine(numbered(number), engines) for number in range(60)
@@ -183,82 +183,84 @@
 
 
 class MergeTest(unittest.TestCase):
-    def test_ends_that_three_nodes_saw_add_up(self):
+    def test_failures_seen_by_three_nodes_add_up(self):
         nodes = [Quarantine(f"n{number}") for number in range(3)]
         for number, node in enumerate(nodes):
             node.record_end(REQUEST, f"e{number}", 0.0, 0.0)
         for source in nodes:
             for target in nodes:
-                tell(source, target, 0.1)
+                share_knowledge(source, target, 0.1)
         for node in nodes:
             self.assertIs(node.check_request(REQUEST, 0.1).permission, RunPermission.HELD)
 
-    def test_the_same_end_seen_by_two_nodes_is_one(self):
+    def test_the_same_failure_seen_by_two_nodes_counts_once(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.record_end(REQUEST, "e1", 0.0, 0.0)
         second.record_end(REQUEST, "e1", 0.0, 0.0)
-        tell(second, first, 0.0)
+        share_knowledge(second, first, 0.0)
         self.assertEqual(len(first.entry(REQUEST.digest).engines()), 1)
 
-    def test_retelling_does_not_make_it_younger(self):
+    def test_repeated_reports_do_not_make_a_failure_younger(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.record_end(REQUEST, "e1", 0.0, 0.0)
         for _ in range(50):
-            tell(first, second, 0.2, delay=0.1)
-            tell(second, first, 0.2, delay=0.1)
+            share_knowledge(first, second, 0.2, delay=0.1)
+            share_knowledge(second, first, 0.2, delay=0.1)
         self.assertEqual(first.entry(REQUEST.digest).engines(), {"e1": 0.0})
         self.assertEqual(second.entry(REQUEST.digest).engines(), {"e1": 0.1})
 
-    def test_a_node_that_saw_it_answered_speaks_for_it(self):
+    def test_a_node_that_saw_an_answer_excuses_the_request(self):
         first, second = Quarantine("a"), Quarantine("b")
         second.record_answer(REQUEST, 0.0)
         for number in range(3):
             first.record_end(REQUEST, f"e{number}", 1.0, 1.0)
-        tell(first, second, 1.1)
-        tell(second, first, 1.2)
+        share_knowledge(first, second, 1.1)
+        share_knowledge(second, first, 1.2)
         self.assertIs(first.check_request(REQUEST, 1.2).permission, RunPermission.FREE)
 
-    def test_an_engine_that_was_blamed_wrongly_may_end_later(self):
-        """Others saw it live: an end that this node sees after that counts here too."""
+    def test_an_engine_excused_before_may_fail_later(self):
+        """A failure observed after other nodes have seen the engine alive must count."""
         first, second = Quarantine("a"), Quarantine("b")
         first.record_end(OTHER, "e1", 0.9, 1.0)
-        tell(first, second, 1.1)
+        share_knowledge(first, second, 1.1)
         first.record_alive(EngineLife("e1"), 1.2, 1.2)
-        tell(first, second, 1.3)
+        share_knowledge(first, second, 1.3)
         self.assertTrue(second.record_end(REQUEST, "e1", 1.4, 1.5))
 
-    def test_who_has_not_heard_of_an_excuse_does_not_take_it_back(self):
+    def test_an_outdated_node_does_not_withdraw_an_excuse(self):
         first, second = Quarantine("a"), Quarantine("b")
         first.record_end(REQUEST, "e1", 0.0, 0.0)
-        tell(first, second, 0.1)
+        share_knowledge(first, second, 0.1)
         second.record_alive(EngineLife("e1"), 0.2, 0.2)
-        tell(first, second, 0.3)
+        share_knowledge(first, second, 0.3)
         self.assertEqual(second.entry(REQUEST.digest).engines(), {})
-        tell(second, first, 0.4)
+        share_knowledge(second, first, 0.4)
         self.assertEqual(first.entry(REQUEST.digest).engines(), {})
 
-    def test_news_stops(self):
-        """What was heard before is no news: nodes don't tell each other the same for ever."""
+    def test_known_observations_are_not_sent_again(self):
+        """Known observations are not new: otherwise nodes would send each other the same ones
+        forever."""
         first, second = Quarantine("a"), Quarantine("b")
         for number in range(3 * MAX_FAILURES):
             first.record_end(REQUEST, f"a{number}", 0.01 * number, 0.01 * number)
             second.record_end(REQUEST, f"b{number}", 0.01 * number, 0.01 * number)
-        news = []
-        first.on_change = second.on_change = news.append
+        changes = []
+        first.on_change = second.on_change = changes.append
         for _ in range(10):
-            tell(first, second, 1.0)
-            tell(second, first, 1.0)
-        self.assertLessEqual(len(news), 2)
+            share_knowledge(first, second, 1.0)
+            share_knowledge(second, first, 1.0)
+        self.assertLessEqual(len(changes), 2)
 
-    def test_what_a_node_tells_that_stood_still_for_long_is_passed_over(self):
+    def test_outdated_reports_of_a_suspended_node_are_ignored(self):
         stale, fresh = Quarantine("a"), Quarantine("b")
         stale.record_end(REQUEST, "e1", 0.0, 0.0)
-        tell(stale, fresh, SUSPICION_TIME + 1.0)
+        share_knowledge(stale, fresh, SUSPICION_TIME + 1.0)
         self.assertEqual(len(fresh), 0)
 
     @given(st.integers(0, 2**32))
-    def test_all_nodes_come_to_know_the_same(self, seed):
-        """Messages doubled, lost and in any order; then everybody hears everybody once."""
+    def test_all_nodes_converge(self, seed):
+        """Messages are duplicated, lost and reordered; in the end all nodes hear all others
+        once."""
         generator = random.Random(seed)
         nodes = [Quarantine(f"n{number}") for number in range(4)]
         now = 0.0
@@ -275,22 +277,22 @@
             elif action == 2:
                 node.record_alive(EngineLife(engine), now, now)
             else:
-                tell(node, generator.choice(nodes), now)
+                share_knowledge(node, generator.choice(nodes), now)
         for _ in range(2):
             for source in nodes:
                 for target in nodes:
-                    tell(source, target, now)
+                    share_knowledge(source, target, now)
         for request in (REQUEST, OTHER, variant(2), variant(3)):
-            rulings = {node.check_request(request, now) for node in nodes}
-            self.assertEqual(len(rulings), 1)
+            decisions = {node.check_request(request, now) for node in nodes}
+            self.assertEqual(len(decisions), 1)
 
 
 class NaiveQuarantine:
-    """One list of everything that happened, looked through for each question."""
+    """Reference implementation: one list of all events, searched for each question."""
 
     def __init__(self):
         self.ends = []
-        """Identity, engine, and when it ended."""
+        """Identity, engine, and time of the failure."""
         self.answers = []
 
     def record_end(self, identity, engine, sent_at, now):
@@ -325,8 +327,9 @@
 
 class DifferentialTest(unittest.TestCase):
     @given(st.integers(0, 2**32))
-    def test_nodes_that_hear_all_agree_with_one_list(self, seed):
-        """Four nodes, each event at one of them and heard by all before the next one."""
+    def test_nodes_agree_with_the_reference_implementation(self, seed):
+        """Four nodes; each event happens at one of them and reaches all others before the next
+        event."""
         generator = random.Random(seed)
         nodes = [Quarantine(f"n{number}") for number in range(4)]
         naive = NaiveQuarantine()
@@ -345,7 +348,7 @@
                 else:
                     one.record_alive(EngineLife(engine), sent_at, sent_at)
             for source, target in itertools.product([node, *nodes], nodes):
-                tell(source, target, now)
+                share_knowledge(source, target, now)
             for one, asked in itertools.product(nodes, requests):
                 self.assertEqual(
                     one.check_request(asked, now).permission, naive.check_request(asked, now)
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -1,9 +1,10 @@
-"""Engines that are back under the id that they had.
+"""Engines that restart under the same id.
 
-What a node knows was kept by an engine's id. One that had ended under a request and was back under
-its id counted once, however often it ended, and the first answer of its next life cleared the
-request: with four nodes and six engines that were back after 2.5 s, one request had 17 and 16 runs
-later than 3 s after the third engine had ended under it, where engines with new ids had none.
+Guards against keeping knowledge by engine id instead of by life. An engine that crashed under a
+request and restarted under its id then counted only once, however often it crashed, and the first
+answer of its next life cleared the request. With four nodes and six engines that restarted
+after 2.5 s, one request had 17 and 16 runs later than 3 s after the third engine had crashed under
+it; with engines that got new ids it had none.
 """
 
 import json
@@ -19,11 +20,11 @@
 from tests.waiting import wait_until
 
 FATAL = b"the body under which engines end"
-ENOUGH_ENDS = 3
+HOLD_AFTER_ENDS = 3
 FIRST_BORN = 1_000
 
 
-class RebornCase(unittest.TestCase):
+class RestartCase(unittest.TestCase):
     nodes, engines = 3, 5
 
     def setUp(self):
@@ -36,16 +37,19 @@
         return self.fleet.request(node, STREAM_PATH + "x", body=body, request_id=f"r-{number}")
 
     def listed(self, node):
-        """Engines that take work, and their starts, as a node knows them."""
+        """Return the state of each engine that a node lists, by id and start time."""
         rows = self.fleet.nodes[node].status_document()["engines"]
         return {(one["engine_id"], one.get("born", 0)): one["state"] for one in rows}
 
 
-class FatalRequestTest(RebornCase):
-    """Sent again once all nodes know the same: until then each may let three engines end.
+class FatalRequestTest(RestartCase):
+    """A request that crashes its engines, sent again each time all nodes have the same knowledge of
+    it.
 
-    Engines tell their starts from the first life on. Where that one told none its end was excused
-    by an answer of the next, and 4 to 6 ended; where nodes heard late and nothing waited, 10.
+    Without this wait, each node may let three engines fail. Engines report their start times from
+    the first life on: when the first one did not, its failure was excused by an answer of the
+    next life, and 4 to 6 engines failed. When nodes received updates late and the test did not
+    wait, it was 10.
     """
 
     def setUp(self):
@@ -53,8 +57,8 @@
         for engine in self.fleet.engines:
             engine.born = FIRST_BORN
             self.fleet.list_engine(engine)
-        told = {(engine.engine_id, FIRST_BORN) for engine in self.fleet.engines}
-        wait_until(lambda: all(told <= self.listed(node).keys() for node in self.fleet.nodes))
+        expected = {(engine.engine_id, FIRST_BORN) for engine in self.fleet.engines}
+        wait_until(lambda: all(expected <= self.listed(node).keys() for node in self.fleet.nodes))
 
     def known(self, node):
         rows = self.fleet.nodes[node].status_document()["quarantine"]
@@ -64,22 +68,23 @@
         first, *others = map(self.known, self.fleet.nodes)
         return all(one == first for one in others)
 
-    def test_a_request_that_comes_again_and_again_ends_few_engines(self):
+    def test_a_repeated_request_crashes_few_engines(self):
         self.fleet.crash_on_body(FATAL, reborn=True)
         for number in range(16):
             self.send(f"n{number % self.nodes}", FATAL, number)
             wait_until(self.all_know_the_same)
-            # Others are served by the next lives meanwhile, which speaks for no former life.
+            # Meanwhile the next lives serve other requests, which must not excuse the former
+            # ones.
             for other in range(4):
                 self.send(f"n{other % self.nodes}", b"b%d" % other, f"{number}-{other}")
         ended = [engine for engine in self.fleet.engines if engine.ended]
-        self.assertLessEqual(len(ended), ENOUGH_ENDS)
+        self.assertLessEqual(len(ended), HOLD_AFTER_ENDS)
 
 
-class NextLifeTest(RebornCase):
+class NextLifeTest(RestartCase):
     nodes, engines = 1, 2
 
-    def test_a_next_life_begins_with_nothing_known(self):
+    def test_a_new_life_starts_without_history(self):
         ended, other = self.fleet.engines
         ended.usual = Behaviour(cut_after=-1)
         for number in range(6):
@@ -93,7 +98,7 @@
         other.usual = Behaviour(refuse=True)
         self.assertEqual(self.send("n0", number="last").status, 200)
 
-    def test_a_late_record_of_a_former_life_takes_nothing_back(self):
+    def test_a_late_record_of_a_former_life_is_ignored(self):
         ended = self.fleet.engines[0]
         ended.end()
         self.fleet._start_again(ended)
@@ -105,7 +110,7 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_an_entry_tells_which_life_it_is_of(self):
+    def test_an_entry_identifies_its_life(self):
         engine = {
             "service": "s", "address": "10.0.0.1:80", "zone": "z", "version": "v1", "slots": 4,
             "state": "ready", "coldRemainingMs": 0, "sequence": 1,
@@ -119,8 +124,8 @@
         self.assertEqual({life.engine_id for life in lives}, {"e"})
 
 
-class BlameTest(unittest.TestCase):
-    """What a quarantine holds of lives of one engine."""
+class ImplicationTest(unittest.TestCase):
+    """What a quarantine records of several lives of one engine."""
 
     request = RequestIdentity(b"0123456789abcdef", 1)
 
@@ -130,22 +135,22 @@
     def end(self, born, at):
         return self.quarantine.record_end(self.request, EngineLife.of("e", born), at, at)
 
-    def ruling(self, now):
+    def permission(self, now):
         return self.quarantine.check_request(self.request, now).permission
 
-    def test_each_life_that_ends_counts(self):
-        for number in range(ENOUGH_ENDS):
+    def test_each_failed_life_counts(self):
+        for number in range(HOLD_AFTER_ENDS):
             self.assertTrue(self.end(number + 1, float(number)))
-        self.assertIs(self.ruling(3.0), RunPermission.HELD)
+        self.assertIs(self.permission(3.0), RunPermission.HELD)
 
-    def test_an_answer_clears_only_the_life_that_is_still_listed_a_moment_later(self):
-        for number in range(ENOUGH_ENDS):
+    def test_an_answer_clears_only_the_life_that_is_still_listed_later(self):
+        for number in range(HOLD_AFTER_ENDS):
             self.end(number + 1, 1.0)
-        # Each was answered at its address, by its next life as it turns out.
-        for number in range(ENOUGH_ENDS):
+        # The answers came from the same address, but from the next lives.
+        for number in range(HOLD_AFTER_ENDS):
             self.quarantine.record_alive(EngineLife.of("e", number + 1), 1.5, 1.6)
         self.quarantine.confirm_alive(lambda life: True, 1.6)
-        self.assertIs(self.ruling(2.0), RunPermission.HELD)
+        self.assertIs(self.permission(2.0), RunPermission.HELD)
         self.quarantine.confirm_alive(lambda life: life.born == 3, 9.0)
         self.assertEqual(self.quarantine.check_request(self.request, 9.0).ends, 2)
 
--- a/tests/test_zoned_limits.py
+++ b/tests/test_zoned_limits.py
@@ -1,4 +1,5 @@
-"""Limits of tenants over zones: what a zone that is cut off still serves, and never too much."""
+"""Tenant limits across zones: what a zone that is cut off still serves, without exceeding the
+limit."""
 
 import itertools
 import unittest
@@ -16,9 +17,9 @@
 
 ZONES = 4
 NODES = 4
-"""In each zone."""
+"""Nodes in each zone."""
 CUT = 5.0
-"""Seconds that a zone is cut off: longer than it takes for all nodes to know."""
+"""Seconds for which a zone is cut off: long enough for all nodes to detect it."""
 SMALL, LARGE = LimitTerms(5.0, 5.0), LimitTerms(65.0, 65.0)
 ZONE_FAULTS = (
     *FAULTS,
@@ -26,8 +27,8 @@
 )
 
 
-def worst_of(seed, terms):
-    """The most requests in any window of a flood under faults, of what is allowed."""
+def worst_excess(seed, terms):
+    """Return the most requests in any window under faults, as a fraction of what is allowed."""
     model = ZonedLimitModel(seed, ZONES, NODES, terms)
     settle(model)
     due = 0.0
@@ -37,20 +38,21 @@
         due -= int(due)
         if model.random.random() < STEP / 3:
             model.random.choice(ZONE_FAULTS)(model)
-    return model.worst / allowed(terms)
+    return model.max_in_window / allowed(terms)
 
 
 class BoundTest(unittest.TestCase):
-    def test_no_window_is_over_what_is_allowed_whatever_befalls_zones(self):
+    def test_no_window_exceeds_the_limit_under_zone_faults(self):
         for seed in range(12):
             terms = (LARGE, SMALL, LimitTerms(10.0, 0.0), LimitTerms(300.0, 100.0))[seed % 4]
-            self.assertLessEqual(worst_of(seed, terms), 1.0, (seed, terms))
+            self.assertLessEqual(worst_excess(seed, terms), 1.0, (seed, terms))
 
     def test_four_faults_within_four_seconds(self):
-        """The lender stands still, a third is cut off, then a zone, then half of the nodes end."""
-        self.assertLessEqual(worst_of(1011, LimitTerms(300.0, 100.0)), 1.0)
+        """The lender is suspended, a third of the nodes is cut off, then a zone, then half of the
+        nodes are killed."""
+        self.assertLessEqual(worst_excess(1011, LimitTerms(300.0, 100.0)), 1.0)
 
-    def test_a_zone_is_cut_off_in_the_midst_of_a_flood(self):
+    def test_a_zone_is_cut_off_during_a_flood(self):
         for seed in range(8):
             terms = (LARGE, SMALL)[seed % 2]
             model = ZonedLimitModel(50 + seed, ZONES, NODES, terms)
@@ -58,13 +60,14 @@
             flood(model, 8, 7 * terms.rate, faults=False)
             model.cut_zone(seed % ZONES, CUT)
             flood(model, 12, 7 * terms.rate, faults=False)
-            self.assertLessEqual(model.worst, allowed(terms), (seed, terms))
+            self.assertLessEqual(model.max_in_window, allowed(terms), (seed, terms))
 
 
 class PartTimeTest(unittest.TestCase):
-    """What a node could not lend, as others did it, is not credit that it has afterwards."""
+    """Credit that a node could not grant because others did must not become available to it
+    later."""
 
-    def test_a_flood_moves_from_one_side_of_a_cut_to_the_other_as_it_heals(self):
+    def test_a_flood_moves_to_the_other_side_as_a_partition_heals(self):
         for zones, terms in itertools.product((2, 3), (SMALL, LARGE, LimitTerms(10.0, 50.0))):
             model = ZonedLimitModel(0, zones, NODES, terms)
             settle(model)
@@ -73,10 +76,10 @@
             flood(model, 8, 0, faults=False)
             others = [one for one in model.nodes if model.zones[one] != model.zones[first]]
             flood(model, 8, 7 * terms.rate + 250, faults=False, at=others)
-            self.assertLessEqual(model.worst, allowed(terms), (zones, terms))
+            self.assertLessEqual(model.max_in_window, allowed(terms), (zones, terms))
 
     def limits(self, share_at):
-        """A lender that heard so many of eight nodes, by when."""
+        """Return a lender that heard the given number of eight nodes at each of the given times."""
         names = [f"n{number}" for number in range(8)]
         limits = FleetLimits("n0", 0.0)
         limits.choices = lambda tenant: ["n0"]
@@ -84,55 +87,56 @@
             limits.update_view(names, 8, now, names, names[:heard])
         return limits
 
-    def lent(self, limits, now):
+    def granted(self, limits, now):
         return sum(not limits.try_acquire("t", SMALL, now).wait for _ in range(99))
 
-    def test_a_bucket_that_nobody_asked_for_held_its_part_only(self):
+    def test_an_unused_bucket_refills_by_its_share_only(self):
         full = int(LimitBounds().capacity(SMALL))
-        looks = [(step * 0.5, 2 if 20 <= step < 30 else 8) for step in range(1, 31)]
-        unasked, asked = self.limits(looks), self.limits(looks[:10])
-        self.assertEqual(self.lent(asked, 5.0), full)
-        self.assertLessEqual(self.lent(unasked, 15.0), full / 4 + 1)
+        updates = [(step * 0.5, 2 if 20 <= step < 30 else 8) for step in range(1, 31)]
+        unasked, asked = self.limits(updates), self.limits(updates[:10])
+        self.assertEqual(self.granted(asked, 5.0), full)
+        self.assertLessEqual(self.granted(unasked, 15.0), full / 4 + 1)
 
     def test_a_node_that_starts_has_no_credit_for_the_time_before_it_heard_the_fleet(self):
         limits = self.limits([(0.1, 1), (0.6, 1), (1.2, 8)])
-        self.assertEqual(self.lent(limits, 1.2), 0)
-        self.assertEqual(self.lent(limits, 1.2 + 1.2 / SMALL.rate), 1)
+        self.assertEqual(self.granted(limits, 1.2), 0)
+        self.assertEqual(self.granted(limits, 1.2 + 1.2 / SMALL.rate), 1)
 
 
 class CutZoneTest(unittest.TestCase):
-    """Requests at a third of a small tenant's limit in a zone that is cut off.
+    """Requests at a third of a small tenant's limit, in a zone that is cut off.
 
-    What may be lent beside a lender that nobody reaches is little, so a few are refused. Where a
-    second choice stood anywhere and other zones counted as gone after 4 s, 56 in 100 were.
+    Secondary lenders may grant little beside a primary one that nobody reaches, so some requests
+    are refused. When a secondary lender could be in any zone and other zones counted as gone after
+    4 s, 56 of 100 requests were.
     """
 
-    def test_most_are_let_in(self):
+    def test_most_requests_are_admitted(self):
         asked, refused = 0, 0
         for seed in range(48):
             model = ZonedLimitModel(seed, ZONES, NODES, SMALL)
             settle(model)
             flood(model, 10, SMALL.rate / 3, faults=False)
-            zone, lend = seed % ZONES, model.lend
-            told = []
+            zone, try_admit = seed % ZONES, model.try_admit
+            results = []
 
-            def lend_noting(node, lend=lend, told=told):
-                told.append((node.name, lend(node)))
-                return told[-1][1]
+            def recording_try_admit(node, try_admit=try_admit, results=results):
+                results.append((node.name, try_admit(node)))
+                return results[-1][1]
 
-            model.lend = lend_noting
+            model.try_admit = recording_try_admit
             model.cut_zone(zone, CUT)
             flood(model, CUT, SMALL.rate / 3, faults=False)
-            lent = [one for name, one in told if model.zones[name] == zone]
-            asked += len(lent)
-            refused += lent.count(False)
+            granted = [one for name, one in results if model.zones[name] == zone]
+            asked += len(granted)
+            refused += granted.count(False)
         self.assertLess(refused, asked / 3)
 
 
 class StartTest(unittest.TestCase):
-    """All nodes start together: each hears few others for a second, and lends next to nothing."""
+    """All nodes start together: for a second each hears few others and grants next to nothing."""
 
-    def test_who_is_refused_comes_back_when_all_are_heard_and_one_by_one(self):
+    def test_refused_clients_retry_when_all_nodes_are_heard_one_by_one(self):
         limits = FleetLimits("n0", 0.0)
         limits.update_view(["n0"], 60, 0.2)
         waits = [limits.try_acquire("t", SMALL, 0.3).wait for _ in range(4)]
@@ -141,7 +145,7 @@
         for gap in gaps:
             self.assertAlmostEqual(gap, 1 / SMALL.rate)
 
-    def test_later_a_small_share_tells_the_time_that_it_takes(self):
+    def test_after_the_start_the_retry_time_follows_the_small_share(self):
         limits = FleetLimits("n0", 0.0)
         for step in range(1, 40):
             limits.update_view(["n0"], 60, step * 0.5)
@@ -149,7 +153,7 @@
         self.assertGreater(limits.try_acquire("t", SMALL, 19.7).wait, 4.0)
 
 
-class DeputyTest(unittest.TestCase):
+class SecondaryLenderTest(unittest.TestCase):
     LIVE = tuple(f"n{number}" for number in range(8))
 
     def limits(self, node_id, near):
@@ -157,7 +161,7 @@
         found.update_view(self.LIVE, 8, 0.1, near)
         return found
 
-    def test_the_second_choice_stands_in_the_zone_of_who_asks(self):
+    def test_the_secondary_lender_is_in_the_zone_of_the_asking_node(self):
         near, far = self.LIVE[:3], self.LIVE[3:]
         for tenant in map(str, range(40)):
             first, second = self.limits("n0", near).choices(tenant)
@@ -166,8 +170,8 @@
             self.assertEqual(self.limits("n7", far).choices(tenant)[0], first)
             self.assertIn(self.limits("n7", far).choices(tenant)[1], far)
 
-    def test_who_is_replaced_as_second_choice_begins_anew_when_it_is_one_again(self):
-        """The other one has lent meanwhile, and may be full when it ends."""
+    def test_a_replaced_secondary_lender_starts_empty_when_chosen_again(self):
+        """The other node has lent meanwhile, and may have granted its full share when it stops."""
         tenant = next(one for one in map(str, range(999)) if rank_owners(one, "abc") == [*"abc"])
         limits = FleetLimits("c", 0.0)
         for step in range(1, 100):
@@ -179,18 +183,18 @@
                 )
         self.assertEqual(limits.try_acquire(tenant, LARGE, 49.6).outcome, CreditOutcome.OVER_LIMIT)
 
-    def test_all_second_choices_together_lend_no_more_than_one(self):
+    def test_all_secondary_lenders_together_grant_no_more_than_one(self):
         bounds, terms = LimitBounds(), LimitTerms(0.001, 0.0)
         tenant = next(
             one
             for one in map(str, range(99))
             if self.limits("n0", self.LIVE).choices(one)[0] == "n7"
         )
-        lent = 0
+        granted = 0
         for near in (self.LIVE[:4], self.LIVE[4:]):
             second = self.limits(near[0], near).choices(tenant)[1]
             lender = self.limits(second, near)
             while lender.try_acquire(tenant, terms, 60.0).outcome.value == "lent":
-                lent += 1
-        self.assertLessEqual(lent, bounds.secondary_credit(terms))
-        self.assertGreater(lent, 0)
+                granted += 1
+        self.assertLessEqual(granted, bounds.secondary_credit(terms))
+        self.assertGreater(granted, 0)
--- a/tests/zoned_limit_model.py
+++ b/tests/zoned_limit_model.py
@@ -1,19 +1,19 @@
-"""Nodes in zones that limit tenants together: zones hear of each other seldom, and are cut off."""
+"""Model of tenant limits in several zones, which hear of each other rarely and may be cut off."""
 
 from postvalve.gateway.serving.tenant_credit import LENDER_SUSPECT_AFTER, LENDER_TIMEOUT
 from tests.limit_model import REPORT_EVERY, STEP, LimitModel, ModelNode
 
 FAR_REPORT_EVERY = 1.0
-"""Seconds between the digests of another zone, at the most."""
+"""Longest time, in seconds, between two digests of another zone."""
 
 
 class ZonedNode(ModelNode):
     def __init__(self, name, now, bounds, zones):
         self.zones = zones
-        """Zone by node."""
+        """Zone of each node."""
         super().__init__(name, now, bounds)
 
-    def look(self, announced, now):
+    def update_view(self, announced, now):
         live = [one for one, at in self.heard.items() if now - at <= LENDER_TIMEOUT]
         near = [one for one in live if self.zones[one] == self.zones[self.name]]
         certain = [one for one in live if now - self.heard[one] <= LENDER_SUSPECT_AFTER]
@@ -22,27 +22,27 @@
 
 
 class ZonedLimitModel(LimitModel):
-    """So many zones of so many nodes each."""
+    """A fleet of several zones with the same number of nodes each."""
 
-    def __init__(self, seed, zones, nodes, terms, **named):
-        super().__init__(seed, zones * nodes, terms, **named)
+    def __init__(self, seed, zones, nodes, terms, **options):
+        super().__init__(seed, zones * nodes, terms, **options)
         self.zones = {name: number % zones for number, name in enumerate(self.nodes)}
         for name in self.nodes:
             self.nodes[name] = ZonedNode(name, self.now, self.bounds, self.zones)
 
     def report(self):
         far = round(self.now / STEP) % round(FAR_REPORT_EVERY / STEP) < REPORT_EVERY / STEP
-        working = [one for one in self.nodes.values() if one.works]
+        working = [one for one in self.nodes.values() if one.is_running]
         for first in working:
             for second in working:
                 heard = far or self.zones[first.name] == self.zones[second.name]
-                if first is not second and heard and self.reach(first.name, second.name):
+                if first is not second and heard and self.can_reach(first.name, second.name):
                     second.heard[first.name] = self.now
         for node in working:
-            node.look(self.announced, self.now)
+            node.update_view(self.announced, self.now)
 
     def cut_zone(self, zone, seconds):
-        """Part one zone from all others."""
+        """Cut one zone off from all others."""
         chosen = [name for name, own in self.zones.items() if own == zone]
         for name in chosen:
             self.side[name] = 1
