--- a/postvalve/core/admission/callers.py
+++ b/postvalve/core/admission/callers.py
@@ -22,7 +22,7 @@
 
     tenant: RoutedTenant | None = None
     """None for an anonymous caller on a route that needs no key."""
-    named: bool = False
+    tenants_defined: bool = False
     """Whether the configuration defines any tenants."""
 
     @property
@@ -69,7 +69,7 @@
     if not table.requires_api_key:
         return Caller()
     if key is None and not needs_key:
-        return Caller(named=True)
+        return Caller(tenants_defined=True)
     if policy.fails_closed and age > policy.closes_after:
         raise KeyUnknownError(
             "this node may have missed that keys changed", retry_after=KEY_RETRY_AFTER
@@ -78,7 +78,7 @@
         raise AuthenticationError("an API key is needed")
     tenant = table.tenant_of(key)
     if tenant is not None:
-        return Caller(tenant, named=True)
+        return Caller(tenant, tenants_defined=True)
     if age > UNKNOWN_KEY_MAX_AGE:
         raise KeyUnknownError("this node may not know the API key yet", retry_after=KEY_RETRY_AFTER)
     raise AuthenticationError("the API key is not valid")
--- a/postvalve/core/admission/engine_slots.py
+++ b/postvalve/core/admission/engine_slots.py
@@ -127,7 +127,7 @@
         expected = max(self.policy.minimum_headroom, self._bursts.peak(now) - self.online_count)
         return min(expected, int(self.slots * MAX_HEADROOM_FRACTION))
 
-    def batch_room(self, now: float) -> int:
+    def batch_capacity(self, now: float) -> int:
         """Return how many more batch items may start."""
         used = self.online_count + self.batch_count
         room = self.slots - self.headroom(now) - used
@@ -138,7 +138,7 @@
 
     def admit_batch(self, attempt_id: str, rank: int, now: float) -> bool:
         """Take a slot for a batch item; returns False if there is none."""
-        if self.batch_room(now) < 1:
+        if self.batch_capacity(now) < 1:
             return False
         self._batch[attempt_id] = BatchOccupant(attempt_id, rank, now)
         return True
--- a/postvalve/core/admission/engine_use.py
+++ b/postvalve/core/admission/engine_use.py
@@ -110,7 +110,7 @@
             else:
                 count.online += difference
         if not batch:
-            self.online_averages.note(key, self._total(key).online)
+            self.online_averages.record(key, self._total(key).online)
 
     def _total(self, key: int) -> UseCount:
         total = self._totals.get(key)
@@ -166,7 +166,7 @@
 
     def _record_online(self, keys: Iterable[int]) -> None:
         for key in keys:
-            self.online_averages.note(key, self._total(key).online)
+            self.online_averages.record(key, self._total(key).online)
 
     def _subtract(self, counts: dict[int, UseCount]) -> None:
         for key, count in counts.items():
@@ -184,7 +184,7 @@
         """Return this node's own requests at an engine."""
         return self._own.get(engine_hash(life), UseCount())
 
-    def batch_room(self, life: EngineLife, slots: int, *, pressing: bool = True) -> int:
+    def batch_capacity(self, life: EngineLife, slots: int, *, pressing: bool = True) -> int:
         """Return how many batch items may start; negative when too many run.
 
         Batch items fill the gaps between bursts of online requests and are preempted when a burst
--- a/postvalve/core/admission/online_admission.py
+++ b/postvalve/core/admission/online_admission.py
@@ -69,7 +69,7 @@
     """Whether its client has time for a retry if it is refused."""
 
 
-def finds_room(
+def finds_capacity(
     req: PendingRequest, occupancies: Sequence[EngineOccupancy], latency: ServiceLatency, now: float
 ) -> bool:
     """Return whether a request should be sent to an engine now, regardless of other requests."""
@@ -105,7 +105,7 @@
         persistent: Whether the overload is persistent; requests are then started first come, first
             served.
     """
-    if persistent or finds_room(req, occupancies, latency, now):
+    if persistent or finds_capacity(req, occupancies, latency, now):
         return AdmissionAction.START
     waited = now - req.arrived_at
     if latency.known and req.may_retry and waited <= req.target_latency * REFUSE_SHARE * 2:
--- a/postvalve/core/admission/online_averages.py
+++ b/postvalve/core/admission/online_averages.py
@@ -46,7 +46,7 @@
         self._window = 0
         self._cleaned = 0
 
-    def note(self, engine: int, online: int) -> None:
+    def record(self, engine: int, online: int) -> None:
         """Record the new number of online requests at an engine, given by its hash."""
         known = self._engines.get(engine)
         if known is None:
--- a/postvalve/core/batch/identity.py
+++ b/postvalve/core/batch/identity.py
@@ -26,7 +26,7 @@
     The tenant's name is prefixed, quoted so that no other pair of name and id gives the same
     result.
     """
-    if not caller.named:
+    if not caller.tenants_defined:
         return sent_id.replace(":", "%3A")
     return f"{quote(caller.name, safe='')}:{sent_id}"
 
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -228,10 +228,10 @@
         peer = self.get(node_id)
         return peer is not None and peer.report.incarnation == incarnation and peer.can_run_jobs
 
-    def successor(self, job_id: str, *, self_works: bool) -> str | None:
+    def successor(self, job_id: str, *, include_self: bool) -> str | None:
         """Return the node that takes over a job; the same on all nodes with the same view."""
         candidates = [peer.node_id for peer in self.all() if peer.can_run_jobs]
-        if self_works:
+        if include_self:
             candidates.append(self.node_id)
         return preferred_owner(job_id, candidates)
 
--- a/postvalve/core/membership/shared_freshness.py
+++ b/postvalve/core/membership/shared_freshness.py
@@ -42,7 +42,7 @@
         if now - self._fresh_at >= UNAVAILABLE_AFTER:
             self._unavailable = True
 
-    def note(self, fresh_at: float, now: float) -> None:
+    def record(self, fresh_at: float, now: float) -> None:
         """Record that a node knows everything acknowledged until monotonic time `fresh_at`."""
         self.update(now)
         if fresh_at <= self._fresh_at:
--- a/postvalve/core/membership/store_reachability.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -42,7 +42,7 @@
         """Whether the store is unreachable from this node."""
         return self._failures >= FAILING_AFTER
 
-    def note(self, answered: bool) -> bool:
+    def record(self, answered: bool) -> bool:
         """Record the outcome of a direct call; returns whether `failing` has changed."""
         before = self.failing
         self._failures = 0 if answered else self._failures + 1
@@ -74,7 +74,7 @@
         doubled = max(0, self._unanswered - DOUBLE_TIMEOUT_AFTER + 1)
         return min(MAX_RELAY_TIMEOUT, MIN_RELAY_TIMEOUT * 2**doubled)
 
-    def note(self, answered: bool) -> None:
+    def record(self, answered: bool) -> None:
         """Record whether the last relayed read was answered."""
         self._unanswered = 0 if answered else self._unanswered + 1
 
--- a/postvalve/core/serving/client_buffer.py
+++ b/postvalve/core/serving/client_buffer.py
@@ -84,11 +84,11 @@
         """Bytes that may be buffered for one stream."""
         return int(self.limit * self.stream_share)
 
-    def holdings(self) -> list[BufferAccount]:
+    def accounts(self) -> list[BufferAccount]:
         """Return the accounts for which something is buffered."""
         return list(self._holdings)
 
-    def take(self, holding: BufferAccount, size: int, now: float) -> list[BufferAccount]:
+    def take(self, account: BufferAccount, size: int, now: float) -> list[BufferAccount]:
         """Reserve `size` bytes; return the accounts dropped for it, which may include `holding`
         itself.
 
@@ -96,41 +96,41 @@
         dropped.
         """
         dropped: list[BufferAccount] = []
-        if holding.cause is None and holding.size + size > self.limit:
-            dropped.append(self._drop(holding))
-        while holding.cause is None and self.held + size > self.limit:
-            dropped.append(self._drop(self._largest_user(holding, size, now)))
-        if holding.cause is None:
-            self._change(holding, size, now)
+        if account.cause is None and account.size + size > self.limit:
+            dropped.append(self._drop(account))
+        while account.cause is None and self.held + size > self.limit:
+            dropped.append(self._drop(self._largest_user(account, size, now)))
+        if account.cause is None:
+            self._change(account, size, now)
         return dropped
 
-    def give(self, holding: BufferAccount, size: int, now: float) -> None:
+    def give(self, account: BufferAccount, size: int, now: float) -> None:
         """Return `size` bytes to the budget; no effect for a dropped account."""
-        if holding.cause is None:
-            self._change(holding, -size, now)
+        if account.cause is None:
+            self._change(account, -size, now)
 
-    def cut(self, holding: BufferAccount, cause: CutCause) -> None:
+    def cut(self, account: BufferAccount, cause: CutCause) -> None:
         """Drop an account and release its bytes."""
-        self.release(holding)
-        holding.cause = cause
+        self.release(account)
+        account.cause = cause
 
-    def release(self, holding: BufferAccount) -> None:
+    def release(self, account: BufferAccount) -> None:
         """Release all bytes of an account."""
-        self.held -= holding.size
-        holding.size = 0
-        self._holdings.pop(holding, None)
+        self.held -= account.size
+        account.size = 0
+        self._holdings.pop(account, None)
 
-    def _change(self, holding: BufferAccount, size: int, now: float) -> None:
+    def _change(self, account: BufferAccount, size: int, now: float) -> None:
         self.held += size
-        holding.change(size, now)
-        if holding.size:
-            self._holdings[holding] = None
+        account.change(size, now)
+        if account.size:
+            self._holdings[account] = None
         else:
-            self._holdings.pop(holding, None)
+            self._holdings.pop(account, None)
 
-    def _drop(self, holding: BufferAccount) -> BufferAccount:
-        self.cut(holding, CutCause.MEMORY_SHORT)
-        return holding
+    def _drop(self, account: BufferAccount) -> BufferAccount:
+        self.cut(account, CutCause.MEMORY_SHORT)
+        return account
 
     def _largest_user(self, requester: BufferAccount, size: int, now: float) -> BufferAccount:
         """Return the account with the most memory over time, from the tenant that uses the most
@@ -155,8 +155,8 @@
 class EventBuffer:
     """Buffered events of one stream, in order, and how the stream ended."""
 
-    def __init__(self, budget: MemoryBudget, holding: BufferAccount) -> None:
-        self.holding = holding
+    def __init__(self, budget: MemoryBudget, account: BufferAccount) -> None:
+        self.account = account
         self._budget = budget
         self._events: deque[bytes] = deque()
         self._blocked_seconds = 0.0
@@ -171,7 +171,7 @@
 
         If the client has been too slow for too long, the result is 0 and the client is dropped.
         """
-        held, wanted = self.holding.size, size + EVENT_OVERHEAD
+        held, wanted = self.account.size, size + EVENT_OVERHEAD
         full = held > 0 and held + wanted > self._budget.stream_limit
         if self._full_since is not None:
             self._blocked_seconds += now - self._full_since
@@ -179,27 +179,27 @@
         if not full:
             return 0.0
         left = MAX_BACKPRESSURE - self._blocked_seconds
-        if left <= 0 and self.holding.cause is None:
-            self._budget.cut(self.holding, CutCause.STORE_FULL)
+        if left <= 0 and self.account.cause is None:
+            self._budget.cut(self.account, CutCause.STORE_FULL)
         return max(0.0, left)
 
     def put(self, event: bytes, now: float) -> list[BufferAccount]:
         """Append an event; return the accounts dropped for it, which may include this buffer's
         own."""
-        dropped = self._budget.take(self.holding, len(event) + EVENT_OVERHEAD, now)
-        if self.holding.cause is None:
+        dropped = self._budget.take(self.account, len(event) + EVENT_OVERHEAD, now)
+        if self.account.cause is None:
             self._events.append(event)
         return dropped
 
     def first(self) -> bytes:
         """Return the event to send next; empty if there is none."""
-        return self._events[0] if self._events and self.holding.cause is None else b""
+        return self._events[0] if self._events and self.account.cause is None else b""
 
     def pop_first(self, now: float) -> None:
         """Remove the first event, which the client has received."""
         if self._events:
             size = len(self._events.popleft()) + EVENT_OVERHEAD
-            self._budget.give(self.holding, size, now)
+            self._budget.give(self.account, size, now)
 
     def end(self, error: PostvalveError | None) -> None:
         """Mark the end of the stream; buffered events are still sent."""
@@ -209,4 +209,4 @@
     def close(self) -> None:
         """Drop all events and release their bytes."""
         self._events.clear()
-        self._budget.release(self.holding)
+        self._budget.release(self.account)
--- a/postvalve/gateway/fleet/directory_reader.py
+++ b/postvalve/gateway/fleet/directory_reader.py
@@ -108,7 +108,7 @@
     def _record_fresh(self, fresh_at: float) -> None:
         now = self._clock.monotonic()
         was_unavailable = self._shared.unavailable
-        self._shared.note(fresh_at, now)
+        self._shared.record(fresh_at, now)
         if was_unavailable and not self._shared.unavailable:
             self._events.emit(Event.STORE_WAS_AWAY, back=round(now - self._shared.returned_at, 3))
 
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -113,7 +113,7 @@
         """Return the latency estimates of a service's engines."""
         return self.paces.service(service)
 
-    def _rooms_of(self, service: str) -> ServiceCapacity:
+    def _capacity_of(self, service: str) -> ServiceCapacity:
         """Return the capacity model of a service's engines for the present moment."""
         if not self.paces.reports_pace(service):
             return UNIFORM_CAPACITY
@@ -125,7 +125,7 @@
     def occupancies(self, service: str) -> list[EngineOccupancy]:
         """Return the load of each healthy engine of a service; of all if none is healthy."""
         entries = self._healthy(self.engines(service))
-        capacity_model = self._rooms_of(service)
+        capacity_model = self._capacity_of(service)
         return [capacity_model.occupancy(entry, self.use.total(entry.life)) for entry in entries]
 
     def has_room(self, service: str) -> bool:
@@ -134,7 +134,7 @@
         Agrees with `occupancies`, but stops at the first such engine.
         """
         entries = self.engines(service)
-        capacity_model = self._rooms_of(service)
+        capacity_model = self._capacity_of(service)
         any_healthy = False
         for one in entries:
             if self._health.is_suspect(one.life):
@@ -154,7 +154,7 @@
         Negative if more online requests run or wait there than the engine has capacity for.
         """
         pace, count = self.pace(entry.service), self.use.total(entry.life)
-        occupancy = self._rooms_of(entry.service).occupancy(entry, count)
+        occupancy = self._capacity_of(entry.service).occupancy(entry, count)
         return occupancy.capacity(pace) - occupancy.online
 
     def place_online(
@@ -173,7 +173,7 @@
         """
         memory = terms.shared_tokens + terms.own_tokens + terms.output_tokens
         memory_tokens = self._memory_of(service)
-        pace, capacity_model = self.pace(service), self._rooms_of(service)
+        pace, capacity_model = self.pace(service), self._capacity_of(service)
         candidates = [
             self._candidate(entry, memory, memory_tokens, capacity_model, terms.own_tokens)
             for entry in self._eligible_engines(service, terms, set(excluded))
@@ -254,9 +254,9 @@
         )
         return _Candidate(entry, option, occupancy)
 
-    def batch_room(self, service: str, *, pressing: bool) -> int:
+    def batch_capacity(self, service: str, *, pressing: bool) -> int:
         """Return the number of batch items that may start now on a service's engines."""
-        entries, capacity_model = self._batch_engines(service, pressing), self._rooms_of(service)
+        entries, capacity_model = self._batch_engines(service, pressing), self._capacity_of(service)
         return sum(
             max(0, self._batch_room_at(entry, pressing, capacity_model)) for entry in entries
         )
@@ -287,7 +287,7 @@
         if not pressing and self._is_cold(entry.life):
             return 0
         slots = capacity_model.capacity(entry, count)
-        return self.use.batch_room(entry.life, slots, pressing=pressing)
+        return self.use.batch_capacity(entry.life, slots, pressing=pressing)
 
     def place_batch(
         self,
@@ -317,7 +317,7 @@
         """
         skipped = set(excluded)
         memory_tokens = self._memory_of(service)
-        capacity_model = self._rooms_of(service)
+        capacity_model = self._capacity_of(service)
         slot_time_factor = self._slot_time_factors(capacity_model)
         ranked = [
             (
--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -61,7 +61,7 @@
         self._events = events
         self._services: dict[str, ServiceLatency] = {}
         self.learnt = PaceEstimator()
-        self._signals: dict[str, PaceReadings] = {}
+        self._readings_by_service: dict[str, PaceReadings] = {}
         self._counts = CountCorrection()
         self._near = PacePartWriter()
         """Reports to nodes of this zone."""
@@ -87,7 +87,7 @@
         lives = {engine_hash(life) for life in services}
         self._counts.retain(lives)
         self._bad_loads &= lives
-        for pace_readings in self._signals.values():
+        for pace_readings in self._readings_by_service.values():
             pace_readings.retain(lives)
 
     def reports_pace(self, service: str) -> bool:
@@ -96,14 +96,14 @@
         Attempts of one burst are slow together, so equal engines often seem to differ. Without
         reports from the engines, acting on such differences costs more than it gains.
         """
-        pace_readings = self._signals.get(service)
+        pace_readings = self._readings_by_service.get(service)
         return pace_readings is not None and pace_readings.has_readings
 
     def factors(self, service: str, life: EngineLife, now: float) -> PaceFactors:
         """Return how much longer than the service's average an engine takes at present."""
         key = engine_hash(life)
         factors = self.learnt.factors(key)
-        pace_readings = self._signals.get(service)
+        pace_readings = self._readings_by_service.get(service)
         reported = pace_readings.factor(key, now) if pace_readings is not None else 1.0
         return factors if reported == 1.0 else factors.scaled(reported)
 
@@ -111,7 +111,7 @@
         """Return what is known of an engine's pace, for status and logs."""
         key = engine_hash(life)
         samples = self.learnt.all_samples(key, now)
-        pace_readings = self._signals.get(service)
+        pace_readings = self._readings_by_service.get(service)
         reading = pace_readings.readings().get(key) if pace_readings is not None else None
         if pace_readings is None or reading is None:
             return PaceSummary(
@@ -143,7 +143,9 @@
         if not self.learnt.knows(key):
             return
         service = placement.engine.service
-        self._signals.setdefault(service, PaceReadings()).record(key, load.pace, load.at)
+        self._readings_by_service.setdefault(service, PaceReadings()).record(
+            key, load.pace, load.at
+        )
         self._counts.record(key, load.requests, self.count_requests(life), load.at)
 
     def record_bad_load(self, life: EngineLife, reported: str) -> None:
@@ -244,7 +246,7 @@
         """
         return (
             (life, one)
-            for pace_readings in self._signals.values()
+            for pace_readings in self._readings_by_service.values()
             for life, one in pace_readings.readings().items()
             if is_source(one.peer)
         )
@@ -262,7 +264,9 @@
             self.learnt.receive_samples(peer, life, samples)
         for life, value, at in reported.readings:
             if service := self.learnt.service_of(life):
-                self._signals.setdefault(service, PaceReadings()).record(life, value, at, peer)
+                self._readings_by_service.setdefault(service, PaceReadings()).record(
+                    life, value, at, peer
+                )
 
     def forget(self, peer: str) -> None:
         """Drop the samples received from a peer, which its zone's digests contain from now on."""
--- a/postvalve/gateway/fleet/engine_watch.py
+++ b/postvalve/gateway/fleet/engine_watch.py
@@ -22,7 +22,7 @@
 from postvalve.messages.framing import encode_frame
 from postvalve.messages.generated import gateway
 
-TELL_DELAY = 0.005
+REPORT_DELAY = 0.005
 """Seconds by which the report to a watcher is delayed, as items of a job start together."""
 WATCHER_REFRESH_INTERVAL = 0.5
 """Seconds after which the watchers of engines are determined again."""
@@ -66,7 +66,7 @@
         if watcher is None:
             return
         if not self._pending_watchers:
-            gevent.spawn_later(TELL_DELAY, self._tell)
+            gevent.spawn_later(REPORT_DELAY, self._report_to_watchers)
         self._pending_watchers.add(watcher)
 
     def _watcher_of(self, life: EngineLife) -> str | None:
@@ -88,7 +88,7 @@
         own = self._identity.node_id
         self._watched = [life for life in near if self._watchers.of[life] == own]
 
-    def _tell(self) -> None:
+    def _report_to_watchers(self) -> None:
         watchers, self._pending_watchers = self._pending_watchers, set()
         if self._identity.node_id in watchers:
             watchers.discard(self._identity.node_id)
--- a/postvalve/gateway/fleet/quarantine_gossip.py
+++ b/postvalve/gateway/fleet/quarantine_gossip.py
@@ -104,7 +104,7 @@
             now = self._clock.monotonic()
             if now - self._round_at >= ROUND_INTERVAL:
                 self._round_at = now
-                self._tell(self._quarantine.digests(), ROUND_PEERS, ROUND_DATAGRAMS)
+                self._send_records(self._quarantine.digests(), ROUND_PEERS, ROUND_DATAGRAMS)
                 self._expire(now)
                 for digest in self._quarantine.digests():
                     self._save(digest)
@@ -115,11 +115,11 @@
 
     def _send_changes(self) -> None:
         changes, self._changes = self._changes, set()
-        self._tell(changes, GOSSIP_FANOUT, CHANGE_DATAGRAMS)
+        self._send_records(changes, GOSSIP_FANOUT, CHANGE_DATAGRAMS)
         for digest in changes:
             self._save(digest)
 
-    def _tell(self, digests: Iterable[bytes], peers: int, datagrams: int) -> None:
+    def _send_records(self, digests: Iterable[bytes], peers: int, datagrams: int) -> None:
         addresses = self._random_peers(peers)
         if not addresses:
             return
@@ -287,7 +287,7 @@
     def _is_saver(self, digest: bytes) -> bool:
         """Whether this node is the one that saves a request in the store."""
         node_id = self._services.identity.node_id
-        return self._services.peers.successor(digest.hex(), self_works=True) == node_id
+        return self._services.peers.successor(digest.hex(), include_self=True) == node_id
 
     def _remove_once(self, digest: bytes) -> None:
         """Remove an expired request from the store, unless this node has done so already."""
--- a/postvalve/gateway/gateway.py
+++ b/postvalve/gateway/gateway.py
@@ -506,7 +506,7 @@
             expired = [
                 job
                 for job in self._log.board.expired(now_ms, status_ms)
-                if self.peers.successor(job.job_id, self_works=True) == self._settings.node_id
+                if self.peers.successor(job.job_id, include_self=True) == self._settings.node_id
             ]
             if not expired or self._draining:
                 continue
@@ -520,7 +520,7 @@
         """Delete saved progress of items whose jobs have ended."""
         while True:
             gevent.sleep(SWEEP_INTERVAL)
-            sweeper = self.peers.successor(PROGRESS_TOPIC, self_works=True)
+            sweeper = self.peers.successor(PROGRESS_TOPIC, include_self=True)
             if sweeper != self._settings.node_id or self._draining or not self._log.is_fresh(5.0):
                 continue
             open_jobs = {job.job_id for job in self._log.board.open_jobs()}
--- a/postvalve/gateway/jobs/item_preemption.py
+++ b/postvalve/gateway/jobs/item_preemption.py
@@ -10,10 +10,10 @@
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.membership.report_schedule import GATHER_SHARE, IDLE_INTERVAL
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
-from postvalve.gateway.fleet.engine_watch import TELL_DELAY
+from postvalve.gateway.fleet.engine_watch import REPORT_DELAY
 from postvalve.gateway.jobs.running_item import RunningItem
 
-DUPLICATE_NOTICE_WINDOW = TELL_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
+DUPLICATE_NOTICE_WINDOW = REPORT_DELAY + 2 * GATHER_SHARE * IDLE_INTERVAL
 """Seconds within which a peer's notice refers to an excess that this node has already handled: the
 request that caused it is reported out of turn, and datagrams are batched twice on the way. A later
 notice is about another online request, which would keep waiting if this node ignored it."""
--- a/postvalve/gateway/jobs/item_runner.py
+++ b/postvalve/gateway/jobs/item_runner.py
@@ -198,7 +198,7 @@
     def _start_group(self, items: list[_Ranked], service: str, *, pressing: bool) -> None:
         """Start the most urgent of these items, as far as other nodes' items leave slots."""
         due = [urgency for urgency, _ in items]
-        free_slots = self._fleet.batch_room(service, pressing=pressing)
+        free_slots = self._fleet.batch_capacity(service, pressing=pressing)
         # Items that are not pressing stay in their zone, and rank among the items of that zone.
         others = self._peers.waiting(None if pressing else self._identity.zone)
         count = count_startable(due, others, free_slots)
--- a/postvalve/gateway/jobs/job_claims.py
+++ b/postvalve/gateway/jobs/job_claims.py
@@ -68,7 +68,7 @@
             return False
         if self._peers.can_run_jobs(job.node_id, job.incarnation):
             return False
-        return self._peers.successor(job.job_id, self_works=True) == identity.node_id
+        return self._peers.successor(job.job_id, include_self=True) == identity.node_id
 
     def _membership_known(self) -> bool:
         age = self._clock.monotonic() - self._started_at
--- a/postvalve/gateway/knowledge/relayed_topics.py
+++ b/postvalve/gateway/knowledge/relayed_topics.py
@@ -174,7 +174,7 @@
             self._probing = False
 
     def _record(self, answered: bool, error: str = "") -> None:
-        if not self._reachability.note(answered):
+        if not self._reachability.record(answered):
             return
         event = Event.STORE_REACHED if answered else Event.STORE_OUT_OF_REACH
         self._events.emit(event, error=error, relay=self._relay() or "")
@@ -191,9 +191,9 @@
             reply = self._transport.call(address, Channel.BATCH, call, wait + timeout)
         except PeerUnavailableError as exc:
             self._avoided.add(address, self._clock.monotonic())
-            self._relay_timeout.note(False)
+            self._relay_timeout.record(False)
             raise StoreUnavailableError(f"relay {address}: {exc.message}", exc.verdict) from exc
-        self._relay_timeout.note(True)
+        self._relay_timeout.record(True)
         if not isinstance(reply, gateway.StoreReply):
             # An acknowledgement: the peer's build does not know the call and has not made it.
             reason = f"relay {address}: {type(reply).__name__}"
--- a/postvalve/gateway/serving/admission_queue.py
+++ b/postvalve/gateway/serving/admission_queue.py
@@ -21,7 +21,7 @@
     OverloadEpisodes,
     PendingRequest,
     decide,
-    finds_room,
+    finds_capacity,
 )
 from postvalve.core.randomness import RandomSource
 from postvalve.core.routing.latency_estimate import EngineOccupancy, least_loaded
@@ -251,7 +251,7 @@
         now = self._clock.monotonic()
         pace = self._fleet.pace(entry.service)
         episode = self._episode(entry.service)
-        if not finds_room(entry.pending, occupancies, pace, now):
+        if not finds_capacity(entry.pending, occupancies, pace, now):
             episode.record_full(now)
         return decide(entry.pending, occupancies, pace, now, persistent=episode.persistent(now))
 
--- a/postvalve/gateway/serving/read_ahead.py
+++ b/postvalve/gateway/serving/read_ahead.py
@@ -40,7 +40,7 @@
 class _SlowClient:
     """A client for which data is or was held."""
 
-    holding: BufferAccount
+    account: BufferAccount
     request_id: str
     since: float
     """Monotonic seconds at which the client began to lag."""
@@ -62,34 +62,34 @@
 
         If the budget gives the client up, `on_cut` is called.
         """
-        holding, now = BufferAccount(tenant), self.clock.monotonic()
-        self._clients[holding] = _SlowClient(holding, request_id, now, on_cut)
-        return holding
+        account, now = BufferAccount(tenant), self.clock.monotonic()
+        self._clients[account] = _SlowClient(account, request_id, now, on_cut)
+        return account
 
-    def unregister(self, holding: BufferAccount) -> None:
+    def unregister(self, account: BufferAccount) -> None:
         """Release the memory held for a client."""
-        self.budget.release(holding)
-        self._clients.pop(holding, None)
+        self.budget.release(account)
+        self._clients.pop(account, None)
 
-    def hold(self, holding: BufferAccount, size: int) -> None:
+    def hold(self, account: BufferAccount, size: int) -> None:
         """Hold `size` more bytes for a client.
 
         If that exceeds the budget, clients are disconnected: this one or others.
         """
-        self.disconnect(self.budget.take(holding, size, self.clock.monotonic()))
+        self.disconnect(self.budget.take(account, size, self.clock.monotonic()))
 
-    def disconnect(self, holdings: list[BufferAccount]) -> None:
+    def disconnect(self, accounts: list[BufferAccount]) -> None:
         """Disconnect the clients that the budget has given up."""
-        for holding in holdings:
-            one = self._clients.pop(holding, None)
-            if one is None or holding.cause is None:
+        for account in accounts:
+            one = self._clients.pop(account, None)
+            if one is None or account.cause is None:
                 continue
-            self.metrics.slow_clients.labels(holding.cause.value).inc()
+            self.metrics.slow_clients.labels(account.cause.value).inc()
             self.events.emit(
                 Event.SLOW_CLIENT_CUT,
                 request=one.request_id,
-                tenant=holding.tenant,
-                cause=holding.cause.value,
+                tenant=account.tenant,
+                cause=account.cause.value,
                 age=round(self.clock.monotonic() - one.since, 3),
                 held=self.budget.held,
                 limit=self.budget.limit,
@@ -99,12 +99,12 @@
     def rows(self) -> list[dict[str, Any]]:
         """Return the clients for which data is held, most bytes first, for the status document."""
         now = self.clock.monotonic()
-        slow = sorted(self._clients.values(), key=lambda one: -one.holding.size)
+        slow = sorted(self._clients.values(), key=lambda one: -one.account.size)
         return [
             {
                 "request": one.request_id,
-                "tenant": one.holding.tenant,
-                "bytes": one.holding.size,
+                "tenant": one.account.tenant,
+                "bytes": one.account.size,
                 "age": round(now - one.since, 2),
             }
             for one in slow
@@ -182,10 +182,10 @@
         self._buffer = EventBuffer(slow.budget, self._holding)
         self._reader = gevent.spawn(self._read_rest, self._buffer)
 
-    def _hold_when_lagging(self, holding: BufferAccount, size: int) -> None:
+    def _hold_when_lagging(self, account: BufferAccount, size: int) -> None:
         """Count a complete body as held memory once the client has lagged for some time."""
         await_lag(self._connection, select.POLLOUT)
-        self._slow_clients.hold(holding, size)
+        self._slow_clients.hold(account, size)
 
     def _read_rest(self, buffer: EventBuffer) -> None:
         # Unless the source is read to its end, the client must see the response as truncated.
@@ -194,7 +194,7 @@
             for event in self._source:
                 self._await_space(buffer, len(event))
                 self._slow_clients.disconnect(buffer.put(event, self._clock.monotonic()))
-                if buffer.holding.cause is not None:
+                if buffer.account.cause is not None:
                     return
                 self._buffer_changed.set()
             error = None
@@ -211,13 +211,13 @@
         while (max_wait := buffer.max_wait(size, self._clock.monotonic())) > 0:
             self._space_freed.clear()
             self._space_freed.wait(max_wait)
-        if buffer.holding.cause is CutCause.STORE_FULL:
-            self._slow_clients.disconnect([buffer.holding])
+        if buffer.account.cause is CutCause.STORE_FULL:
+            self._slow_clients.disconnect([buffer.account])
 
     def _buffered_events(self, buffer: EventBuffer) -> Iterator[bytes]:
         while True:
-            if buffer.holding.cause is not None:
-                raise ReaderCutError(f"the client is too slow: {buffer.holding.cause.value}")
+            if buffer.account.cause is not None:
+                raise ReaderCutError(f"the client is too slow: {buffer.account.cause.value}")
             event = buffer.first()
             if event:
                 yield event
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -164,7 +164,7 @@
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
         waiting = self._paused.get(engine.machine.machine_id, [])
-        while waiting and engine.slots.batch_room(self._clock.monotonic()) > 0:
+        while waiting and engine.slots.batch_capacity(self._clock.monotonic()) > 0:
             self._launch(engine, waiting.pop(0))
 
     def _return_orphans(self) -> None:
@@ -176,7 +176,7 @@
 
     def _pull(self, engine: OwnedEngine) -> bool:
         """Start items of the first holder that has some; whether there were any."""
-        room = engine.slots.batch_room(self._clock.monotonic())
+        room = engine.slots.batch_capacity(self._clock.monotonic())
         if room < 1:
             return False
         engine_id = engine.machine.machine_id
--- a/tests/gateway_support.py
+++ b/tests/gateway_support.py
@@ -211,7 +211,7 @@
     def events(self, name, event):
         return [fields for one, fields in self.logs[name].written if one is event]
 
-    def crash_on_body(self, body, *, reborn=False):
+    def crash_on_body(self, body, *, same_id=False):
         """Make all engines, and their replacements, crash on requests with this body.
 
         Each is replaced a little later by an engine with a new id, or with the same one if `reborn`
@@ -219,12 +219,12 @@
         """
         for engine in self.engines:
             engine.fatal_bodies.add(body)
-            engine.on_end = self._restart_later if reborn else self._replace_engine
+            engine.on_end = self._restart_later if same_id else self._replace_engine
 
     def _restart_later(self, ended):
-        gevent.spawn_later(RESTART_DELAY, self._start_again, ended)
+        gevent.spawn_later(RESTART_DELAY, self._restart, ended)
 
-    def _start_again(self, ended):
+    def _restart(self, ended):
         engine = StandInEngine(ended.engine_id, ended.port, ended.born + 1)
         engine.fatal_bodies = ended.fatal_bodies
         engine.on_end = ended.on_end
--- a/tests/profile_nodes.py
+++ b/tests/profile_nodes.py
@@ -37,7 +37,7 @@
     ("reports taken in", "load_reports.py", "receive"),
     ("digests taken in", "zone_digests.py", "receive"),
     ("reports made", "load_reports.py", "run"),
-    ("words to watchers", "engine_watch.py", "_tell"),
+    ("words to watchers", "engine_watch.py", "_report_to_watchers"),
     ("log lines", "events.py", "emit"),
     ("waiting reads", "topic_follower.py", "run"),
     ("looks of items", "item_runner.py", "run"),
--- a/tests/test_engine_directory.py
+++ b/tests/test_engine_directory.py
@@ -24,7 +24,7 @@
         for half_second in range(int(until * 2)):
             self.shared.update(half_second / 2)
         self.directory.store_lost()
-        self.shared.note(until, until)
+        self.shared.record(until, until)
         self.directory.store_back(until)
 
     def read(self, *names, now=0.0):
@@ -51,7 +51,7 @@
         self.read("a", "b")
         self.directory.store_lost()
         for half_second in range(100):
-            self.shared.note(half_second / 2 - 1.0, half_second / 2)
+            self.shared.record(half_second / 2 - 1.0, half_second / 2)
         self.directory.store_back(50.0)
         self.assertEqual(self.read("b", now=50.1), [])
         self.assertEqual(self.entries(50.1), ["b"])
@@ -106,13 +106,13 @@
     def test_the_store_is_unavailable_when_no_node_learns_anything_new(self):
         shared = SharedFreshness(0.0)
         for now in (0.5, 1.0, 1.5):
-            shared.note(now - 0.4, now)
+            shared.record(now - 0.4, now)
         for now in (2.0, 2.5, 3.0):
-            shared.note(1.1, now)
+            shared.record(1.1, now)
             self.assertFalse(shared.unavailable)
-        shared.note(1.1, 1.1 + UNAVAILABLE_AFTER)
+        shared.record(1.1, 1.1 + UNAVAILABLE_AFTER)
         self.assertTrue(shared.unavailable)
-        shared.note(3.5, 3.6)
+        shared.record(3.5, 3.6)
         self.assertFalse(shared.unavailable)
         self.assertEqual(shared.returned_at, 3.5)
 
@@ -120,21 +120,21 @@
         shared = SharedFreshness(0.0)
         for tenth in range(100):
             now = tenth / 10
-            shared.note(0.0, now)
-            shared.note(now - 1.2, now)
+            shared.record(0.0, now)
+            shared.record(now - 1.2, now)
         self.assertFalse(shared.unavailable)
         self.assertEqual(shared.returned_at, float("-inf"))
 
     def test_a_suspended_node_assumes_no_outage(self):
         shared = SharedFreshness(0.0)
-        shared.note(0.0, 0.1)
+        shared.record(0.0, 0.1)
         shared.update(0.1 + STALL_THRESHOLD + 3.0)
         self.assertFalse(shared.unavailable)
 
     def test_it_never_goes_back(self):
         shared = SharedFreshness(0.0)
-        shared.note(1.0, 1.0)
-        shared.note(0.5, 1.1)
+        shared.record(1.0, 1.0)
+        shared.record(0.5, 1.1)
         shared.update(1.0 + UNAVAILABLE_AFTER - 0.7)
         shared.update(1.0 + UNAVAILABLE_AFTER - 0.1)
         self.assertFalse(shared.unavailable)
--- a/tests/test_engine_slots.py
+++ b/tests/test_engine_slots.py
@@ -46,10 +46,10 @@
         for number in range(10):
             slots.admit_batch(f"b{number}", 0, 0.0)
         self.assertEqual(len(slots.admit_online("o", "n", 1.0).preempted), 8)
-        self.assertEqual(slots.batch_room(1.0), 0)
+        self.assertEqual(slots.batch_capacity(1.0), 0)
         slots.release("o", 2.0)
-        self.assertEqual(slots.batch_room(2.0), 0)
-        self.assertGreater(slots.batch_room(2.0 + ONLINE_MEMORY), 0)
+        self.assertEqual(slots.batch_capacity(2.0), 0)
+        self.assertGreater(slots.batch_capacity(2.0 + ONLINE_MEMORY), 0)
 
     def test_the_queue_is_bounded(self):
         slots = EngineSlots(2, SlotPolicy(online_queue=3))
--- a/tests/test_engine_watch.py
+++ b/tests/test_engine_watch.py
@@ -51,7 +51,7 @@
         for node in self.nodes:
             node.reports._fleet.listed_engines = lambda: self.entries
             node.reports._fleet.excess = lambda engine_id: 0
-        self.play(2.0)
+        self.run_for(2.0)
 
     def watchers(self, node):
         return {one.life: node.reports.watch._watcher_of(one.life) for one in self.entries}
@@ -79,7 +79,7 @@
             node.reports.watch.on_preempt = lambda engine, urgency, name=node.name: requests.append(
                 (name, engine, urgency)
             )
-        self.play(1.0)
+        self.run_for(1.0)
         watcher.reports._fleet.excess = lambda engine_id: 1 if engine_id == "e0" else 0
         watcher.reports.watch.preempt_excess()
         watcher.reports.watch.preempt_excess()
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -90,13 +90,13 @@
 
     def test_batch_fills_slots_that_online_work_leaves_free(self):
         use = EngineUse()
-        self.assertEqual(use.batch_room("e", 12), 10)
+        self.assertEqual(use.batch_capacity("e", 12), 10)
         for _ in range(4):
             use.enter("e", batch=False)
-        self.assertEqual(use.batch_room("e", 12), 6)
+        self.assertEqual(use.batch_capacity("e", 12), 6)
         for _ in range(6):
             use.enter("e", batch=True)
-        self.assertEqual(use.batch_room("e", 12), 0)
+        self.assertEqual(use.batch_capacity("e", 12), 0)
 
     def test_batch_is_preempted_for_requests_queued_behind_it(self):
         use = EngineUse()
@@ -280,7 +280,7 @@
             placement = self.fleet.place_batch("s", 100, 100, (), pressing=pressing)
             return placement and placement.engine.life
 
-        self.assertEqual(self.fleet.batch_room("s", pressing=False), 6)
+        self.assertEqual(self.fleet.batch_capacity("s", pressing=False), 6)
         self.assertEqual([place(False) for _ in range(7)], ["n"] * 6 + [None])
         self.assertEqual([place(True) for _ in range(4)], ["n", "n", "n", "f"])
         self.fleet.record_failure("n", "dark")
@@ -316,7 +316,7 @@
         def rooms():
             # Listing the same entries again must not change anything.
             self.fleet.update(entries)
-            return [self.fleet.batch_room("s", pressing=one) for one in (False, True)]
+            return [self.fleet.batch_capacity("s", pressing=one) for one in (False, True)]
 
         self.assertEqual(rooms(), [6, 18])
         self.clock.monotonic.return_value = 4.9
@@ -409,7 +409,7 @@
         view.observe(report("a", leaving=True), 0.0)
         view.observe(report("b", log_silence_ms=9_000), 0.0)
         self.assertFalse(view.can_run_jobs("a", 1) or view.can_run_jobs("b", 1))
-        self.assertEqual(view.successor("job", self_works=True), "me")
+        self.assertEqual(view.successor("job", include_self=True), "me")
 
     def test_items_that_run_at_a_leaving_node_are_left_to_it(self):
         view = PeerView("me")
@@ -427,7 +427,7 @@
             view = PeerView(own)
             for name in names:
                 view.observe(report(name), 0.0)
-            chosen.add(view.successor("job", self_works=True))
+            chosen.add(view.successor("job", include_self=True))
         self.assertEqual(len(chosen), 1)
 
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -78,11 +78,11 @@
     def test_another_incarnation_of_the_node_does_not_work_on_them(self):
         report = LoadReport(node_id="n0", incarnation=5, sequence=1)
         nodes = ["n0", "n1"]
-        self.assertIn(PeerView("n1").successor("j", self_works=True), nodes)
+        self.assertIn(PeerView("n1").successor("j", include_self=True), nodes)
         claimed = self.should_claim("n1", reports=[report])
         peers = PeerView("n1")
         peers.observe(report, 0.0)
-        self.assertEqual(claimed, peers.successor("j", self_works=True) == "n1")
+        self.assertEqual(claimed, peers.successor("j", include_self=True) == "n1")
 
 
 class EndWriterTest(unittest.TestCase):
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -33,11 +33,11 @@
 from tests.stand_in_engine import Behaviour
 from tests.waiting import wait_until
 
-AIM = 0.3
+TARGET_LATENCY = 0.3
 DEADLINE = 5.0
 
 
-def learnt(first=0.08, held=0.8):
+def trained(first=0.08, held=0.8):
     pace = ServiceLatency()
     for _ in range(50):
         pace.observe_first_event(450, first)
@@ -50,7 +50,7 @@
 
 
 def request(arrived_at=0.0, may_retry=False, tokens=450):
-    return PendingRequest(arrived_at, AIM, arrived_at + DEADLINE, tokens, may_retry)
+    return PendingRequest(arrived_at, TARGET_LATENCY, arrived_at + DEADLINE, tokens, may_retry)
 
 
 class EstimatesTest(unittest.TestCase):
@@ -60,7 +60,7 @@
         pace.observe_first_event(100, 0.1)
         pace.observe_slot_time(1.0)
         self.assertFalse(pace.known)
-        self.assertTrue(learnt().known)
+        self.assertTrue(trained().known)
 
     def test_the_first_event_latency_grows_with_the_prompt(self):
         pace = ServiceLatency()
@@ -73,18 +73,18 @@
         self.assertAlmostEqual(pace.first_event(12_000), 0.25, places=2)
 
     def test_old_samples_are_forgotten(self):
-        pace = learnt(first=0.08)
+        pace = trained(first=0.08)
         for _ in range(200):
             pace.observe_first_event(450, 0.2)
         self.assertAlmostEqual(pace.first_event(450), 0.2, delta=0.01)
 
     def test_an_unresponsive_engine_barely_affects_the_estimate(self):
-        pace = learnt(first=0.08)
+        pace = trained(first=0.08)
         pace.observe_first_event(450, 60.0)
         self.assertLess(pace.first_event(450), 0.1)
 
     def test_the_queue_delay_follows_observed_delays(self):
-        pace = learnt(held=0.8)
+        pace = trained(held=0.8)
         self.assertAlmostEqual(pace.queue_delay_per_place(8), 0.1)
         for _ in range(100):
             pace.observe_queue(1, 8, 0.3)
@@ -107,13 +107,13 @@
 
 class WaitTest(unittest.TestCase):
     def test_free_slots_cost_nothing_and_queues_by_their_length(self):
-        pace = learnt()
+        pace = trained()
         self.assertEqual(queue_wait(room(7), pace), 0.0)
         self.assertAlmostEqual(queue_wait(room(8), pace), 0.1)
         self.assertAlmostEqual(queue_wait(room(11), pace), 0.4)
 
     def test_batch_items_are_preempted(self):
-        pace = learnt()
+        pace = trained()
         self.assertLessEqual(queue_wait(room(4, batch=4), pace), 0.15)
         self.assertLessEqual(queue_wait(room(7, batch=8), pace), 0.15)
 
@@ -128,7 +128,7 @@
 
 class DecisionTest(unittest.TestCase):
     def decide(self, rooms, now=0.0, pace=None, **terms):
-        return decide(request(**terms), rooms, pace or learnt(), now)
+        return decide(request(**terms), rooms, pace or trained(), now)
 
     def test_a_free_slot_is_taken(self):
         for now in (0.0, 0.9, 4.0):
@@ -151,25 +151,28 @@
         refused = [
             now for now, one in zip(times, rulings, strict=True) if one is AdmissionAction.REFUSE
         ]
-        self.assertAlmostEqual(min(refused), AIM * REFUSE_SHARE, delta=0.006)
-        self.assertLessEqual(max(refused), AIM / 4)
+        self.assertAlmostEqual(min(refused), TARGET_LATENCY * REFUSE_SHARE, delta=0.006)
+        self.assertLessEqual(max(refused), TARGET_LATENCY / 4)
 
     def test_a_client_that_cannot_retry_is_never_refused(self):
         for now in (0.0, 0.03, 0.05, 0.5, 2.0):
             self.assertIsNot(self.decide([room(30)], now), AdmissionAction.REFUSE)
 
     def test_no_request_is_held_forever(self):
-        self.assertIs(self.decide([room(30)], AIM * HOLD_SHARE + 0.01), AdmissionAction.START)
+        self.assertIs(
+            self.decide([room(30)], TARGET_LATENCY * HOLD_SHARE + 0.01), AdmissionAction.START
+        )
         unknown = ServiceLatency()
         self.assertIs(
-            self.decide([room(30)], AIM * HOLD_SHARE + 0.01, pace=unknown), AdmissionAction.START
+            self.decide([room(30)], TARGET_LATENCY * HOLD_SHARE + 0.01, pace=unknown),
+            AdmissionAction.START,
         )
 
     def test_an_overload_that_lasts_is_served_first_come_first_served(self):
         for can_retry in (False, True):
             for now in (0.0, 0.04, 1.0):
                 terms = request(may_retry=can_retry)
-                ruling = decide(terms, [room(30)], learnt(), now, persistent=True)
+                ruling = decide(terms, [room(30)], trained(), now, persistent=True)
                 self.assertIs(ruling, AdmissionAction.START)
 
     def test_without_estimates_a_queue_of_one_is_allowed(self):
@@ -189,7 +192,7 @@
             self.assertTrue(can_retry)
 
     def test_nobody_is_refused_beside_a_free_slot_however_slow_the_engines_are(self):
-        slow = learnt(first=1.0)
+        slow = trained(first=1.0)
         for rooms in ([room(30), room(7)], [room(7, batch=9)]):
             for now in (0.0, 0.04, 0.05):
                 self.assertIs(self.decide(rooms, now, slow, may_retry=True), AdmissionAction.START)
@@ -204,7 +207,7 @@
 
 def in_time(arrivals, ruled):
     """Return how many requests are in time at one engine of 8 slots, each occupied for 0.8 s."""
-    pace = learnt()
+    pace = trained()
     free_at = [0.0] * 8
     waiting = list(arrivals)
     good = 0
@@ -219,7 +222,7 @@
             last = max(free_at)
             backlog = online if last <= now + 0.8 else 8 + round((last - now - 0.8) / 0.1)
             if ruled:
-                terms = PendingRequest(arrived_at, AIM, arrived_at + DEADLINE, 450, True)
+                terms = PendingRequest(arrived_at, TARGET_LATENCY, arrived_at + DEADLINE, 450, True)
                 ruling = decide(terms, [room(max(online, backlog))], pace, now)
                 if ruling is AdmissionAction.REFUSE:
                     queue.remove(arrived_at)  # the client retries after the burst
@@ -229,7 +232,7 @@
             slot = free_at.index(min(free_at))
             begins = max(now, free_at[slot])
             free_at[slot] = begins + 0.8
-            good += begins + 0.08 <= arrived_at + AIM
+            good += begins + 0.08 <= arrived_at + TARGET_LATENCY
     return good
 
 
--- a/tests/test_item_bursts.py
+++ b/tests/test_item_bursts.py
@@ -120,7 +120,7 @@
         self.view_at = self.now
         self.free_slots = {
             pressing: {
-                life: self.use.batch_room(life, SLOTS, pressing=pressing) for life in self.lives
+                life: self.use.batch_capacity(life, SLOTS, pressing=pressing) for life in self.lives
             }
             for pressing in (True, False)
         }
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -71,8 +71,8 @@
 
     def test_items_that_are_not_pressing_leave_more_headroom(self):
         use = EngineUse()
-        self.assertEqual(use.batch_room("e", 8, pressing=True), 7)
-        self.assertEqual(use.batch_room("e", 8, pressing=False), 5)
+        self.assertEqual(use.batch_capacity("e", 8, pressing=True), 7)
+        self.assertEqual(use.batch_capacity("e", 8, pressing=False), 5)
 
 
 class VictimSelectorTest(unittest.TestCase):
--- a/tests/test_item_runner.py
+++ b/tests/test_item_runner.py
@@ -21,7 +21,7 @@
         parts["route_named"].return_value = None
         parts["log"].board.jobs = {"j": mock.Mock(**{"accepted.service": "s"})}
         parts["fleet"].relaxed_slots.return_value = 8
-        parts["fleet"].batch_room.return_value = 0
+        parts["fleet"].batch_capacity.return_value = 0
         self.runner = ItemRunner(**parts)
         self.runner._own.by_job["j"] = {
             index: RunningItem("j", index, "c", 200_000 - index) for index in range(ITEMS)
--- a/tests/test_latency_estimate.py
+++ b/tests/test_latency_estimate.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from postvalve.core.admission.engine_use import engine_hash
-from postvalve.core.admission.online_admission import PendingRequest, finds_room
+from postvalve.core.admission.online_admission import PendingRequest, finds_capacity
 from postvalve.core.admission.service_latency import ServiceLatency
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.core.routing.engine_choice import (
@@ -101,7 +101,7 @@
         engines = [EngineOccupancy(*load, pause_aim=0.001) for load in drawn]
         req = PendingRequest(0.0, 0.3, 5.0, tokens, True)
         self.assertEqual(
-            finds_room(req, engines, pace, now), former_finds_room(req, engines, pace, now)
+            finds_capacity(req, engines, pace, now), former_finds_room(req, engines, pace, now)
         )
         for engine in engines:
             self.assertEqual(queue_wait(engine, pace), former_queue_wait(engine, pace))
@@ -171,7 +171,7 @@
             for online in range(SLOTS, SLOTS + 5):
                 engine = EngineOccupancy(SLOTS, online, 0, 0, factors)
                 in_time = expected_first_event(engine, 100, pace) + pace.margin <= 0.3
-                self.assertEqual(finds_room(req, [engine], pace, 0.0), in_time)
+                self.assertEqual(finds_capacity(req, [engine], pace, 0.0), in_time)
 
 
 class FleetTest(unittest.TestCase):
@@ -191,7 +191,7 @@
 
     def report_usual_pace(self):
         """All engines report their usual pace."""
-        signal = self.fleet.paces._signals[SERVICE] = PaceReadings()
+        signal = self.fleet.paces._readings_by_service[SERVICE] = PaceReadings()
         for life in self.lives:
             signal.record(engine_hash(life), 1.0, 100.0)
 
@@ -237,7 +237,7 @@
         self.assertLessEqual(line._free_slots(SERVICE), len(self.lives) * MAX_ENGINE_QUEUE)
 
     def test_late_reports_of_a_removed_engine_are_ignored(self):
-        self.fleet.paces._signals.clear()
+        self.fleet.paces._readings_by_service.clear()
         placement = self.place()
         others = [life for life in self.lives if life != placement.engine.life]
         self.fleet.update(
@@ -257,7 +257,7 @@
 
     def test_engines_without_reported_pace_are_not_sent_to_peers(self):
         """This holds even if the samples of their attempts differ."""
-        self.fleet.paces._signals.clear()
+        self.fleet.paces._readings_by_service.clear()
         for factor in (1.0, 1.0, 2.5):
             self.clock.monotonic.return_value += 1.0
             self.assertEqual(self.fleet.paces.pack_report(20), b"")
@@ -265,11 +265,11 @@
                 self.observe_factor(life, factor)
         self.assertEqual(self.fleet.paces.pack_report(20), b"")
         self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
-        self.assertIs(self.fleet._rooms_of(SERVICE), UNIFORM_CAPACITY)
+        self.assertIs(self.fleet._capacity_of(SERVICE), UNIFORM_CAPACITY)
         self.assertEqual(self.log.written[len(self.lives) :], [])
 
     def test_malformed_peer_message_is_ignored(self):
-        self.fleet.paces._signals.clear()
+        self.fleet.paces._readings_by_service.clear()
         self.fleet.paces.receive("n1", b"\x09cut")
         self.assertIn("PEER_MESSAGE_INVALID", [event.name for event, _ in self.log.written])
         self.assertFalse(self.fleet.paces.reports_pace(SERVICE))
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -17,7 +17,7 @@
     OverloadEpisodes,
     PendingRequest,
     decide,
-    finds_room,
+    finds_capacity,
 )
 from postvalve.core.routing.engine_pace import PaceFactors
 from postvalve.core.scheduling.fair_share import ShareClock, TagAssigner, Work
@@ -42,7 +42,7 @@
 from postvalve.gateway.serving.peer_queue_heads import MAX_REPORT_AGE
 from tests.gateway_support import RecordingEventLog
 from tests.test_fair_share import bursts, skewed
-from tests.test_holding import AIM, DEADLINE, learnt, request, room
+from tests.test_holding import DEADLINE, TARGET_LATENCY, request, room, trained
 from tests.test_latency_estimate import make_latency
 
 ENGINES, SLOTS, SLOT_TIME = 5, 8, 0.8
@@ -55,11 +55,11 @@
 
 class RuleTest(unittest.TestCase):
     def decide(self, occupancies, ahead=0, now=0.0, **terms):
-        return decide_in_order(request(**terms), occupancies, learnt(), now, ahead)
+        return decide_in_order(request(**terms), occupancies, trained(), now, ahead)
 
     def test_requests_start_while_there_is_capacity(self):
         occupancies = [room(8 + MAX_ENGINE_QUEUE), room(6)]
-        places = free_capacity(occupancies, learnt())
+        places = free_capacity(occupancies, trained())
         self.assertIs(self.decide(occupancies, ahead=places - 1), AdmissionAction.START)
         self.assertIs(self.decide(occupancies, ahead=places), AdmissionAction.HOLD)
 
@@ -85,7 +85,7 @@
     def test_hold_limit_equals_that_without_shares(self):
         for now in [number / 100 for number in range(100)]:
             action = self.decide([room(30)], 500, now)
-            self.assertIs(action is AdmissionAction.START, now >= AIM * HOLD_SHARE, now)
+            self.assertIs(action is AdmissionAction.START, now >= TARGET_LATENCY * HOLD_SHARE, now)
 
     def test_retry_after_is_not_negative(self):
         for left in (-2.0, 0.0, 0.1):
@@ -115,7 +115,7 @@
         self.by_arrival, self.retries = by_arrival, retries
         self.clock = ShareClock()
         self.assigner = TagAssigner(self.clock)
-        self.pace = learnt(FIRST_EVENT_TIME, SLOT_TIME)
+        self.pace = trained(FIRST_EVENT_TIME, SLOT_TIME)
         self.episode = OverloadEpisodes()
         self.ends, self.waiting, self.refused_requests = [], [], []
         self.refused = self.wrongly_refused = 0
@@ -150,8 +150,8 @@
 
     def _decide(self, entry, occupancies, now, held):
         _, at, _, first = entry
-        terms = PendingRequest(at, AIM, first + DEADLINE, 450, at == first)
-        if not finds_room(terms, occupancies, self.pace, now):
+        terms = PendingRequest(at, TARGET_LATENCY, first + DEADLINE, 450, at == first)
+        if not finds_capacity(terms, occupancies, self.pace, now):
             self.episode.record_full(now)
         if self.by_arrival:
             persistent = self.episode.persistent(now)
@@ -178,16 +178,16 @@
         case.
         """
         tag, at, tenant, _ = entry
-        in_turn = now - at < AIM * HOLD_SHARE
+        in_turn = now - at < TARGET_LATENCY * HOLD_SHARE
         self.clock.record_served(tag, min((other[0] for other in self.waiting), default=None))
         queued = max(0, len(self.ends) - ENGINES * SLOTS + 1)
         begins = now if not queued else sorted(self.ends)[queued - 1]
         self.ends.append(begins + SLOT_TIME)
-        self.in_time[tenant] += begins + FIRST_EVENT_TIME <= at + AIM
+        self.in_time[tenant] += begins + FIRST_EVENT_TIME <= at + TARGET_LATENCY
         self.refused_requests = [
             refused_request
             for refused_request in self.refused_requests
-            if begins + FIRST_EVENT_TIME <= refused_request[1] + AIM
+            if begins + FIRST_EVENT_TIME <= refused_request[1] + TARGET_LATENCY
         ]
         before = [
             refused_request for refused_request in self.refused_requests if refused_request < entry
@@ -278,7 +278,7 @@
             has_room=lambda service: self.online < 8,
             pace=lambda service: self.pace,
         )
-        self.pace = learnt()
+        self.pace = trained()
         self.room = AdmissionQueue(
             self.clock, RecordingEventLog(), self.fleet, random.Random(1), mock.Mock()
         )
@@ -287,7 +287,7 @@
 
     def send(self, name, tag=None, rank=(0, 0), allowed=None, age=0.0):
         terms = RequestTerms(name, allowed, None, "", 0, 450, 0)
-        route = mock.Mock(target_latency=AIM)
+        route = mock.Mock(target_latency=TARGET_LATENCY)
         route.name = "r"
         at = self.now - age
 
@@ -345,7 +345,7 @@
             self.evaluate()
             if "least" in self.started:
                 break
-        self.assertLessEqual(self.now, AIM * HOLD_SHARE + 0.011)
+        self.assertLessEqual(self.now, TARGET_LATENCY * HOLD_SHARE + 0.011)
 
     def test_new_request_does_not_pass_waiting_ones(self):
         self.send("waits", 3.0)
@@ -421,7 +421,7 @@
         """Return which requests `(rank, arrived at, can retry)` start and which are refused."""
         started, refused = [], []
         for name, (_, at, can_retry) in sorted(held.items(), key=lambda item: item[1][:2]):
-            terms = PendingRequest(at, AIM, at + DEADLINE, 450, can_retry)
+            terms = PendingRequest(at, TARGET_LATENCY, at + DEADLINE, 450, can_retry)
             action = decide(terms, occupancies, self.pace, self.now)
             free = sum(max(0, engine.slots - engine.online) for engine in occupancies)
             if action is AdmissionAction.START and not (
@@ -460,8 +460,8 @@
 
 class HeldTest(unittest.TestCase):
     def test_hold_limit(self):
-        self.assertFalse(hold_expired(request(), AIM * HOLD_SHARE - 0.001))
-        self.assertTrue(hold_expired(request(), AIM * HOLD_SHARE))
+        self.assertFalse(hold_expired(request(), TARGET_LATENCY * HOLD_SHARE - 0.001))
+        self.assertTrue(hold_expired(request(), TARGET_LATENCY * HOLD_SHARE))
 
 
 if __name__ == "__main__":
--- a/tests/test_node_directory.py
+++ b/tests/test_node_directory.py
@@ -63,8 +63,8 @@
         self.fleet.topics.newest = newest
 
     def test_jobs_are_read_after_what_online_requests_need(self):
-        former, gateway_module.JOBS_PATIENCE = gateway_module.JOBS_PATIENCE, 60.0
-        self.addCleanup(setattr, gateway_module, "JOBS_PATIENCE", former)
+        former, gateway_module.JOBS_START_DELAY = gateway_module.JOBS_START_DELAY, 60.0
+        self.addCleanup(setattr, gateway_module, "JOBS_START_DELAY", former)
         node = self.fleet.start_node("n0")
         wait_until(lambda: NODE_TOPIC in self.read)
         self.assertNotIn(JOB_TOPIC, self.read)
@@ -72,8 +72,8 @@
         wait_until(lambda: node.ready and JOB_TOPIC in self.read)
 
     def test_the_wait_before_jobs_are_read_is_bounded(self):
-        former, gateway_module.JOBS_PATIENCE = gateway_module.JOBS_PATIENCE, 0.05
-        self.addCleanup(setattr, gateway_module, "JOBS_PATIENCE", former)
+        former, gateway_module.JOBS_START_DELAY = gateway_module.JOBS_START_DELAY, 0.05
+        self.addCleanup(setattr, gateway_module, "JOBS_START_DELAY", former)
         self.fleet.start_node("n0")
         wait_until(lambda: JOB_TOPIC in self.read)
 
--- a/tests/test_online_means.py
+++ b/tests/test_online_means.py
@@ -10,10 +10,10 @@
     def test_the_average_is_that_of_the_previous_window(self):
         means = OnlineAverages()
         for online in (2, 4, 6):
-            means.note(1, online)
+            means.record(1, online)
         self.assertEqual(means.average(1), 0.0)
         means.advance(WINDOW)
-        means.note(1, 8)
+        means.record(1, 8)
         self.assertEqual(means.average(1), 4.0)
         means.advance(2 * WINDOW)
         self.assertEqual(means.average(1), 8.0)
@@ -21,16 +21,16 @@
     def test_an_unchanged_count_persists(self):
         means = OnlineAverages()
         for online in (9, 3):
-            means.note(1, online)
+            means.record(1, online)
         means.advance(5 * WINDOW)
         self.assertEqual(means.average(1), 3.0)
 
     def test_engines_without_online_work_are_forgotten(self):
         means = OnlineAverages()
         for engine in range(100):
-            means.note(engine, 1)
-            means.note(engine, 0)
-        means.note(7, 1)
+            means.record(engine, 1)
+            means.record(engine, 0)
+        means.record(7, 1)
         means.advance(WINDOW * (KEPT_WINDOWS + 1))
         self.assertEqual(list(means._engines), [7])
 
@@ -47,13 +47,13 @@
         return use
 
     def test_a_slot_free_for_a_moment_is_not_available(self):
-        self.assertEqual(self.use(7, 5).batch_room("e", 8), 0)
-        self.assertEqual(self.use(3, 0).batch_room("e", 8), 4)
+        self.assertEqual(self.use(7, 5).batch_capacity("e", 8), 0)
+        self.assertEqual(self.use(3, 0).batch_capacity("e", 8), 4)
 
     def test_slots_are_available_again_after_the_burst(self):
         use = self.use(7, 0)
         use.online_averages.advance(4 * WINDOW)
-        self.assertEqual(use.batch_room("e", 8), 7)
+        self.assertEqual(use.batch_capacity("e", 8), 7)
 
     def test_load_that_peers_no_longer_report_is_removed(self):
         """Load that a peer no longer reports must be removed from the average. Reports name only
@@ -67,7 +67,7 @@
             use.online_averages.advance(WINDOW)
             drop(use)
             use.online_averages.advance(3 * WINDOW)
-            self.assertEqual(use.batch_room("e", 8), 7)
+            self.assertEqual(use.batch_capacity("e", 8), 7)
             use.online_averages.advance(WINDOW * (KEPT_WINDOWS + 3))
             self.assertEqual(len(use.online_averages._engines), 0)
 
@@ -86,7 +86,7 @@
             steady, fresh = self.use(3, 3), EngineUse()
             for _ in range(3):
                 fresh.enter("e", batch=False)
-            rooms = [one.batch_room("e", 8, pressing=pressing) for one in (steady, fresh)]
+            rooms = [one.batch_capacity("e", 8, pressing=pressing) for one in (steady, fresh)]
             self.assertEqual(rooms[0], rooms[1])
 
 
--- a/tests/test_pace_reports.py
+++ b/tests/test_pace_reports.py
@@ -31,7 +31,7 @@
                 side_effect=lambda _, data, received=received: self.receive_part(data, received)
             )
             node.reports.enable_pace_reports()
-        self.play(2.0)
+        self.run_for(2.0)
 
     def receive_part(self, data, received):
         if data:
@@ -57,7 +57,7 @@
         for _ in range(3):
             sender.reports.next_report()
         sender.reports.schedule_report()
-        self.play(RESEND_INTERVAL / 2)
+        self.run_for(RESEND_INTERVAL / 2)
         self.check_all_received(sender)
 
     def test_own_part_of_a_digest_does_not_consume_pace_parts(self):
@@ -66,7 +66,7 @@
         self.make_slow(sender)
         sender.reports.zones.own_report()
         sender.reports.schedule_report()
-        self.play(RESEND_INTERVAL / 2)
+        self.run_for(RESEND_INTERVAL / 2)
         self.check_all_received(sender)
 
     def test_other_zones_receive_pace_too(self):
@@ -75,6 +75,6 @@
         for _ in range(6):
             self.make_slow(sender)
             sender.reports.schedule_report()
-            self.play(0.5)
-        self.play(RESEND_INTERVAL / 2)
+            self.run_for(0.5)
+        self.run_for(RESEND_INTERVAL / 2)
         self.check_all_received(sender)
--- a/tests/test_quarantine_gossip.py
+++ b/tests/test_quarantine_gossip.py
@@ -58,7 +58,7 @@
     def count(self):
         return len(self._others)
 
-    def successor(self, key, *, self_works):
+    def successor(self, key, *, include_self):
         return None
 
 
--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -44,8 +44,8 @@
     """One stream, with the events that should come out of it."""
 
     def __init__(self, budget, number):
-        self.holding = BufferAccount(f"t{number % 2}")
-        self.store = EventBuffer(budget, self.holding)
+        self.account = BufferAccount(f"t{number % 2}")
+        self.store = EventBuffer(budget, self.account)
         self.given = []
         self.taken = []
 
@@ -55,7 +55,7 @@
         if self.store.ended or self.store.max_wait(size, now) > 0:
             return []
         given_up = self.store.put(event, now)
-        if self.holding.cause is None:
+        if self.account.cause is None:
             self.given.append(event)
         return given_up
 
@@ -76,10 +76,10 @@
             now += pause
             stream = streams[number]
             if action == "come":
-                before = [one.holding.size for one in streams]
+                before = [one.account.size for one in streams]
                 given_up = stream.come(size, now)
                 for one, held in zip(streams, before, strict=True):
-                    if one.holding in given_up and one is not stream:
+                    if one.account in given_up and one is not stream:
                         self.assertGreater(held, 0, "it kept up")
             elif action == "take":
                 stream.take(now)
@@ -92,32 +92,32 @@
         for stream in streams:
             while stream.store.first():
                 stream.take(now)
-            if stream.holding.cause is None:
+            if stream.account.cause is None:
                 self.assertEqual(stream.taken, stream.given)
         self.assertEqual(budget.held, 0)
-        self.assertEqual(budget.holdings(), [])
+        self.assertEqual(budget.accounts(), [])
 
     def _check(self, budget, streams):
         self.assertLessEqual(budget.held, ROOM)
-        self.assertEqual(budget.held, sum(one.holding.size for one in streams))
+        self.assertEqual(budget.held, sum(one.account.size for one in streams))
         for one in streams:
             self.assertEqual(one.taken, one.given[: len(one.taken)])
-            if one.holding.cause is None:
+            if one.account.cause is None:
                 kept = one.given[len(one.taken) :]
-                self.assertEqual(one.holding.size, sum(map(counted, kept)))
+                self.assertEqual(one.account.size, sum(map(counted, kept)))
             else:
-                self.assertEqual(one.holding.size, 0)
+                self.assertEqual(one.account.size, 0)
                 self.assertEqual(one.store.first(), b"")
 
     def test_buffer_that_stays_full_is_given_up(self):
         budget = MemoryBudget(LIMIT)
-        holding = BufferAccount("t")
-        store = EventBuffer(budget, holding)
+        account = BufferAccount("t")
+        store = EventBuffer(budget, account)
         store.put(b"x" * (budget.stream_limit - EVENT_OVERHEAD), 0.0)
         self.assertEqual(store.max_wait(10, 0.0), MAX_BACKPRESSURE)
         self.assertAlmostEqual(store.max_wait(10, 0.5), MAX_BACKPRESSURE - 0.5)
         self.assertEqual(store.max_wait(10, MAX_BACKPRESSURE), 0.0)
-        self.assertIs(holding.cause, CutCause.STORE_FULL)
+        self.assertIs(account.cause, CutCause.STORE_FULL)
         self.assertEqual(budget.held, 0)
 
     def test_waits_for_space_add_up(self):
@@ -159,9 +159,9 @@
         self.budget = MemoryBudget(LIMIT)
 
     def hold(self, tenant, size, now):
-        holding = BufferAccount(tenant)
-        self.assertEqual(self.budget.take(holding, size, now), [])
-        return holding
+        account = BufferAccount(tenant)
+        self.assertEqual(self.budget.take(account, size, now), [])
+        return account
 
     def test_largest_and_oldest_is_given_up_first(self):
         old_and_small, old = self.hold("a", 50, 0.0), self.hold("a", 150, 0.0)
--- a/tests/test_reborn_engines.py
+++ b/tests/test_reborn_engines.py
@@ -69,7 +69,7 @@
         return all(one == first for one in others)
 
     def test_a_repeated_request_crashes_few_engines(self):
-        self.fleet.crash_on_body(FATAL, reborn=True)
+        self.fleet.crash_on_body(FATAL, same_id=True)
         for number in range(16):
             self.send(f"n{number % self.nodes}", FATAL, number)
             wait_until(self.all_know_the_same)
@@ -92,7 +92,7 @@
         self.assertEqual(self.listed("n0")[("e0", 0)], "suspect")
         ended.end()
         ended.usual = Behaviour()
-        self.fleet._start_again(ended)
+        self.fleet._restart(ended)
         wait_until(lambda: self.listed("n0").get(("e0", 1)) == "ready")
         self.assertEqual(len(self.listed("n0")), 2)
         other.usual = Behaviour(refuse=True)
@@ -101,7 +101,7 @@
     def test_a_late_record_of_a_former_life_is_ignored(self):
         ended = self.fleet.engines[0]
         ended.end()
-        self.fleet._start_again(ended)
+        self.fleet._restart(ended)
         wait_until(lambda: ("e0", 1) in self.listed("n0"))
         self.fleet.list_engine(ended, state="draining")
         self.fleet.list_engine(self.fleet.engines[1], state="draining")
--- a/tests/test_requests_that_end_engines.py
+++ b/tests/test_requests_that_end_engines.py
@@ -257,7 +257,7 @@
         wait_until(lambda: node.ready)
         node._quarantine._entries.clear()
         for one in self.fleet.nodes.values():
-            one._quarantine_gossip._tell = lambda *arguments: None
+            one._quarantine_gossip._send_records = lambda *arguments: None
         stalled.suspended_seconds += 7.0
         wait_until(lambda: node.status_document()["quarantine"])
         self.assertIn(b"request_quarantined", self.send_fatal("n9", number).body)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -252,9 +252,9 @@
         self.answer_with(events=EVENTS, padding=PADDING, pause=0.01)
         connection = self.send("r1")
         wait_until(lambda: self.held() > 10 * PADDING)
-        holding = self.budget.holdings()[0]
+        account = self.budget.accounts()[0]
         self.budget.limit = self.held()
-        self.node.slow_clients.hold(holding, 1)
+        self.node.slow_clients.hold(account, 1)
         wait_until(lambda: self.placed() == 0, 1.0)
         wait_until(lambda: sum(engine.cut_by_peer for engine in self.fleet.engines) == 1)
         self.assertFalse(read_answer(connection).whole)
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -236,7 +236,7 @@
     def take_over(self, tenant):
         """Make the lender take over a tenant at this moment; returns it."""
         lender = self.fleet.nodes[self.choices(tenant)[0]]
-        lender._limits.limits._forget(lender._clock.monotonic())
+        lender._limits.limits._drop_all(lender._clock.monotonic())
         return lender._limits
 
     def test_tenant_far_below_its_limit_is_admitted(self):
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -152,7 +152,7 @@
         members = (member("a", leaving=True), member("b", store_silent=True), member("c"))
         self.view.observe_zone(digest(*members), 0.0)
         self.assertFalse(self.view.can_run_jobs("a", 1) or self.view.can_run_jobs("b", 1))
-        self.assertEqual(self.view.successor("job", self_works=False), "c")
+        self.assertEqual(self.view.successor("job", include_self=False), "c")
 
     def test_items_that_run_at_leaving_nodes_are_left_to_them(self):
         items = [RunningItem("j", 2)]
@@ -316,7 +316,7 @@
             for number in range(zones * nodes_each)
         ]
 
-    def play(self, seconds, nodes=None):
+    def run_for(self, seconds, nodes=None):
         for _ in range(int(seconds / 0.25)):
             self.clock.now += 0.25
             for node in nodes or self.nodes:
@@ -361,9 +361,9 @@
                     node.use.enter(engine, batch=False)
                     running.append((node, engine))
                     naive[engine] += 1
-            self.play(0.25)
+            self.run_for(0.25)
         self.network.loss = 0.0
-        self.play(4.0)
+        self.run_for(4.0)
         for node in self.nodes:
             self.assertEqual({engine: node.use.total(engine).total for engine in naive}, naive)
             self.assertEqual(node.peers.count(), len(self.nodes) - 1)
@@ -372,14 +372,14 @@
         self.start(2, 4)
         for node in self.nodes:
             node.use.enter("e0", batch=False)
-        self.play(2.0)
+        self.run_for(2.0)
         self.assertTrue(all(node.use.total("e0").total == 8 for node in self.nodes))
         for module in ("load_reports", "zone_digests"):
             patch = mock.patch(f"postvalve.gateway.fleet.{module}.uses_digests", return_value=True)
             patch.start()
             self.addCleanup(patch.stop)
         for _ in range(8):
-            self.play(0.25)
+            self.run_for(0.25)
             self.assertEqual({node.use.total("e0").total for node in self.nodes}, {8})
         self.assertTrue(all(node.peers.zones() for node in self.nodes))
 
@@ -388,7 +388,7 @@
         runner = self.nodes[0]
         running = encode_running([(7, 40), (9, 50)])
         runner.reports.items_running = lambda: running
-        self.play(4.0)
+        self.run_for(4.0)
         for node in self.nodes[1:]:
             self.assertEqual(node.reports.items.at(7), [(40, runner.name)])
             self.assertEqual(node.reports.items.at(9), [(50, runner.name)])
@@ -398,15 +398,15 @@
         for nodes_each in (8, 16):
             self.setUp()
             self.start(5, nodes_each)
-            self.play(4.0)
+            self.run_for(4.0)
             before = self.network.cross_zone
-            self.play(4.0)
+            self.run_for(4.0)
             sent.append(self.network.cross_zone - before)
         self.assertLessEqual(sent[1], sent[0] * 1.1)
 
     def test_nodes_starting_together_drop_no_peer(self):
         self.start(4, 11)
-        self.play(8.0)
+        self.run_for(8.0)
         for node in self.nodes:
             logged = [event for event, _ in node.log.written]
             self.assertNotIn(Event.PEER_SILENT, logged)
@@ -417,10 +417,10 @@
 
     def test_the_loss_of_a_reporter_drops_no_zone(self):
         self.start(3, 20)
-        self.play(4.0)
+        self.run_for(4.0)
         lost = next(one for one in self.nodes if (Event.ZONE_REPORTED, mock.ANY) in one.log.written)
         rest = [one for one in self.nodes if one is not lost]
-        self.play(8.0, rest)
+        self.run_for(8.0, rest)
         for node in rest:
             self.assertNotIn(Event.ZONE_SILENT, [event for event, _ in node.log.written])
             self.assertFalse(node.peers.can_run_jobs(lost.name, 5))
@@ -428,9 +428,9 @@
 
     def test_a_lost_zone_is_dropped(self):
         self.start(3, 20)
-        self.play(4.0)
+        self.run_for(4.0)
         rest = [one for one in self.nodes if one.identity.zone != "z1"]
-        self.play(ZONE_SILENT_AFTER + 2, rest)
+        self.run_for(ZONE_SILENT_AFTER + 2, rest)
         for node in rest:
             self.assertEqual(node.peers.count(), len(rest) - 1)
 
