--- a/postvalve/gateway/engines/quarantine_guard.py
+++ b/postvalve/gateway/engines/quarantine_guard.py
@@ -9,7 +9,7 @@
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event, EventLog
-from postvalve.exceptions import EngineCutError, PostvalveError, QuarantinedError, Verdict
+from postvalve.exceptions import EngineDisconnectedError, PostvalveError, QuarantinedError, Verdict
 
 
 class QuarantineGuard:
@@ -128,7 +128,7 @@
         """Record that the current run failed."""
         if error.verdict is Verdict.NOT_RUN:
             self._end_trial()
-        elif isinstance(error, EngineCutError) and self._just_began:
+        elif isinstance(error, EngineDisconnectedError) and self._just_began:
             self._record_crash()
             self._end_trial()
         self.end()
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -10,7 +10,7 @@
 from gevent.pool import Pool
 from gevent.pywsgi import WSGIServer
 
-from postvalve.wsgi_handler import SendAtOnceHandler
+from postvalve.wsgi_handler import NoDelayHandler
 
 MAX_CONNECTIONS = 3_000
 """Client connections that may be open at once."""
@@ -37,7 +37,7 @@
     """Raised by an application to end a response so that the client sees it as truncated."""
 
 
-class _Handler(SendAtOnceHandler):
+class _Handler(NoDelayHandler):
     """Passes the target and the headers on unchanged, and reports when a client lags behind."""
 
     _header_timer: gevent.Timeout | None = None
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -31,9 +31,9 @@
 
 PULL_TIMEOUT = 5.0
 """Seconds until a holder's answer to a pull is given up."""
-MAX_UNREPORTED = 256
+MAX_UNREPORTED_ITEMS = 256
 """Finished items in memory at which this node stops to pull."""
-FAILED_ENGINE_PAUSE = 1.0
+FAILED_ENGINE_BACKOFF = 1.0
 """Seconds without pulls for an engine after one of its attempts failed."""
 
 
@@ -91,11 +91,11 @@
         self._resting: dict[str, float] = {}
         self._reports = ItemReports(context, membership, holder)
         self._draining = False
-        registry.on_preemption(self.preempt)
+        registry.add_preemption_listener(self.preempt)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to pull."""
-        self._membership.on_work(self.pull_all)
+        self._membership.add_work_listener(self.pull_all)
         tasks.every(self._settings.timing.pull_interval, self.pull_all)
 
     @property
@@ -114,7 +114,7 @@
             if pull.engine_id not in self._pulling:
                 self._pulling.add(pull.engine_id)
                 gevent.spawn(self._settle, pull)
-        for engine in self._registry.owned():
+        for engine in self._registry.usable_engines():
             self._fill_soon(engine)
         self._return_orphans()
 
@@ -159,7 +159,7 @@
     def _may_pull(self, engine: OwnedEngine) -> bool:
         now = self._clock.monotonic()
         rested = self._resting.get(engine.machine.machine_id, 0.0) <= now
-        in_memory = self._reports.pending < MAX_UNREPORTED
+        in_memory = self._reports.pending < MAX_UNREPORTED_ITEMS
         return engine.usable and rested and in_memory and not self._draining
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
@@ -169,7 +169,7 @@
 
     def _return_orphans(self) -> None:
         """Give back paused items of engines that this node no longer owns."""
-        owned = {engine.machine.machine_id for engine in self._registry.owned()}
+        owned = {engine.machine.machine_id for engine in self._registry.usable_engines()}
         for engine_id in [one for one in self._paused if one not in owned]:
             for item in self._paused.pop(engine_id):
                 self._send_report(item, _interrupted(item), 0, b"")
@@ -289,7 +289,7 @@
             verdict=error.verdict.value,
             error=error.message,
         )
-        self._resting[engine_id] = self._clock.monotonic() + FAILED_ENGINE_PAUSE
+        self._resting[engine_id] = self._clock.monotonic() + FAILED_ENGINE_BACKOFF
         outcome = _interrupted(item)
         if error.verdict is Verdict.MAY_HAVE_RUN:
             outcome = peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN
@@ -311,7 +311,7 @@
             response_body=body,
         )
         self._reports.send(
-            report, wanted=lambda: not item.cancelled, on_end=lambda: self._forget(item)
+            report, still_needed=lambda: not item.cancelled, on_end=lambda: self._forget(item)
         )
 
     def _forget(self, item: RunningItem) -> None:
@@ -320,7 +320,7 @@
     def preempt(self, engine_id: str, attempt_ids: tuple[str, ...]) -> None:
         """Cancel attempts that lost their slot to online work, at once."""
         connection = None
-        for engine in self._registry.owned():
+        for engine in self._registry.usable_engines():
             if engine.machine.machine_id == engine_id:
                 connection = engine.connection
         for attempt_id in attempt_ids:
--- a/postvalve/node/http/chat.py
+++ b/postvalve/node/http/chat.py
@@ -20,7 +20,7 @@
     idempotency_key,
     workload_name,
 )
-from postvalve.node.http.json_answers import json_response
+from postvalve.node.http.json_responses import json_response
 from postvalve.node.keyed_requests import KeyedRequests
 from postvalve.node.online.dispatcher import OnlineDispatcher
 from postvalve.node.online.request import OnlineRequest
@@ -64,7 +64,7 @@
                 content_type="text/event-stream",
                 direct_passthrough=True,
             )
-        return Response(answer.whole(), headers=headers, content_type="application/json")
+        return Response(answer.read_body(), headers=headers, content_type="application/json")
 
     def _complete_once(self, online: OnlineRequest, key: str, headers: dict[str, str]) -> Response:
         digest = hashlib.sha256(online.workload.name.encode() + b"\0" + online.body).hexdigest()
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -6,13 +6,13 @@
 from tests.support import (
     answer_text,
     batch_document,
-    expected_start,
+    expected_first_token,
     result_lines,
     wait_for_batch,
 )
 
 
-def engine_runs(fleet):
+def count_engine_starts(fleet):
     """How often each message was started at an engine, resumed streams not counted."""
     runs = Counter()
     for engine in fleet.engines.values():
@@ -33,12 +33,12 @@
     case.assertEqual(ids, sorted(f"{name}-{number}" for number in range(count)))
     for line in answered:
         text = answer_text(line)
-        case.assertTrue(text.startswith(expected_start(f"text of {line['custom_id']}")))
+        case.assertTrue(text.startswith(expected_first_token(f"text of {line['custom_id']}")))
         case.assertEqual(len(text.split()), 6)
     for line in failed:
         case.assertEqual(line["error"]["code"], "may_have_run")
     if at_most_once:
-        runs = engine_runs(fleet)
+        runs = count_engine_starts(fleet)
         own = f"text of {name}-"
         twice = {text: times for text, times in runs.items() if times > 1 and own in text}
         case.assertEqual(twice, {})
@@ -58,7 +58,7 @@
     ]
 
 
-def views_agree(case, fleet, job_id):
+def check_views_agree(case, fleet, job_id):
     """Every running node shows the same state of a job."""
     documents = [batch_document(fleet, node_id, job_id) for node_id in running_nodes(fleet)]
     case.assertEqual(len({json.dumps(one, sort_keys=True) for one in documents}), 1)
--- a/tests/support.py
+++ b/tests/support.py
@@ -6,7 +6,7 @@
 import gevent
 
 
-def expected_start(text):
+def expected_first_token(text):
     """The first token of the emulated engines for a message."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
@@ -76,16 +76,16 @@
     return answer.document
 
 
-def wait_for_batch(fleet, job_id, *, node_id=None, tenant=None, patience=200.0):
+def wait_for_batch(fleet, job_id, *, node_id=None, tenant=None, timeout=200.0):
     """Wait until a batch has ended; returns its document."""
     node_id = node_id or next(iter(fleet.nodes))
-    deadline = fleet.loop.now() + patience
+    deadline = fleet.loop.now() + timeout
     while fleet.loop.now() < deadline:
         document = batch_document(fleet, node_id, job_id, tenant)
         if document["status"] != "in_progress":
             return document
         gevent.sleep(0.5)
-    raise AssertionError(f"not ended in {patience} virtual seconds: {document}")
+    raise AssertionError(f"not ended in {timeout} virtual seconds: {document}")
 
 
 def result_lines(fleet, document, *, node_id=None, tenant=None, kind="output_file_id"):
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -16,12 +16,12 @@
     VirtualFleet,
 )
 from postvalve.emulator.virtual_time import run_virtual
-from tests.checks import check_job, engine_runs, running_nodes, views_agree
+from tests.checks import check_job, check_views_agree, count_engine_starts, running_nodes
 from tests.support import (
     answer_tokens,
     batch_lines,
     create_batch,
-    expected_start,
+    expected_first_token,
     upload_form,
 )
 
@@ -106,14 +106,14 @@
         if not streamed:
             content = answer.document["choices"][0]["message"]["content"]
             self.case.assertEqual(len(content.split()), 6)
-            self.case.assertTrue(content.startswith(expected_start(text)))
+            self.case.assertTrue(content.startswith(expected_first_token(text)))
             return
         tokens = answer_tokens(answer)
         if tokens is None:
             self.case.assertIn(b'"error"', answer.chunks[-1])
         else:
             self.case.assertEqual(len(tokens), 6)
-            self.case.assertEqual(tokens[0], expected_start(text))
+            self.case.assertEqual(tokens[0], expected_first_token(text))
 
     def submit(self):
         node_id = self.any_node()
@@ -232,8 +232,8 @@
     def check(self):
         for job_id, name, count, once in self.jobs:
             check_job(self.case, self.fleet, job_id, count, name=name, at_most_once=once)
-            views_agree(self.case, self.fleet, job_id)
-        runs = engine_runs(self.fleet)
+            check_views_agree(self.case, self.fleet, job_id)
+        runs = count_engine_starts(self.fleet)
         self.case.assertEqual([text for text in self.not_run if runs[text]], [])
         self.case.assertEqual([text for text in self.once if runs[text] > 1], [])
         self.case.assertGreater(self.answered, 0)
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -18,11 +18,11 @@
 from postvalve.messages.generated import peer
 from postvalve.node.online.admission import (
     ADMISSION_TIMEOUT,
-    SECOND_ADMISSION_TIMEOUT,
+    RETRY_ADMISSION_TIMEOUT,
     AdmissionClient,
 )
-from tests.checks import check_job, engine_runs
-from tests.support import answer_tokens, expected_start, submit_batch
+from tests.checks import check_job, count_engine_starts
+from tests.support import answer_tokens, expected_first_token, submit_batch
 
 CHAT = "/v1/chat/completions"
 AT_MOST_ONCE = {"X-Postvalve-At-Most-Once": "true"}
@@ -73,7 +73,7 @@
     def test_a_request_is_refused_soon_where_it_stays_silent(self):
         (served, _), (refused, seconds) = sorted(self.ask_beside_a_frozen_node(60.0))
         self.assertEqual((served, refused), (200, 503))
-        self.assertLess(seconds, ADMISSION_TIMEOUT + SECOND_ADMISSION_TIMEOUT + 0.1)
+        self.assertLess(seconds, ADMISSION_TIMEOUT + RETRY_ADMISSION_TIMEOUT + 0.1)
 
 
 class OwnerChangeTest(OnlineSessionCase):
@@ -142,7 +142,7 @@
         def run(fleet):
             fault(fleet)
             answer = self.ask(fleet, headers=headers, **options)
-            return answer, engine_runs(fleet)["hi"]
+            return answer, count_engine_starts(fleet)["hi"]
 
         return self.session(run)
 
@@ -175,7 +175,7 @@
     def test_answer_is_crossed_once_and_the_request_may_repeat(self):
         answer, _ = self.verdict(lambda fleet: self.spoil(fleet, crossed_answers=1))
         text = answer.document["choices"][0]["message"]["content"]
-        self.assertTrue(text.startswith(expected_start("hi")))
+        self.assertTrue(text.startswith(expected_first_token("hi")))
 
     def test_every_repetition_is_crossed(self):
         answer, runs = self.verdict(lambda fleet: self.spoil(fleet, crossed_answers=100))
@@ -265,7 +265,7 @@
                 self.assertIn(b"error", answer.chunks[-1])
                 continue
             self.assertEqual(len(tokens), 6)
-            self.assertEqual(tokens[0], expected_start(f"q{number}"))
+            self.assertEqual(tokens[0], expected_first_token(f"q{number}"))
         whole = sum(answer_tokens(answer) is not None for answer in answers)
         self.assertGreaterEqual(whole, 35)
 
@@ -354,7 +354,7 @@
                 asked.append(gevent.spawn(self.timed, fleet, number, f"node-0-{number % 2}"))
                 gevent.sleep(0.002)
             answers = [one.get() for one in asked]
-            return answers, fleet.loop.now() - started, sum(engine_runs(fleet).values())
+            return answers, fleet.loop.now() - started, sum(count_engine_starts(fleet).values())
 
         parameters = EngineParameters(slots=4)
         answers, _, runs = self.session(run, parameters=parameters)
