--- a/postvalve/gateway/fleet/load_reports.py
+++ b/postvalve/gateway/fleet/load_reports.py
@@ -43,7 +43,7 @@
     encode_frame,
 )
 from postvalve.messages.generated import gateway
-from postvalve.node.passed_over import PassedOver
+from postvalve.node.unknown_messages import UnknownMessageCounter
 
 TARGETS_AGE = 0.5
 """Seconds between looks at who the peers are, and which of them are silent."""
@@ -67,7 +67,7 @@
         self._transport = services.transport
         self._fleet = services.fleet
         self._peers = services.peers
-        self._passed_over = PassedOver(services.events)
+        self._passed_over = UnknownMessageCounter(services.events)
         self._near = ReportSchedule(ZONE_REPORT_RATE)
         self._far = ReportSchedule(REMOTE_REPORT_RATE)
         self._sequence = 0
@@ -233,7 +233,7 @@
         try:
             self._take(decode_datagram(data), address)
         except UnknownKindError as unknown:
-            self._passed_over.note(unknown.header.kind, address, self._clock.monotonic())
+            self._passed_over.record(unknown.header.kind, address, self._clock.monotonic())
         except (FrameError, LoadReportError) as exc:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(exc))
 
--- a/postvalve/node/batch/file_store.py
+++ b/postvalve/node/batch/file_store.py
@@ -24,7 +24,7 @@
 
 CHUNK_BYTES = 1024 * 1024
 """Bytes after which a chunk of whole lines is appended."""
-CACHED_DESCRIPTIONS = 1024
+MAX_CACHED_DESCRIPTIONS = 1024
 """Descriptions of files that a node keeps."""
 BATCH_PURPOSE = "batch"
 
@@ -184,7 +184,7 @@
         if known is None or known.description.tenant != tenant:
             raise NotFoundError(f"there is no file {file_id!r}")
         self._descriptions[file_id] = known
-        while len(self._descriptions) > CACHED_DESCRIPTIONS:
+        while len(self._descriptions) > MAX_CACHED_DESCRIPTIONS:
             self._descriptions.popitem(last=False)
         return known.description
 
--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -33,9 +33,9 @@
 from postvalve.node.membership_service import MembershipService
 from postvalve.states import JobState, NodeState
 
-MAX_PULL = 64
+MAX_ITEMS_PER_PULL = 64
 """Items handed out in one answer."""
-LOAD_PAUSE = 1.0
+LOG_RETRY_DELAY = 1.0
 """Seconds between tries to load a job while the log does not answer."""
 ENGINE_FAILURE_STATUS = 502
 """Status recorded for an item that ended without an answer."""
@@ -97,7 +97,7 @@
             self._loading.add(job_id)
             gevent.spawn(self._load_job, shard, job_id)
 
-    def job_cancel_asked(self, shard: int, job_id: str) -> None:
+    def job_cancel_requested(self, shard: int, job_id: str) -> None:
         """See `ShardListener`."""
         gevent.spawn(self._catch_up, job_id)
 
@@ -109,7 +109,7 @@
                     self._store.catch_up(ledger)
                     break
                 except LogUnavailableError:
-                    gevent.sleep(LOAD_PAUSE)
+                    gevent.sleep(LOG_RETRY_DELAY)
             else:
                 return
         finally:
@@ -139,7 +139,7 @@
         """Hand out items for an engine with room."""
         self._recover_lost(request)
         keys = self._scheduler.take(
-            request.models, min(request.slots, MAX_PULL), self._clock.wall()
+            request.models, min(request.slots, MAX_ITEMS_PER_PULL), self._clock.wall()
         )
         assignments: list[peer.ItemAssignment] = []
         for job_id, job_keys in itertools.groupby(keys, key=lambda key: key.job_id):
@@ -351,7 +351,7 @@
         try:
             self._store.catch_up(job.ledger)
         except LogUnavailableError:
-            gevent.spawn_later(LOAD_PAUSE, self._catch_up, job_id)
+            gevent.spawn_later(LOG_RETRY_DELAY, self._catch_up, job_id)
             return
         self._close_if_ended(job)
 
@@ -365,7 +365,7 @@
             self._custom_ids.pop(dispatch.key, None)
         if ledger.state is JobState.CANCELLED:
             self._notices.send(ledger.job_id)
-        self._bodies.forget(ledger.accepted.input_file_id)
+        self._bodies.evict(ledger.accepted.input_file_id)
         gevent.spawn(self._append_end, job)
 
     def _append_end(self, job: ScheduledJob) -> None:
@@ -375,10 +375,10 @@
                 finished = records.JobFinished(finished_at_ms=milliseconds(self._clock.wall()))
                 self._writer.append(job_stream(ledger.job_id), finished)
             shard = shard_of(ledger.job_id, self._settings.shards)
-            self.leases.append_closed(shard, ledger.job_id)
+            self.leases.append_job_closed(shard, ledger.job_id)
         except LogUnavailableError as error:
             self._events.emit(Event.LOG_UNAVAILABLE, job=ledger.job_id, error=error.message)
-            gevent.spawn_later(LOAD_PAUSE, self._append_end, job)
+            gevent.spawn_later(LOG_RETRY_DELAY, self._append_end, job)
             return
         self._closing.discard(ledger.job_id)
 
@@ -397,4 +397,4 @@
             self._recover(key)
         except PostvalveError as error:
             self._events.emit(Event.LOG_UNAVAILABLE, job=key.job_id, error=error.message)
-            gevent.spawn_later(LOAD_PAUSE, self._recover_safely, key)
+            gevent.spawn_later(LOG_RETRY_DELAY, self._recover_safely, key)
--- a/postvalve/node/batch/item_bodies.py
+++ b/postvalve/node/batch/item_bodies.py
@@ -14,7 +14,7 @@
 from postvalve.messages.records_codec import parse_record
 from postvalve.services.log import LogService
 
-CACHED_CHUNKS = 16
+MAX_CACHED_CHUNKS = 16
 """Chunks of about 1 MiB that a holder keeps."""
 
 
@@ -51,7 +51,7 @@
         document = json.loads(chunk.lines[line - chunk.first_line])
         return ItemBody(document["custom_id"], json.dumps(document["body"]).encode("utf-8"))
 
-    def forget(self, file_id: str) -> None:
+    def evict(self, file_id: str) -> None:
         """Drop what is kept of a file."""
         self._first_lines.pop(file_id, None)
         for key in [one for one in self._chunks if one[0] == file_id]:
@@ -90,6 +90,6 @@
         chunk = _Chunk(body.first_line, body.content.splitlines())
         known[offset] = body.first_line
         self._chunks[file_id, offset] = chunk
-        while len(self._chunks) > CACHED_CHUNKS:
+        while len(self._chunks) > MAX_CACHED_CHUNKS:
             self._chunks.popitem(last=False)
         return chunk
--- a/postvalve/node/batch/item_reports.py
+++ b/postvalve/node/batch/item_reports.py
@@ -16,7 +16,7 @@
 
 REPORT_TIMEOUT = 60.0
 """Seconds until a report is repeated; a holder answers once the result is durable."""
-REPORT_PAUSE = 0.5
+REPORT_RETRY_DELAY = 0.5
 """Seconds between repetitions of a report."""
 
 
@@ -33,7 +33,11 @@
         self.pending = 0
 
     def send(
-        self, report: peer.ItemReport, *, wanted: Callable[[], bool], on_end: Callable[[], None]
+        self,
+        report: peer.ItemReport,
+        *,
+        still_needed: Callable[[], bool],
+        on_end: Callable[[], None],
     ) -> None:
         """Start to report; does not wait.
 
@@ -43,14 +47,14 @@
             on_end: Called when the report was taken, or is no longer wanted.
         """
         self.pending += 1
-        gevent.spawn(self._repeat, report, wanted, on_end)
+        gevent.spawn(self._repeat, report, still_needed, on_end)
 
     def _repeat(
-        self, report: peer.ItemReport, wanted: Callable[[], bool], on_end: Callable[[], None]
+        self, report: peer.ItemReport, still_needed: Callable[[], bool], on_end: Callable[[], None]
     ) -> None:
         try:
-            while wanted() and not self._report_once(report):
-                gevent.sleep(REPORT_PAUSE)
+            while still_needed() and not self._report_once(report):
+                gevent.sleep(REPORT_RETRY_DELAY)
         finally:
             self.pending -= 1
             on_end()
--- a/postvalve/node/batch/job_store.py
+++ b/postvalve/node/batch/job_store.py
@@ -28,7 +28,7 @@
 
 Indexed = TypeVar("Indexed", records.JobAnnounced, records.FileIndexed)
 
-CACHED_LEDGERS = 256
+MAX_CACHED_LEDGERS = 256
 """Ledgers that a node keeps for its readers."""
 
 
@@ -93,7 +93,7 @@
         if ledger.exists:
             self._ledgers[job_id] = ledger
             self._ledgers.move_to_end(job_id)
-        while len(self._ledgers) > CACHED_LEDGERS:
+        while len(self._ledgers) > MAX_CACHED_LEDGERS:
             self._ledgers.popitem(last=False)
         return ledger
 
--- a/postvalve/node/batch/result_committer.py
+++ b/postvalve/node/batch/result_committer.py
@@ -17,13 +17,13 @@
 from postvalve.messages.generated import records
 from postvalve.node.log_writer import LogWriter
 
-GATHER_TIME = 0.005
+GROUP_COMMIT_DELAY = 0.005
 """Seconds that results are gathered before an append."""
 MAX_RESULTS_PER_APPEND = 256
 MAX_BYTES_PER_APPEND = 2 * 1024 * 1024
 CONCURRENT_APPENDS = 8
 """Jobs whose results are appended at once."""
-REPEAT_PATIENCE = 30.0
+APPEND_ATTEMPT_TIMEOUT = 30.0
 """Seconds of repetition until an outage is logged; then it is repeated again."""
 
 CommitListener = Callable[[str, int, records.ItemsFinished], None]
@@ -62,7 +62,7 @@
     def run_once(self) -> None:
         """Start appends for the jobs that have results waiting."""
         self._wakeup.wait()
-        gevent.sleep(GATHER_TIME)
+        gevent.sleep(GROUP_COMMIT_DELAY)
         self._wakeup.clear()
         for job_id in [one for one, queue in self._queues.items() if queue]:
             if job_id not in self._busy:
@@ -101,6 +101,6 @@
     def _append_until_acknowledged(self, job_id: str, body: records.ItemsFinished) -> int:
         while True:
             try:
-                return self._writer.append(job_stream(job_id), body, REPEAT_PATIENCE)
+                return self._writer.append(job_stream(job_id), body, APPEND_ATTEMPT_TIMEOUT)
             except LogUnavailableError as error:
                 self._events.emit(Event.LOG_UNAVAILABLE, job=job_id, error=error.message)
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -31,9 +31,9 @@
 
 PULL_TIMEOUT = 5.0
 """Seconds until a holder's answer to a pull is given up."""
-MAX_UNREPORTED = 256
+MAX_UNREPORTED_ITEMS = 256
 """Finished items in memory at which this node stops to pull."""
-FAILED_ENGINE_PAUSE = 1.0
+FAILED_ENGINE_BACKOFF = 1.0
 """Seconds without pulls for an engine after one of its attempts failed."""
 
 
@@ -159,7 +159,7 @@
     def _may_pull(self, engine: OwnedEngine) -> bool:
         now = self._clock.monotonic()
         rested = self._resting.get(engine.machine.machine_id, 0.0) <= now
-        in_memory = self._reports.pending < MAX_UNREPORTED
+        in_memory = self._reports.pending < MAX_UNREPORTED_ITEMS
         return engine.usable and rested and in_memory and not self._draining
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
@@ -289,7 +289,7 @@
             verdict=error.verdict.value,
             error=error.message,
         )
-        self._resting[engine_id] = self._clock.monotonic() + FAILED_ENGINE_PAUSE
+        self._resting[engine_id] = self._clock.monotonic() + FAILED_ENGINE_BACKOFF
         outcome = _interrupted(item)
         if error.verdict is Verdict.MAY_HAVE_RUN:
             outcome = peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN
@@ -311,7 +311,7 @@
             response_body=body,
         )
         self._reports.send(
-            report, wanted=lambda: not item.cancelled, on_end=lambda: self._forget(item)
+            report, still_needed=lambda: not item.cancelled, on_end=lambda: self._forget(item)
         )
 
     def _forget(self, item: RunningItem) -> None:
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -29,13 +29,13 @@
 from postvalve.services.log import LogEntry
 from postvalve.states import LeaseState, NodeState
 
-FOLLOW_WAIT = 5.0
+LONG_POLL_TIMEOUT = 5.0
 """Seconds of one long poll of a shard's stream."""
 FOLLOWERS_PER_SHARD = 2
 """Nodes that follow a shard: the preferred holder and the one that would take over."""
-STEP_INTERVAL = 0.25
+LEASE_CHECK_INTERVAL = 0.25
 """Seconds between looks at the leases."""
-OUTAGE_PAUSE = 1.0
+LOG_RETRY_DELAY = 1.0
 """Seconds between reads while the log does not answer."""
 
 
@@ -51,7 +51,7 @@
     def job_opened(self, shard: int, job_id: str) -> None:
         """A job came to a held shard."""
 
-    def job_cancel_asked(self, shard: int, job_id: str) -> None:
+    def job_cancel_requested(self, shard: int, job_id: str) -> None:
         """A job of a held shard was cancelled, or is about to be."""
 
 
@@ -91,7 +91,7 @@
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to follow."""
-        tasks.every(STEP_INTERVAL, self.step)
+        tasks.every(LEASE_CHECK_INTERVAL, self.step)
 
     def held_shards(self) -> list[int]:
         """Shards whose lease this node holds, by its own clock."""
@@ -137,8 +137,8 @@
         if self._settled or self._membership.heard_all_listed():
             self._settled = True
         timing = self._settings.timing
-        patience = timing.machine_list_interval + timing.dead_after + timing.digest_interval
-        return self._settled or self._clock.monotonic() - self._started_at >= patience
+        timeout = timing.machine_list_interval + timing.dead_after + timing.digest_interval
+        return self._settled or self._clock.monotonic() - self._started_at >= timeout
 
     def _step_shard(self, shard: int, order: list[str]) -> None:
         node_id = self._settings.node_id
@@ -211,14 +211,14 @@
         checkpoint = follower.state.checkpoint()
         self._append(follower, checkpoint)
 
-    def append_closed(self, shard: int, job_id: str) -> None:
+    def append_job_closed(self, shard: int, job_id: str) -> None:
         """Note that a job ended, so that later holders pass it over."""
         closed = records.JobClosed(job_id=job_id)
         self._writer.append(shard_stream(shard), closed)
 
     def _append(self, follower: _Follower, body: betterproto.Message) -> None:
         try:
-            self._writer.append(shard_stream(follower.shard), body, patience=1.0)
+            self._writer.append(shard_stream(follower.shard), body, timeout=1.0)
         except LogUnavailableError as error:
             self._events.emit(Event.LOG_UNAVAILABLE, shard=follower.shard, error=error.message)
 
@@ -228,10 +228,10 @@
             try:
                 if follower.offset < 0:
                     follower.offset = self._replay_start(stream)
-                wait = FOLLOW_WAIT if follower.caught_up else 0.0
+                wait = LONG_POLL_TIMEOUT if follower.caught_up else 0.0
                 part = self._log.read(stream, follower.offset, wait=wait)
             except LogUnavailableError:
-                gevent.sleep(OUTAGE_PAUSE)
+                gevent.sleep(LOG_RETRY_DELAY)
                 continue
             for entry in part.entries:
                 self._observe(follower, entry)
@@ -268,4 +268,4 @@
         if isinstance(effect, JobOpened):
             self._listener.job_opened(shard, effect.job_id)
         elif isinstance(effect, JobCancelPending):
-            self._listener.job_cancel_asked(shard, effect.job_id)
+            self._listener.job_cancel_requested(shard, effect.job_id)
--- a/postvalve/node/keyed_requests.py
+++ b/postvalve/node/keyed_requests.py
@@ -131,7 +131,7 @@
             if request.streamed:
                 blocks = self._stored_events(stream, attempt_id, answer.events())
                 return KeyedAnswer(EVENT_STREAM, blocks, False)
-            content = answer.whole()
+            content = answer.read_body()
         except PostvalveError as error:
             if error.verdict is Verdict.NOT_RUN:
                 released = records.RequestReleased(attempt_id=attempt_id)
--- a/postvalve/node/log_writer.py
+++ b/postvalve/node/log_writer.py
@@ -12,10 +12,10 @@
 from postvalve.messages.records_codec import Record, encode_record
 from postvalve.services.log import LogService
 
-REPEAT_PAUSE = 0.1
+INITIAL_RETRY_DELAY = 0.1
 """Seconds before the first repetition, doubled for each later one."""
-MAX_REPEAT_PAUSE = 2.0
-DEFAULT_PATIENCE = 3.0
+MAX_RETRY_DELAY = 2.0
+DEFAULT_APPEND_TIMEOUT = 3.0
 """Seconds that an append is repeated for a caller who waits."""
 
 
@@ -31,7 +31,7 @@
         self,
         stream: str,
         body: betterproto.Message,
-        patience: float = DEFAULT_PATIENCE,
+        timeout: float = DEFAULT_APPEND_TIMEOUT,
         record_id: str | None = None,
     ) -> int:
         """Append a record, repeating it until it is acknowledged; returns its offset.
@@ -41,9 +41,9 @@
                 may have taken effect.
         """
         payload = encode_record(Record(record_id or self._new_id(), body))
-        deadline = self._clock.monotonic() + patience
+        deadline = self._clock.monotonic() + timeout
         verdict = Verdict.NOT_RUN
-        pause = REPEAT_PAUSE
+        pause = INITIAL_RETRY_DELAY
         while True:
             try:
                 return self._log.append(stream, payload)
@@ -53,4 +53,4 @@
                 if self._clock.monotonic() + pause >= deadline:
                     raise LogUnavailableError(error.message, verdict) from error
             gevent.sleep(pause)
-            pause = min(MAX_REPEAT_PAUSE, pause * 2)
+            pause = min(MAX_RETRY_DELAY, pause * 2)
--- a/postvalve/node/online/admission.py
+++ b/postvalve/node/online/admission.py
@@ -22,16 +22,16 @@
 
 ADMISSION_TIMEOUT = 0.5
 """Seconds until an owner's answer is given up and another engine is asked."""
-MAX_ADMISSION_ROUNDS = 6
+MAX_ADMISSION_CANDIDATES = 6
 """Owners asked before a request is refused."""
-SECOND_ADMISSION_TIMEOUT = 1.5
+RETRY_ADMISSION_TIMEOUT = 1.5
 """Seconds for which an owner that did not answer is asked again, when no other has room."""
-MAX_ASKED_AGAIN = 2
+MAX_RETRIED_OWNERS = 2
 """Silent owners that are asked again."""
-OWNER_CHANGE_PAUSES = (0.15, 0.3, 0.6)
+OWNER_CHANGE_DELAYS = (0.15, 0.3, 0.6)
 """Seconds between rounds in which all owners say that they are none; heartbeats tell of owners
 each second."""
-MAX_RELEASE_TRIES = 4
+MAX_RELEASE_ATTEMPTS = 4
 """Times that a slot is given back to an owner that does not answer."""
 OVERLOAD_RETRY_AFTER = 1.0
 """Seconds told to a caller when no engine has room."""
@@ -95,7 +95,7 @@
         Raises:
             RefusedError: no engine has room, or none serves the model.
         """
-        for pause in (*OWNER_CHANGE_PAUSES, None):
+        for pause in (*OWNER_CHANGE_DELAYS, None):
             candidates = self._candidates(request, failed_engines)
             round_ = _Round(bool(candidates))
             admission = self._ask_owners(request, candidates, round_)
@@ -124,7 +124,7 @@
         if not found:
             # Better an engine that failed before than none.
             found = find(request.tenant, request.model, ())
-        return self._router.order(found, request.prefix_key)[:MAX_ADMISSION_ROUNDS]
+        return self._router.order(found, request.prefix_key)[:MAX_ADMISSION_CANDIDATES]
 
     def _ask_owners(
         self, request: OnlineRequest, candidates: Sequence[EngineCandidate], round_: _Round
@@ -134,9 +134,9 @@
             if admission is not None:
                 return admission
         # A silent owner has refused nothing, and may have stood still for a moment.
-        for candidate in round_.unanswered[:MAX_ASKED_AGAIN]:
+        for candidate in round_.unanswered[:MAX_RETRIED_OWNERS]:
             left = request.deadline - self._clock.monotonic()
-            admission = self._ask(request, candidate, min(SECOND_ADMISSION_TIMEOUT, left), round_)
+            admission = self._ask(request, candidate, min(RETRY_ADMISSION_TIMEOUT, left), round_)
             if admission is not None:
                 return admission
         return None
@@ -199,7 +199,7 @@
         message = peer.AdmissionRelease(
             attempt_id=admission.attempt_id, engine_id=admission.candidate.engine_id
         )
-        for attempt in range(MAX_RELEASE_TRIES):
+        for attempt in range(MAX_RELEASE_ATTEMPTS):
             try:
                 self._call_owner(admission, message)
                 return
--- a/postvalve/node/online/dispatcher.py
+++ b/postvalve/node/online/dispatcher.py
@@ -11,7 +11,7 @@
 from postvalve.node.online.admission import AdmissionClient
 from postvalve.node.online.observer import OnlineObserver
 from postvalve.node.online.request import OnlineRequest
-from postvalve.node.online.retries import RetryGate
+from postvalve.node.online.retries import RetryPolicy
 from postvalve.node.online.run import OnlineAnswer, RequestRun, RunServices
 
 
@@ -32,7 +32,7 @@
         self._services = RunServices(
             context.clock,
             AdmissionClient(context, membership, registry),
-            RetryGate(context),
+            RetryPolicy(context),
             OnlineObserver(context),
         )
         self.in_progress = 0
--- a/postvalve/node/online/retries.py
+++ b/postvalve/node/online/retries.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class RequestProgress:
     """What a request went through."""
 
     attempts: int = 0
@@ -27,7 +27,7 @@
     may_have_run: bool = False
 
 
-class RetryGate:
+class RetryPolicy:
     """The retry budget of this node."""
 
     def __init__(self, context: NodeContext) -> None:
@@ -39,7 +39,7 @@
         """Count a first attempt, which earns a part of a retry."""
         self._budget.deposit()
 
-    def allow(self, request: OnlineRequest, progress: Progress, verdict: Verdict) -> bool:
+    def allow(self, request: OnlineRequest, progress: RequestProgress, verdict: Verdict) -> bool:
         """Whether a failed attempt is followed by another; waits the backoff."""
         if progress.attempts >= MAX_ATTEMPTS or progress.expired:
             return False
--- a/postvalve/node/online/run.py
+++ b/postvalve/node/online/run.py
@@ -13,7 +13,7 @@
 from postvalve.node.online.admission import Admission, AdmissionClient
 from postvalve.node.online.observer import OnlineObserver
 from postvalve.node.online.request import OnlineRequest
-from postvalve.node.online.retries import Progress, RetryGate
+from postvalve.node.online.retries import RequestProgress, RetryPolicy
 from postvalve.services.engine import EngineStream
 
 
@@ -23,7 +23,7 @@
 
     clock: Clock
     admissions: AdmissionClient
-    retries: RetryGate
+    retries: RetryPolicy
     observer: OnlineObserver
 
 
@@ -38,7 +38,7 @@
         self._observer = services.observer
         self._request = request
         self._on_end = on_end
-        self._progress = Progress()
+        self._progress = RequestProgress()
         self._admission: Admission | None = None
         self._stream: EngineStream | None = None
         self._finished = False
@@ -136,7 +136,7 @@
         self._open()
         self._observer.record_resume(self._request)
 
-    def whole(self) -> bytes:
+    def read_body(self) -> bytes:
         """Read an answer that is not streamed; retried where the request may repeat."""
         while True:
             assert self._stream is not None
@@ -193,10 +193,10 @@
         """Server-sent events, ready for the wire."""
         return self._run.events()
 
-    def whole(self) -> bytes:
+    def read_body(self) -> bytes:
         """The whole answer as JSON.
 
         Raises:
             PostvalveError: with a verdict.
         """
-        return self._run.whole()
+        return self._run.read_body()
--- a/postvalve/node/peer_link.py
+++ b/postvalve/node/peer_link.py
@@ -31,7 +31,7 @@
     encode_frame,
 )
 from postvalve.messages.generated import peer
-from postvalve.node.passed_over import PassedOver
+from postvalve.node.unknown_messages import UnknownMessageCounter
 from postvalve.sockets import end_when_silent, send_at_once
 
 CONNECT_TIMEOUT = 0.5
@@ -81,7 +81,7 @@
         host, _, port = listen.rpartition(":")
         self._handler = handler
         self._events = events
-        self._passed_over = PassedOver(events)
+        self._passed_over = UnknownMessageCounter(events)
         self._server = StreamServer((host, int(port)), self._serve)
 
     def start(self) -> None:
@@ -117,7 +117,7 @@
             try:
                 return read_frame(connection)
             except UnknownKindError as unknown:
-                self._passed_over.note(unknown.header.kind, str(address), time.monotonic())
+                self._passed_over.record(unknown.header.kind, str(address), time.monotonic())
                 data = encode_frame(peer.Acknowledgement(), unknown.header.correlation_id)
                 with write_lock:
                     connection.sendall(data)
--- a/postvalve/node/passed_over.py
+++ b/postvalve/node/unknown_messages.py
@@ -4,12 +4,12 @@
 
 from postvalve.events import Event, EventLog
 
-TOLD_INTERVAL = 60.0
+UNKNOWN_MESSAGE_LOG_INTERVAL = 60.0
 """Seconds between two lines on one kind: while two builds run side by side such messages may come
 many times a second, for an hour."""
 
 
-class PassedOver:
+class UnknownMessageCounter:
     """Counts them, by kind; there are 256 of these at the most."""
 
     def __init__(self, events: EventLog) -> None:
@@ -18,10 +18,10 @@
         """Of those that no line has told yet."""
         self._told_at: dict[int, float] = {}
 
-    def note(self, kind: int, peer: str, now: float) -> None:
+    def record(self, kind: int, peer: str, now: float) -> None:
         """One came from a peer, at monotonic time `now`."""
         self._counts[kind] = self._counts.get(kind, 0) + 1
-        if now - self._told_at.get(kind, float("-inf")) < TOLD_INTERVAL:
+        if now - self._told_at.get(kind, float("-inf")) < UNKNOWN_MESSAGE_LOG_INTERVAL:
             return
         self._told_at[kind] = now
         count = self._counts.pop(kind)
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -18,7 +18,7 @@
 from postvalve.messages.generated import peer
 from postvalve.node.online.admission import (
     ADMISSION_TIMEOUT,
-    SECOND_ADMISSION_TIMEOUT,
+    RETRY_ADMISSION_TIMEOUT,
     AdmissionClient,
 )
 from tests.checks import check_job, engine_runs
@@ -73,7 +73,7 @@
     def test_a_request_is_refused_soon_where_it_stays_silent(self):
         (served, _), (refused, seconds) = sorted(self.ask_beside_a_frozen_node(60.0))
         self.assertEqual((served, refused), (200, 503))
-        self.assertLess(seconds, ADMISSION_TIMEOUT + SECOND_ADMISSION_TIMEOUT + 0.1)
+        self.assertLess(seconds, ADMISSION_TIMEOUT + RETRY_ADMISSION_TIMEOUT + 0.1)
 
 
 class OwnerChangeTest(OnlineSessionCase):
--- a/tests/test_unknown_messages.py
+++ b/tests/test_unknown_messages.py
@@ -16,8 +16,8 @@
 from postvalve.gateway.fleet.peer_services import PeerServices
 from postvalve.messages.framing import HEADER, PackedReport, encode_frame
 from postvalve.messages.generated import gateway, peer
-from postvalve.node.passed_over import TOLD_INTERVAL
 from postvalve.node.peer_link import Channel, PeerClients, PeerServer, read_frame
+from postvalve.node.unknown_messages import UNKNOWN_MESSAGE_LOG_INTERVAL
 from tests.gateway_support import RecordingEventLog
 from tests.ports import free_port
 
@@ -112,7 +112,7 @@
             self.now += 0.1
             self.reports.receive(LATER, "127.0.0.1:9")
         self.assertEqual(self.told(), [(Event.MESSAGES_NOT_KNOWN, 1)])
-        self.now += TOLD_INTERVAL
+        self.now += UNKNOWN_MESSAGE_LOG_INTERVAL
         self.reports.receive(LATER, "127.0.0.1:9")
         self.assertEqual(self.told()[1:], [(Event.MESSAGES_NOT_KNOWN, 100)])
 
