--- a/postvalve/node/batch/file_store.py
+++ b/postvalve/node/batch/file_store.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
+class _CachedDescription:
     """A description, and the end of the stream that it was read from."""
 
     description: FileDescription
@@ -65,7 +65,7 @@
         self._checker = InputChecker(max_items)
         self._digest = hashlib.sha256()
         self._size = 0
-        self._partial = bytearray()
+        self._incomplete_line = bytearray()
         self._chunk = bytearray()
         self._chunks = 0
         self._chunk_first_line = 0
@@ -81,12 +81,12 @@
         if self._size > self._max_bytes:
             raise RequestTooLargeError(f"file over {self._max_bytes} bytes", parameter="file")
         self._digest.update(data)
-        self._partial += data
-        *lines, rest = self._partial.split(b"\n")
+        self._incomplete_line += data
+        *lines, incomplete = self._incomplete_line.split(b"\n")
         for line in lines:
-            self._take_line(bytes(line))
-        self._partial = bytearray(rest)
-        if len(rest) > MAX_LINE_BYTES:
+            self._add_line(bytes(line))
+        self._incomplete_line = bytearray(incomplete)
+        if len(incomplete) > MAX_LINE_BYTES:
             raise RequestTooLargeError(f"line {self._checker.lines + 1}: too long")
         return len(data)
 
@@ -94,7 +94,7 @@
         """The form parser rewinds what it wrote; there is nothing to read back."""
         return position
 
-    def _take_line(self, line: bytes) -> None:
+    def _add_line(self, line: bytes) -> None:
         line = line.rstrip(b"\r")
         if not line.strip():
             return
@@ -120,7 +120,7 @@
         Raises:
             InvalidRequestError: the last line is malformed, or there is none.
         """
-        self._take_line(bytes(self._partial))
+        self._add_line(bytes(self._incomplete_line))
         if not self._checker.lines:
             raise InvalidRequestError("the file has no lines", parameter="file")
         if self._chunk:
@@ -143,7 +143,7 @@
         self._writer = context.writer
         self._clock = context.clock
         self._new_id = context.new_id
-        self._descriptions: OrderedDict[str, _Known] = OrderedDict()
+        self._descriptions: OrderedDict[str, _CachedDescription] = OrderedDict()
 
     def begin(self, max_bytes: int, max_items: int) -> tuple[str, FileUpload]:
         """Start an upload; returns the file's id and where its bytes go."""
@@ -178,24 +178,24 @@
         Raises:
             NotFoundError: there is none that the tenant may see.
         """
-        known = self._descriptions.get(file_id)
-        if known is None or self._end_of(file_id, known.end_offset) != known.end_offset:
-            known = self._read_description(file_id)
-        if known is None or known.description.tenant != tenant:
+        cached = self._descriptions.get(file_id)
+        if cached is None or self._end_offset(file_id, cached.end_offset) != cached.end_offset:
+            cached = self._read_description(file_id)
+        if cached is None or cached.description.tenant != tenant:
             raise NotFoundError(f"there is no file {file_id!r}")
-        self._descriptions[file_id] = known
+        self._descriptions[file_id] = cached
         while len(self._descriptions) > MAX_CACHED_DESCRIPTIONS:
             self._descriptions.popitem(last=False)
-        return known.description
+        return cached.description
 
-    def _end_of(self, file_id: str, offset: int) -> int:
+    def _end_offset(self, file_id: str, offset: int) -> int:
         # A file that is known stays readable while the log is not; a delete shows later.
         try:
             return self._log.read(file_stream(file_id), offset, limit=1).end_offset
         except LogUnavailableError:
             return offset
 
-    def _read_description(self, file_id: str) -> _Known | None:
+    def _read_description(self, file_id: str) -> _CachedDescription | None:
         stream = file_stream(file_id)
         end = self._log.read(stream, 0, limit=1).end_offset
         # Chunks come first; what describes the file stands in the last records. Repeats
@@ -212,7 +212,7 @@
                 sealed = body
             elif isinstance(body, records.FileDeleted) or created is None:
                 return None
-        return _Known(_describe(created, sealed), end) if created and sealed else None
+        return _CachedDescription(_describe(created, sealed), end) if created and sealed else None
 
     def delete(self, tenant: str, file_id: str) -> None:
         """Hide a file from its tenant; jobs that were accepted still read it.
--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -65,9 +65,9 @@
         self._recoveries: Counter[ItemKey] = Counter()
         self._loading: set[str] = set()
         self._closing: set[str] = set()
-        self.committer = ResultCommitter(context.writer, context.events, self._committed)
+        self.committer = ResultCommitter(context.writer, context.events, self._results_committed)
         self.leases = ShardLeases(context, membership, self)
-        membership.listen(self._node_changed)
+        membership.listen(self._node_state_changed)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to work."""
@@ -120,24 +120,24 @@
         job.withheld.update(ledger.unfinished_starts())
         self._scheduler.add(job)
         self._events.emit(Event.JOB_LOADED, job=job_id, remaining=ledger.remaining)
-        self._settle_unknown_starts(job)
+        self._schedule_unknown_starts(job)
         self._close_if_ended(job)
         self._membership.announce()
 
-    def _settle_unknown_starts(self, job: ScheduledJob) -> None:
+    def _schedule_unknown_starts(self, job: ScheduledJob) -> None:
         """End items that an earlier holder started, unless their result still comes."""
         for item_index in list(job.withheld):
-            self._settle_later(ItemKey(job.ledger.job_id, item_index))
+            self._end_after_lease(ItemKey(job.ledger.job_id, item_index))
 
-    def _settle_later(self, key: ItemKey) -> None:
-        patience = self._settings.timing.lease_duration
-        gevent.spawn_later(patience, self._end_as_may_have_run, key)
+    def _end_after_lease(self, key: ItemKey) -> None:
+        delay = self._settings.timing.lease_duration
+        gevent.spawn_later(delay, self._end_as_may_have_run, key)
 
     # Requests of engine owners
 
     def pull(self, request: peer.ItemPull) -> list[peer.ItemAssignment]:
         """Hand out items for an engine with room."""
-        self._recover_lost(request)
+        self._recover_lost_items(request)
         keys = self._scheduler.take(
             request.models, min(request.slots, MAX_ITEMS_PER_PULL), self._clock.wall()
         )
@@ -146,33 +146,33 @@
             assignments += self._assign_items(request, job_id, list(job_keys))
         return assignments
 
-    def _recover_lost(self, request: peer.ItemPull) -> None:
+    def _recover_lost_items(self, request: peer.ItemPull) -> None:
         lost = self._scheduler.lost_dispatches(
             request.node_id, request.incarnation, request.engine_id, set(request.held_attempts)
         )
         for dispatch in lost:
-            gevent.spawn(self._recover_safely, dispatch.key)
+            gevent.spawn(self._recover_with_retry, dispatch.key)
 
     def _assign_items(
         self, request: peer.ItemPull, job_id: str, keys: list[ItemKey]
     ) -> list[peer.ItemAssignment]:
         job = self._scheduler.job(job_id)
         if job is None or not self._holds(job_id):
-            return self._give_back(keys)
+            return self._requeue(keys)
         attempts = {key: self._starts.attempt_for(key) for key in keys}
         try:
             file_id = job.ledger.accepted.input_file_id
             bodies = {key: self._bodies.get(file_id, key.item_index) for key in keys}
             if job.ledger.accepted.at_most_once:
-                attempts = self._start_once(job, attempts)
+                attempts = self._record_starts(job, attempts)
         except LogUnavailableError:
-            return self._give_back(keys)
+            return self._requeue(keys)
         return [
             self._assign(request, job, key, attempt_id, bodies[key])
             for key, attempt_id in attempts.items()
         ]
 
-    def _give_back(self, keys: list[ItemKey]) -> list[peer.ItemAssignment]:
+    def _requeue(self, keys: list[ItemKey]) -> list[peer.ItemAssignment]:
         for key in keys:
             self._scheduler.requeue(key)
         return []
@@ -201,17 +201,17 @@
             at_most_once=submission.at_most_once,
         )
 
-    def _start_once(self, job: ScheduledJob, attempts: dict[ItemKey, str]) -> dict[ItemKey, str]:
+    def _record_starts(self, job: ScheduledJob, attempts: dict[ItemKey, str]) -> dict[ItemKey, str]:
         """Record the starts of at-most-once items; returns those that alone may run.
 
         Raises:
             LogUnavailableError: the starts are undecided; the next try settles them.
         """
-        won = self._starts.record(job.ledger, attempts)
-        may_run = won if self._holds(job.ledger.job_id) else {}
-        for key in [one for one in attempts if one not in may_run]:
+        first_starts = self._starts.record(job.ledger, attempts)
+        may_run = first_starts if self._holds(job.ledger.job_id) else {}
+        for key in [excluded for excluded in attempts if excluded not in may_run]:
             self._scheduler.withhold(key)
-            self._settle_later(key)
+            self._end_after_lease(key)
         return may_run
 
     def _holds(self, job_id: str) -> bool:
@@ -235,7 +235,7 @@
         elif outcome == peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN:
             self._recover(key)
         else:
-            self._return_not_run(job, key, report.attempt_id)
+            self._handle_not_run(job, key, report.attempt_id)
         return peer.ItemReportReply(accepted=True)
 
     def _report_of_unknown_job(self, report: peer.ItemReport) -> peer.ItemReportReply:
@@ -256,13 +256,13 @@
         self.committer.commit(key.job_id, result)
 
     def _custom_id(self, job: ScheduledJob, key: ItemKey) -> str:
-        known = self._custom_ids.get(key)
-        if known is None:
+        custom_id = self._custom_ids.get(key)
+        if custom_id is None:
             file_id = job.ledger.accepted.input_file_id
-            known = self._bodies.get(file_id, key.item_index).custom_id
-        return known
+            custom_id = self._bodies.get(file_id, key.item_index).custom_id
+        return custom_id
 
-    def _return_not_run(self, job: ScheduledJob, key: ItemKey, attempt_id: str) -> None:
+    def _handle_not_run(self, job: ScheduledJob, key: ItemKey, attempt_id: str) -> None:
         dispatch = self._scheduler.dispatch_of(key)
         if dispatch is None or dispatch.attempt_id != attempt_id:
             return
@@ -318,7 +318,7 @@
 
     # What became durable
 
-    def _committed(self, job_id: str, offset: int, body: records.ItemsFinished) -> None:
+    def _results_committed(self, job_id: str, offset: int, body: records.ItemsFinished) -> None:
         job = self._scheduler.job(job_id)
         if job is None:
             return
@@ -384,17 +384,17 @@
 
     # Owners
 
-    def _node_changed(self, change: StateChanged) -> None:
+    def _node_state_changed(self, change: StateChanged) -> None:
         for dispatch in self._scheduler.dispatches():
             if dispatch.owner_id != change.node_id:
                 continue
             restarted = dispatch.owner_incarnation < change.incarnation
             if restarted or change.state is NodeState.DEAD:
-                gevent.spawn(self._recover_safely, dispatch.key)
+                gevent.spawn(self._recover_with_retry, dispatch.key)
 
-    def _recover_safely(self, key: ItemKey) -> None:
+    def _recover_with_retry(self, key: ItemKey) -> None:
         try:
             self._recover(key)
         except PostvalveError as error:
             self._events.emit(Event.LOG_UNAVAILABLE, job=key.job_id, error=error.message)
-            gevent.spawn_later(LOG_RETRY_DELAY, self._recover_safely, key)
+            gevent.spawn_later(LOG_RETRY_DELAY, self._recover_with_retry, key)
--- a/postvalve/node/batch/input_lines.py
+++ b/postvalve/node/batch/input_lines.py
@@ -59,7 +59,7 @@
     try:
         return ChatCompletionBody.model_validate_json(content)
     except ValidationError as error:
-        raise _first_mistake(error, "") from None
+        raise _first_error(error, "") from None
 
 
 def check_line(line: bytes, number: int) -> BatchLine:
@@ -75,15 +75,15 @@
     try:
         return BatchLine.model_validate_json(line)
     except ValidationError as error:
-        raise _first_mistake(error, f"line {number}: ") from None
+        raise _first_error(error, f"line {number}: ") from None
 
 
-def _first_mistake(error: ValidationError, prefix: str) -> InvalidRequestError:
-    finding: Any = error.errors(include_url=False, include_input=False, include_context=False)[0]
-    field = ".".join(str(part) for part in finding["loc"])
-    place = f"{field}: " if field else ""
+def _first_error(error: ValidationError, prefix: str) -> InvalidRequestError:
+    detail: Any = error.errors(include_url=False, include_input=False, include_context=False)[0]
+    field = ".".join(str(part) for part in detail["loc"])
+    location = f"{field}: " if field else ""
     return InvalidRequestError(
-        f"{prefix}{place}{finding['msg']}", parameter=field or prefix.rstrip(": ") or None
+        f"{prefix}{location}{detail['msg']}", parameter=field or prefix.rstrip(": ") or None
     )
 
 
--- a/postvalve/node/batch/item_bodies.py
+++ b/postvalve/node/batch/item_bodies.py
@@ -47,17 +47,17 @@
             LogUnavailableError: the chunk could not be read.
             NotFoundError: the file has no such line.
         """
-        chunk = self._cached(file_id, line) or self._find(file_id, line)
+        chunk = self._cached_chunk(file_id, line) or self._read_chunk(file_id, line)
         document = json.loads(chunk.lines[line - chunk.first_line])
         return ItemBody(document["custom_id"], json.dumps(document["body"]).encode("utf-8"))
 
     def evict(self, file_id: str) -> None:
         """Drop what is kept of a file."""
         self._first_lines.pop(file_id, None)
-        for key in [one for one in self._chunks if one[0] == file_id]:
+        for key in [cached for cached in self._chunks if cached[0] == file_id]:
             del self._chunks[key]
 
-    def _cached(self, file_id: str, line: int) -> _Chunk | None:
+    def _cached_chunk(self, file_id: str, line: int) -> _Chunk | None:
         for offset, first_line in enumerate(self._first_lines.get(file_id, ())):
             chunk = self._chunks.get((file_id, offset))
             if chunk is None or first_line < 0:
@@ -67,28 +67,32 @@
                 return chunk
         return None
 
-    def _find(self, file_id: str, line: int) -> _Chunk:
+    def _read_chunk(self, file_id: str, line: int) -> _Chunk:
         # Offsets before the last known chunk that starts at or before the line are skipped.
-        known = self._first_lines.setdefault(file_id, [])
-        offset = max((index for index, first in enumerate(known) if 0 <= first <= line), default=0)
+        first_lines = self._first_lines.setdefault(file_id, [])
+        offset = max(
+            (index for index, first in enumerate(first_lines) if 0 <= first <= line), default=0
+        )
         while True:
-            part = self._log.read(file_stream(file_id), offset, limit=1)
-            if not part.entries:
+            log_slice = self._log.read(file_stream(file_id), offset, limit=1)
+            if not log_slice.entries:
                 raise NotFoundError(f"file {file_id} has no line {line + 1}")
-            record = parse_record(part.entries[0].payload)
-            chunk = self._keep(file_id, offset, record.body)
+            record = parse_record(log_slice.entries[0].payload)
+            chunk = self._cache_chunk(file_id, offset, record.body)
             if chunk and chunk.first_line <= line < chunk.first_line + len(chunk.lines):
                 return chunk
             offset += 1
 
-    def _keep(self, file_id: str, offset: int, body: betterproto.Message | None) -> _Chunk | None:
-        known = self._first_lines.setdefault(file_id, [])
-        while len(known) <= offset:
-            known.append(-1)
+    def _cache_chunk(
+        self, file_id: str, offset: int, body: betterproto.Message | None
+    ) -> _Chunk | None:
+        first_lines = self._first_lines.setdefault(file_id, [])
+        while len(first_lines) <= offset:
+            first_lines.append(-1)
         if not isinstance(body, records.FileChunk):
             return None
         chunk = _Chunk(body.first_line, body.content.splitlines())
-        known[offset] = body.first_line
+        first_lines[offset] = body.first_line
         self._chunks[file_id, offset] = chunk
         while len(self._chunks) > MAX_CACHED_CHUNKS:
             self._chunks.popitem(last=False)
--- a/postvalve/node/batch/item_reports.py
+++ b/postvalve/node/batch/item_reports.py
@@ -47,9 +47,9 @@
             on_end: Called when the report was taken, or is no longer wanted.
         """
         self.pending += 1
-        gevent.spawn(self._repeat, report, still_needed, on_end)
+        gevent.spawn(self._send_until_accepted, report, still_needed, on_end)
 
-    def _repeat(
+    def _send_until_accepted(
         self, report: peer.ItemReport, still_needed: Callable[[], bool], on_end: Callable[[], None]
     ) -> None:
         try:
@@ -62,21 +62,21 @@
     def _report_once(self, report: peer.ItemReport) -> bool:
         shard = shard_of(report.job_id, self._settings.shards)
         if self._holder.leases.holds(shard):
-            return self._is_taken_here(report)
+            return self._report_locally(report)
         holders = [
             member.peer_address
             for member in self._membership.view.members()
             if shard in member.summary.shards and member.node_id != self._settings.node_id
         ]
-        return any(self._is_taken(address, report) for address in holders)
+        return any(self._report_to(address, report) for address in holders)
 
-    def _is_taken_here(self, report: peer.ItemReport) -> bool:
+    def _report_locally(self, report: peer.ItemReport) -> bool:
         try:
             return self._holder.report(report).accepted
         except LogUnavailableError:
             return False
 
-    def _is_taken(self, address: str, report: peer.ItemReport) -> bool:
+    def _report_to(self, address: str, report: peer.ItemReport) -> bool:
         try:
             reply = self._transport.call(address, Channel.BATCH, report, REPORT_TIMEOUT)
         except PeerUnavailableError:
--- a/postvalve/node/batch/job_store.py
+++ b/postvalve/node/batch/job_store.py
@@ -139,34 +139,34 @@
 
     def tenant_jobs(self, tenant: str) -> list[str]:
         """Ids of a tenant's jobs, the newest first."""
-        return self._index(tenant_stream(tenant), records.JobAnnounced, _job_name)
+        return self._index(tenant_stream(tenant), records.JobAnnounced, _job_id_of)
 
     def tenant_files(self, tenant: str) -> list[str]:
         """Ids of a tenant's uploaded files, the newest first."""
-        return self._index(tenant_stream(tenant), records.FileIndexed, _file_name)
+        return self._index(tenant_stream(tenant), records.FileIndexed, _file_id_of)
 
     def announced_jobs(self) -> list[str]:
         """Ids of the jobs of all tenants, by shard."""
-        found: dict[str, None] = {}
+        ids: dict[str, None] = {}
         for shard in range(self._shards):
-            for job_id in self._index(shard_stream(shard), records.JobAnnounced, _job_name):
-                found[job_id] = None
-        return list(found)
+            for job_id in self._index(shard_stream(shard), records.JobAnnounced, _job_id_of):
+                ids[job_id] = None
+        return list(ids)
 
     def _index(
-        self, stream: str, wanted: type[Indexed], name: Callable[[Indexed], str]
+        self, stream: str, body_type: type[Indexed], id_of: Callable[[Indexed], str]
     ) -> list[str]:
-        found: dict[str, None] = {}
+        ids: dict[str, None] = {}
         for entry in read_all(self._log, stream):
             body = parse_record(entry.payload).body
-            if isinstance(body, wanted):
-                found[name(body)] = None
-        return list(reversed(found))
+            if isinstance(body, body_type):
+                ids[id_of(body)] = None
+        return list(reversed(ids))
 
 
-def _job_name(body: records.JobAnnounced) -> str:
+def _job_id_of(body: records.JobAnnounced) -> str:
     return body.job_id
 
 
-def _file_name(body: records.FileIndexed) -> str:
+def _file_id_of(body: records.FileIndexed) -> str:
     return body.file_id
--- a/postvalve/node/batch/result_committer.py
+++ b/postvalve/node/batch/result_committer.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingResult:
     result: records.ItemResult
     committed: AsyncResult
 
@@ -42,7 +42,7 @@
         self._writer = writer
         self._events = events
         self._on_commit = on_commit
-        self._queues: dict[str, list[_Waiting]] = defaultdict(list)
+        self._queues: dict[str, list[_PendingResult]] = defaultdict(list)
         self._busy: set[str] = set()
         self._pool = Pool(CONCURRENT_APPENDS)
         self._wakeup = GeventEvent()
@@ -54,7 +54,7 @@
 
     def commit(self, job_id: str, result: records.ItemResult) -> None:
         """Make a result durable; returns once it is."""
-        waiting = _Waiting(result, AsyncResult())
+        waiting = _PendingResult(result, AsyncResult())
         self._queues[job_id].append(waiting)
         self._wakeup.set()
         waiting.committed.get()
@@ -64,19 +64,19 @@
         self._wakeup.wait()
         gevent.sleep(GROUP_COMMIT_DELAY)
         self._wakeup.clear()
-        for job_id in [one for one, queue in self._queues.items() if queue]:
+        for job_id in [queued for queued, queue in self._queues.items() if queue]:
             if job_id not in self._busy:
                 self._busy.add(job_id)
-                self._pool.spawn(self._drain, job_id)
+                self._pool.spawn(self._append_queued, job_id)
 
-    def _drain(self, job_id: str) -> None:
+    def _append_queued(self, job_id: str) -> None:
         try:
-            while batch := self._take(job_id):
+            while batch := self._next_batch(job_id):
                 self._append(job_id, batch)
         finally:
             self._busy.discard(job_id)
 
-    def _take(self, job_id: str) -> list[_Waiting]:
+    def _next_batch(self, job_id: str) -> list[_PendingResult]:
         queue = self._queues[job_id]
         count = 0
         size = 0
@@ -91,14 +91,14 @@
             self._queues.pop(job_id, None)
         return batch
 
-    def _append(self, job_id: str, batch: list[_Waiting]) -> None:
+    def _append(self, job_id: str, batch: list[_PendingResult]) -> None:
         body = records.ItemsFinished(results=[waiting.result for waiting in batch])
-        offset = self._append_until_acknowledged(job_id, body)
+        offset = self._append_with_retry(job_id, body)
         self._on_commit(job_id, offset, body)
         for waiting in batch:
             waiting.committed.set(None)
 
-    def _append_until_acknowledged(self, job_id: str, body: records.ItemsFinished) -> int:
+    def _append_with_retry(self, job_id: str, body: records.ItemsFinished) -> int:
         while True:
             try:
                 return self._writer.append(job_stream(job_id), body, APPEND_ATTEMPT_TIMEOUT)
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -82,13 +82,13 @@
         self._membership = membership
         self._registry = registry
         self._holder = holder
-        self._held: dict[str, set[str]] = {}
+        self._held_attempts: dict[str, set[str]] = {}
         """Attempts by engine, from the pull until the report is taken."""
         self._unanswered: dict[UnansweredPull, None] = {}
         self._running: dict[str, RunningItem] = {}
         self._paused: dict[str, list[RunningItem]] = {}
         self._pulling: set[str] = set()
-        self._resting: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._reports = ItemReports(context, membership, holder)
         self._draining = False
         registry.on_preemption(self.preempt)
@@ -113,15 +113,15 @@
         for pull in list(self._unanswered):
             if pull.engine_id not in self._pulling:
                 self._pulling.add(pull.engine_id)
-                gevent.spawn(self._settle, pull)
+                gevent.spawn(self._confirm_received, pull)
         for engine in self._registry.owned():
-            self._fill_soon(engine)
-        self._return_orphans()
+            self._schedule_fill(engine)
+        self._return_unowned_items()
 
-    def _settle(self, pull: UnansweredPull) -> None:
+    def _confirm_received(self, pull: UnansweredPull) -> None:
         """Tell a holder what arrived, so that it takes back what did not."""
         request = self._pull_request(pull.engine_id, [], 0)
-        addresses = {one.peer_address for one in self._membership.view.members()}
+        addresses = {member.peer_address for member in self._membership.view.members()}
         try:
             if pull.holder_address in addresses:
                 self._transport.call(pull.holder_address, Channel.BATCH, request, PULL_TIMEOUT)
@@ -138,10 +138,10 @@
             engine_id=engine_id,
             models=models,
             slots=slots,
-            held_attempts=sorted(self._held.get(engine_id, ())),
+            held_attempts=sorted(self._held_attempts.get(engine_id, ())),
         )
 
-    def _fill_soon(self, engine: OwnedEngine) -> None:
+    def _schedule_fill(self, engine: OwnedEngine) -> None:
         engine_id = engine.machine.machine_id
         if engine_id not in self._pulling:
             self._pulling.add(engine_id)
@@ -158,21 +158,21 @@
 
     def _may_pull(self, engine: OwnedEngine) -> bool:
         now = self._clock.monotonic()
-        rested = self._resting.get(engine.machine.machine_id, 0.0) <= now
-        in_memory = self._reports.pending < MAX_UNREPORTED_ITEMS
-        return engine.usable and rested and in_memory and not self._draining
+        backoff_over = self._backoff_until.get(engine.machine.machine_id, 0.0) <= now
+        below_report_limit = self._reports.pending < MAX_UNREPORTED_ITEMS
+        return engine.usable and backoff_over and below_report_limit and not self._draining
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
         waiting = self._paused.get(engine.machine.machine_id, [])
         while waiting and engine.slots.batch_room(self._clock.monotonic()) > 0:
-            self._launch(engine, waiting.pop(0))
+            self._start_item(engine, waiting.pop(0))
 
-    def _return_orphans(self) -> None:
+    def _return_unowned_items(self) -> None:
         """Give back paused items of engines that this node no longer owns."""
         owned = {engine.machine.machine_id for engine in self._registry.owned()}
-        for engine_id in [one for one in self._paused if one not in owned]:
+        for engine_id in [paused for paused in self._paused if paused not in owned]:
             for item in self._paused.pop(engine_id):
-                self._send_report(item, _interrupted(item), 0, b"")
+                self._send_report(item, _interrupted_outcome(item), 0, b"")
 
     def _pull(self, engine: OwnedEngine) -> bool:
         """Start items of the first holder that has some; whether there were any."""
@@ -182,11 +182,11 @@
         engine_id = engine.machine.machine_id
         request = self._pull_request(engine_id, self._served_models(engine), room)
         for address in self._holders_with_work(set(request.models)):
-            assignments = self._ask_holder(address, request)
+            assignments = self._pull_from(address, request)
             for assignment in assignments:
                 item = RunningItem(assignment, engine.machine.machine_id)
-                self._held.setdefault(item.engine_id, set()).add(assignment.attempt_id)
-                self._launch(engine, item)
+                self._held_attempts.setdefault(item.engine_id, set()).add(assignment.attempt_id)
+                self._start_item(engine, item)
             if assignments:
                 return True
         return False
@@ -202,13 +202,13 @@
         if models & set(self._holder.waiting_by_model()):
             found.append((False, 0, ""))
         for member in self._membership.view.members():
-            waiting = sum(one.items for one in member.summary.pending if one.model in models)
+            waiting = sum(batch.items for batch in member.summary.pending if batch.model in models)
             if waiting and member.node_id != self._settings.node_id:
-                foreign = member.zone != self._settings.zone
-                found.append((foreign, -waiting, member.peer_address))
+                is_remote_zone = member.zone != self._settings.zone
+                found.append((is_remote_zone, -waiting, member.peer_address))
         return [address for _, _, address in sorted(found)]
 
-    def _ask_holder(self, address: str, request: peer.ItemPull) -> list[peer.ItemAssignment]:
+    def _pull_from(self, address: str, request: peer.ItemPull) -> list[peer.ItemAssignment]:
         if not address:
             return self._holder.pull(request)
         try:
@@ -218,7 +218,7 @@
             return []
         return reply.items if isinstance(reply, peer.ItemPullReply) else []
 
-    def _launch(self, engine: OwnedEngine, item: RunningItem) -> None:
+    def _start_item(self, engine: OwnedEngine, item: RunningItem) -> None:
         item.attempts += 1
         item.preempted = False
         now = self._clock.monotonic()
@@ -243,13 +243,13 @@
             body = json.dumps({"error": {"message": error.message}}).encode("utf-8")
             self._end(item, peer.ItemOutcome.ITEM_OUTCOME_FAILED, error.http_status, body)
         except AttemptError as error:
-            self._interrupt(engine, item, error)
+            self._handle_attempt_error(engine, item, error)
         finally:
             if item.stream is not None:
                 item.stream.close()
             self._running.pop(attempt_id, None)
             self._registry.release(engine.machine.machine_id, attempt_id)
-            self._fill_soon(engine)
+            self._schedule_fill(engine)
 
     def _read_stream(self, engine: OwnedEngine, item: RunningItem) -> None:
         assignment = item.assignment
@@ -257,7 +257,7 @@
             EngineAttempt(
                 attempt_id=item.engine_attempt_id,
                 request_id=f"chatcmpl-{assignment.attempt_id}",
-                body=_streamed(assignment.request_body),
+                body=_as_streamed(assignment.request_body),
                 priority=ONLINE_PRIORITY + 1 + assignment.rank,
                 cache_salt=cache_salt(assignment.tenant),
                 resume_offset=len(item.events),
@@ -273,7 +273,9 @@
         for event in item.stream.events():
             item.events.append(event)
 
-    def _interrupt(self, engine: OwnedEngine, item: RunningItem, error: AttemptError) -> None:
+    def _handle_attempt_error(
+        self, engine: OwnedEngine, item: RunningItem, error: AttemptError
+    ) -> None:
         if item.cancelled:
             return
         if item.preempted:
@@ -289,8 +291,8 @@
             verdict=error.verdict.value,
             error=error.message,
         )
-        self._resting[engine_id] = self._clock.monotonic() + FAILED_ENGINE_BACKOFF
-        outcome = _interrupted(item)
+        self._backoff_until[engine_id] = self._clock.monotonic() + FAILED_ENGINE_BACKOFF
+        outcome = _interrupted_outcome(item)
         if error.verdict is Verdict.MAY_HAVE_RUN:
             outcome = peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN
         self._end(item, outcome, 0, b"")
@@ -311,11 +313,13 @@
             response_body=body,
         )
         self._reports.send(
-            report, still_needed=lambda: not item.cancelled, on_end=lambda: self._forget(item)
+            report,
+            still_needed=lambda: not item.cancelled,
+            on_end=lambda: self._drop_held_attempt(item),
         )
 
-    def _forget(self, item: RunningItem) -> None:
-        self._held.get(item.engine_id, set()).discard(item.assignment.attempt_id)
+    def _drop_held_attempt(self, item: RunningItem) -> None:
+        self._held_attempts.get(item.engine_id, set()).discard(item.assignment.attempt_id)
 
     def preempt(self, engine_id: str, attempt_ids: tuple[str, ...]) -> None:
         """Cancel attempts that lost their slot to online work, at once."""
@@ -332,18 +336,18 @@
             self._events.emit(Event.ITEM_PREEMPTED, engine=engine_id, attempt=attempt_id)
             self._stop_stream(item)
             if connection is not None:
-                gevent.spawn(_cancel_quietly, connection.cancel, attempt_id)
+                gevent.spawn(_cancel_best_effort, connection.cancel, attempt_id)
 
     def cancel_job(self, job_id: str) -> None:
         """Stop the items of a cancelled job, running or paused."""
         for items in self._paused.values():
-            for item in [one for one in items if one.assignment.job_id == job_id]:
+            for item in [paused for paused in items if paused.assignment.job_id == job_id]:
                 items.remove(item)
-                self._forget(item)
+                self._drop_held_attempt(item)
         for item in list(self._running.values()):
             if item.assignment.job_id == job_id:
                 item.cancelled = True
-                self._forget(item)
+                self._drop_held_attempt(item)
                 self._stop_stream(item)
 
     @staticmethod
@@ -352,20 +356,20 @@
             item.stream.abort()
 
 
-def _interrupted(item: RunningItem) -> peer.ItemOutcome:
+def _interrupted_outcome(item: RunningItem) -> peer.ItemOutcome:
     # An at-most-once item that produced something did run.
     if item.events and item.assignment.at_most_once:
         return peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN
     return peer.ItemOutcome.ITEM_OUTCOME_NOT_RUN
 
 
-def _streamed(body: bytes) -> bytes:
+def _as_streamed(body: bytes) -> bytes:
     document = json.loads(body)
     document["stream"] = True
     return json.dumps(document).encode("utf-8")
 
 
-def _cancel_quietly(cancel: object, attempt_id: str) -> None:
+def _cancel_best_effort(cancel: object, attempt_id: str) -> None:
     assert callable(cancel)
     try:
         cancel(attempt_id)
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -82,7 +82,7 @@
         self._listener = listener
         self._followers: dict[int, _Follower] = {}
         self._releasing = False
-        self._settled = False
+        self._view_complete = False
         self._ranked_nodes: tuple[str, ...] = ()
         self._preferences: list[list[str]] = []
         self._started_at = self._clock.monotonic()
@@ -115,11 +115,11 @@
         for follower in list(self._followers.values()):
             if follower.held:
                 self._append_step(follower, LeaseStep.RELEASE)
-                self._lose(follower)
+                self._mark_lost(follower)
 
     def step(self) -> None:
         """Follow the right shards and take the due steps on their leases."""
-        if self._releasing or not self._view_settled():
+        if self._releasing or not self._is_view_complete():
             return
         nodes = tuple(self._membership.view.alive_ids())
         if nodes != self._ranked_nodes:
@@ -131,14 +131,14 @@
         for shard, order in enumerate(self._preferences):
             self._step_shard(shard, order)
 
-    def _view_settled(self) -> bool:
+    def _is_view_complete(self) -> bool:
         # Before a node that just started has heard the others, it would be the preferred
         # holder of every shard, and claim them all.
-        if self._settled or self._membership.heard_all_listed():
-            self._settled = True
+        if self._view_complete or self._membership.heard_all_listed():
+            self._view_complete = True
         timing = self._settings.timing
         timeout = timing.machine_list_interval + timing.dead_after + timing.digest_interval
-        return self._settled or self._clock.monotonic() - self._started_at >= timeout
+        return self._view_complete or self._clock.monotonic() - self._started_at >= timeout
 
     def _step_shard(self, shard: int, order: list[str]) -> None:
         node_id = self._settings.node_id
@@ -165,27 +165,27 @@
         lease = follower.state.lease
         holding = lease.state(now) is LeaseState.HELD_HERE
         if holding and not follower.held:
-            self._acquire(follower)
+            self._mark_acquired(follower)
         elif follower.held and not holding:
-            self._lose(follower)
-        step = lease.next_step(now, preferred=preferred, holder_gone=self._is_gone(lease.holder))
+            self._mark_lost(follower)
+        step = lease.next_step(now, preferred=preferred, holder_gone=self._is_dead(lease.holder))
         if step is not LeaseStep.NONE:
             gevent.spawn(self._append_step, follower, step)
         if step is LeaseStep.RELEASE:
-            self._lose(follower)
+            self._mark_lost(follower)
         elif holding and follower.state.checkpoint_due:
             gevent.spawn(self._append_checkpoint, follower)
 
-    def _is_gone(self, holder: str) -> bool:
+    def _is_dead(self, holder: str) -> bool:
         member = self._membership.member(holder)
         return member is not None and member.state is NodeState.DEAD
 
-    def _acquire(self, follower: _Follower) -> None:
+    def _mark_acquired(self, follower: _Follower) -> None:
         follower.held = True
         self._events.emit(Event.SHARD_LEASED, shard=follower.shard)
         self._listener.shard_acquired(follower.shard, follower.state.open_jobs)
 
-    def _lose(self, follower: _Follower) -> None:
+    def _mark_lost(self, follower: _Follower) -> None:
         if follower.held:
             follower.held = False
             self._events.emit(Event.SHARD_LOST, shard=follower.shard)
@@ -229,22 +229,22 @@
                 if follower.offset < 0:
                     follower.offset = self._replay_start(stream)
                 wait = LONG_POLL_TIMEOUT if follower.caught_up else 0.0
-                part = self._log.read(stream, follower.offset, wait=wait)
+                log_slice = self._log.read(stream, follower.offset, wait=wait)
             except LogUnavailableError:
                 gevent.sleep(LOG_RETRY_DELAY)
                 continue
-            for entry in part.entries:
+            for entry in log_slice.entries:
                 self._observe(follower, entry)
-            follower.offset = part.next_offset
-            follower.caught_up = follower.caught_up or part.caught_up
+            follower.offset = log_slice.next_offset
+            follower.caught_up = follower.caught_up or log_slice.caught_up
 
     def _replay_start(self, stream: str) -> int:
         end = self._log.read(stream, 0, limit=1).end_offset
         window = REPLAY_WINDOW
         while True:
             start = max(0, end - window)
-            part = self._log.read(stream, start)
-            for entry in reversed(part.entries):
+            log_slice = self._log.read(stream, start)
+            for entry in reversed(log_slice.entries):
                 if start == 0:
                     return 0
                 if isinstance(parse_record(entry.payload).body, records.ShardCheckpoint):
--- a/postvalve/node/batch/start_records.py
+++ b/postvalve/node/batch/start_records.py
@@ -23,11 +23,11 @@
         self._writer = context.writer
         self._new_id = context.new_id
         self._store = store
-        self._undecided: dict[ItemKey, str] = {}
+        self._unconfirmed: dict[ItemKey, str] = {}
 
     def attempt_for(self, key: ItemKey) -> str:
         """The id of an item's next attempt."""
-        return self._undecided.pop(key, None) or self._new_id()
+        return self._unconfirmed.pop(key, None) or self._new_id()
 
     def record(self, ledger: JobLedger, attempts: dict[ItemKey, str]) -> dict[ItemKey, str]:
         """Write the starts and return those that alone may run their items.
@@ -43,7 +43,7 @@
             self._writer.append(job_stream(ledger.job_id), records.ItemsStarted(starts=starts))
             self._store.catch_up(ledger)
         except LogUnavailableError:
-            self._undecided.update(attempts)
+            self._unconfirmed.update(attempts)
             raise
         return {
             key: attempt_id
--- a/postvalve/node/keyed_requests.py
+++ b/postvalve/node/keyed_requests.py
@@ -67,43 +67,45 @@
             LogUnavailableError: NOT_RUN, since nothing was dispatched.
         """
         stream = request_stream(request.tenant.name, key)
-        known = self._read(stream, KeyedRequest())
-        stored = self._stored(known, digest)
+        keyed_request = self._read(stream, KeyedRequest())
+        stored = self._stored_answer(keyed_request, digest)
         if stored is not None:
             return stored
-        attempt_id = self._start(stream, known, request, digest)
+        attempt_id = self._start(stream, keyed_request, request, digest)
         return self._dispatch(stream, attempt_id, request)
 
-    def _read(self, stream: str, known: KeyedRequest) -> KeyedRequest:
+    def _read(self, stream: str, keyed_request: KeyedRequest) -> KeyedRequest:
         try:
-            for entry in read_all(self._log, stream, known.next_offset):
-                known.observe(entry.offset, parse_record(entry.payload))
+            for entry in read_all(self._log, stream, keyed_request.next_offset):
+                keyed_request.observe(entry.offset, parse_record(entry.payload))
         except LogUnavailableError as error:
             # Nothing is dispatched before the key is decided.
             error.verdict = Verdict.NOT_RUN
             raise
-        return known
+        return keyed_request
 
-    def _stored(self, known: KeyedRequest, digest: str) -> KeyedAnswer | None:
-        if known.request_digest and known.request_digest != digest:
+    def _stored_answer(self, keyed_request: KeyedRequest, digest: str) -> KeyedAnswer | None:
+        if keyed_request.request_digest and keyed_request.request_digest != digest:
             raise ConflictError(
                 "this idempotency key was used for another request",
                 parameter="Idempotency-Key",
                 code="idempotency_key_reused",
             )
-        state = known.state(milliseconds(self._clock.wall()))
+        state = keyed_request.state(milliseconds(self._clock.wall()))
         if state is KeyState.RUNNING:
             raise RequestInProgressError(
                 "the request with this key is in progress", retry_after=IN_PROGRESS_RETRY_AFTER
             )
-        if state is KeyState.ABANDONED and known.start and known.start.at_most_once:
+        if state is KeyState.ABANDONED and keyed_request.start and keyed_request.start.at_most_once:
             raise RequestInProgressError("the request may have run and is not repeated")
-        if known.finish is None:
+        if keyed_request.finish is None:
             return None
-        content = known.finish.response_body
-        return KeyedAnswer(known.finish.content_type, iter((content,)), True)
+        content = keyed_request.finish.response_body
+        return KeyedAnswer(keyed_request.finish.content_type, iter((content,)), True)
 
-    def _start(self, stream: str, known: KeyedRequest, request: OnlineRequest, digest: str) -> str:
+    def _start(
+        self, stream: str, keyed_request: KeyedRequest, request: OnlineRequest, digest: str
+    ) -> str:
         attempt_id = self._new_id()
         remaining = request.deadline - self._clock.monotonic()
         started = records.RequestStarted(
@@ -111,15 +113,15 @@
             request_digest=digest,
             deadline_at_ms=milliseconds(self._clock.wall() + remaining),
             at_most_once=request.at_most_once,
-            replaces_attempt_id=known.start.attempt_id if known.start else "",
+            replaces_attempt_id=keyed_request.start.attempt_id if keyed_request.start else "",
         )
         try:
             self._writer.append(stream, started)
         except LogUnavailableError as error:
             error.verdict = Verdict.NOT_RUN
             raise
-        self._read(stream, known)
-        if known.start is None or known.start.attempt_id != attempt_id:
+        self._read(stream, keyed_request)
+        if keyed_request.start is None or keyed_request.start.attempt_id != attempt_id:
             raise RequestInProgressError(
                 "the request with this key is in progress", retry_after=IN_PROGRESS_RETRY_AFTER
             )
@@ -143,12 +145,12 @@
     def _stored_events(
         self, stream: str, attempt_id: str, events: Iterator[bytes]
     ) -> Iterator[bytes]:
-        kept: list[bytes] = []
+        sent: list[bytes] = []
         for event in events:
-            kept.append(event)
+            sent.append(event)
             if event == DONE_EVENT:
                 # Stored before the caller knows that it is whole.
-                self._finish(stream, attempt_id, EVENT_STREAM, b"".join(kept))
+                self._finish(stream, attempt_id, EVENT_STREAM, b"".join(sent))
             yield event
 
     def _finish(self, stream: str, attempt_id: str, content_type: str, content: bytes) -> None:
--- a/postvalve/node/log_writer.py
+++ b/postvalve/node/log_writer.py
@@ -43,14 +43,14 @@
         payload = encode_record(Record(record_id or self._new_id(), body))
         deadline = self._clock.monotonic() + timeout
         verdict = Verdict.NOT_RUN
-        pause = INITIAL_RETRY_DELAY
+        delay = INITIAL_RETRY_DELAY
         while True:
             try:
                 return self._log.append(stream, payload)
             except LogUnavailableError as error:
                 if error.verdict is not Verdict.NOT_RUN:
                     verdict = error.verdict
-                if self._clock.monotonic() + pause >= deadline:
+                if self._clock.monotonic() + delay >= deadline:
                     raise LogUnavailableError(error.message, verdict) from error
-            gevent.sleep(pause)
-            pause = min(MAX_RETRY_DELAY, pause * 2)
+            gevent.sleep(delay)
+            delay = min(MAX_RETRY_DELAY, delay * 2)
--- a/postvalve/node/online/admission.py
+++ b/postvalve/node/online/admission.py
@@ -49,29 +49,33 @@
 
 
 @dataclass(slots=True)
-class _Round:
+class _AdmissionRound:
     """What the owners of one round have said."""
 
-    found: bool = False
+    has_candidates: bool = False
     """Whether there were engines to ask for."""
     retry_after: float = OVERLOAD_RETRY_AFTER
-    told: dict[str, str] = field(default_factory=dict)
+    outcomes: dict[str, str] = field(default_factory=dict)
     """What each owner that answered said, by engine."""
-    unanswered: list[EngineCandidate] = field(default_factory=list)
+    silent_candidates: list[EngineCandidate] = field(default_factory=list)
 
-    def note(self, candidate: EngineCandidate, reply: peer.AdmissionReply | None) -> None:
+    def record_refusal(self, candidate: EngineCandidate, reply: peer.AdmissionReply | None) -> None:
         """An owner gave no slot."""
         if reply is not None:
-            self.told[candidate.engine_id] = _Outcome(reply.outcome).name
+            self.outcomes[candidate.engine_id] = _Outcome(reply.outcome).name
             self.retry_after = max(self.retry_after, reply.retry_after_ms / 1000)
-        elif candidate not in self.unanswered:
-            self.unanswered.append(candidate)
+        elif candidate not in self.silent_candidates:
+            self.silent_candidates.append(candidate)
 
     @property
-    def owners_change(self) -> bool:
+    def owner_changing(self) -> bool:
         """Whether all who were asked say that they are not the owners."""
         not_owner = _Outcome.ADMISSION_OUTCOME_NOT_OWNER.name
-        return bool(self.told) and set(self.told.values()) == {not_owner} and not self.unanswered
+        return (
+            bool(self.outcomes)
+            and set(self.outcomes.values()) == {not_owner}
+            and not self.silent_candidates
+        )
 
 
 class AdmissionClient:
@@ -97,61 +101,69 @@
         """
         for pause in (*OWNER_CHANGE_DELAYS, None):
             candidates = self._candidates(request, failed_engines)
-            round_ = _Round(bool(candidates))
-            admission = self._ask_owners(request, candidates, round_)
+            round_ = _AdmissionRound(bool(candidates))
+            admission = self._try_candidates(request, candidates, round_)
             if admission is not None:
                 return admission
-            over = pause is None or self._clock.monotonic() + pause >= request.deadline
-            if over or not round_.owners_change:
+            is_last_round = pause is None or self._clock.monotonic() + pause >= request.deadline
+            if is_last_round or not round_.owner_changing:
                 break
             # Nodes see the owners differently: nobody has refused, and views meet soon.
             gevent.sleep(pause)
         self._events.emit(
             Event.NO_ENGINE_ADMITTED,
             request=request.request_id,
-            owners=round_.told,
-            unanswered=[one.engine_id for one in round_.unanswered],
+            owners=round_.outcomes,
+            unanswered=[candidate.engine_id for candidate in round_.silent_candidates],
+        )
+        reason = (
+            "every engine is busy" if round_.has_candidates else "no engine serves the model now"
         )
-        reason = "every engine is busy" if round_.found else "no engine serves the model now"
         raise RefusedError(reason, retry_after=round_.retry_after)
 
     def _candidates(
         self, request: OnlineRequest, failed_engines: set[str]
     ) -> Sequence[EngineCandidate]:
         """Engines in the order in which they are asked for."""
-        find = self._registry.candidates
-        found = find(request.tenant, request.model, failed_engines)
-        if not found:
+        find_candidates = self._registry.candidates
+        candidates = find_candidates(request.tenant, request.model, failed_engines)
+        if not candidates:
             # Better an engine that failed before than none.
-            found = find(request.tenant, request.model, ())
-        return self._router.order(found, request.prefix_key)[:MAX_ADMISSION_CANDIDATES]
+            candidates = find_candidates(request.tenant, request.model, ())
+        return self._router.order(candidates, request.prefix_key)[:MAX_ADMISSION_CANDIDATES]
 
-    def _ask_owners(
-        self, request: OnlineRequest, candidates: Sequence[EngineCandidate], round_: _Round
+    def _try_candidates(
+        self, request: OnlineRequest, candidates: Sequence[EngineCandidate], round_: _AdmissionRound
     ) -> Admission | None:
         for candidate in candidates:
-            admission = self._ask(request, candidate, ADMISSION_TIMEOUT, round_)
+            admission = self._request_slot(request, candidate, ADMISSION_TIMEOUT, round_)
             if admission is not None:
                 return admission
         # A silent owner has refused nothing, and may have stood still for a moment.
-        for candidate in round_.unanswered[:MAX_RETRIED_OWNERS]:
-            left = request.deadline - self._clock.monotonic()
-            admission = self._ask(request, candidate, min(RETRY_ADMISSION_TIMEOUT, left), round_)
+        for candidate in round_.silent_candidates[:MAX_RETRIED_OWNERS]:
+            remaining = request.deadline - self._clock.monotonic()
+            admission = self._request_slot(
+                request, candidate, min(RETRY_ADMISSION_TIMEOUT, remaining), round_
+            )
             if admission is not None:
                 return admission
         return None
 
-    def _ask(
-        self, request: OnlineRequest, candidate: EngineCandidate, timeout: float, round_: _Round
+    def _request_slot(
+        self,
+        request: OnlineRequest,
+        candidate: EngineCandidate,
+        timeout: float,
+        round_: _AdmissionRound,
     ) -> Admission | None:
         admission = Admission(self._new_id(), candidate)
-        reply = self._ask_owner(request, admission, timeout)
+        reply = self._request_from_owner(request, admission, timeout)
         if reply is not None and reply.outcome == _Outcome.ADMISSION_OUTCOME_GRANTED:
             return admission
-        round_.note(candidate, reply)
+        round_.record_refusal(candidate, reply)
         return None
 
-    def _ask_owner(
+    def _request_from_owner(
         self, request: OnlineRequest, admission: Admission, timeout: float
     ) -> peer.AdmissionReply | None:
         """Ask for a slot; None where the owner did not answer."""
--- a/postvalve/node/online/dispatcher.py
+++ b/postvalve/node/online/dispatcher.py
@@ -46,7 +46,7 @@
         limit_key = self._enter_limit(request)
         self.in_progress += 1
         self._services.retries.count_request()
-        run = RequestRun(self._services, request, lambda: self._leave(limit_key))
+        run = RequestRun(self._services, request, lambda: self._request_ended(limit_key))
         try:
             return run.start()
         except BaseException:
@@ -61,7 +61,7 @@
         now = self._clock.monotonic()
         return self._limiter.enter(request.tenant.name, rules[0], live_nodes, now)
 
-    def _leave(self, limit_key: LimitKey | None) -> None:
+    def _request_ended(self, limit_key: LimitKey | None) -> None:
         self.in_progress -= 1
         if limit_key is not None:
             self._limiter.leave(limit_key)
--- a/postvalve/node/online/retries.py
+++ b/postvalve/node/online/retries.py
@@ -45,10 +45,10 @@
             return False
         if not may_repeat(verdict, at_most_once=request.at_most_once):
             return False
-        pause = backoff(progress.attempts - 1, self._random)
-        if self._clock.monotonic() + pause >= request.deadline:
+        delay = backoff(progress.attempts - 1, self._random)
+        if self._clock.monotonic() + delay >= request.deadline:
             return False
         if not self._budget.withdraw():
             return False
-        gevent.sleep(pause)
+        gevent.sleep(delay)
         return True
--- a/postvalve/node/online/run.py
+++ b/postvalve/node/online/run.py
@@ -56,8 +56,8 @@
                 self._attempt()
                 return
             except AttemptError as error:
-                self._fail_attempt(error)
-                if not self._may_go_on(error.verdict):
+                self._record_failed_attempt(error)
+                if not self._may_retry(error.verdict):
                     raise self._final_error(error) from error
             except PostvalveError as error:
                 # A refusal of this attempt says nothing of the earlier ones.
@@ -84,7 +84,7 @@
         if self._progress.expired:
             raise DeadlineExceededError("the deadline passed")
 
-    def _fail_attempt(self, error: AttemptError) -> None:
+    def _record_failed_attempt(self, error: AttemptError) -> None:
         assert self._admission is not None
         self._progress.failed_engines.add(self._admission.candidate.engine_id)
         if error.verdict is not Verdict.NOT_RUN:
@@ -92,7 +92,7 @@
         self._observer.record_failure(self._admission, error)
         self._release()
 
-    def _may_go_on(self, verdict: Verdict) -> bool:
+    def _may_retry(self, verdict: Verdict) -> bool:
         return self._retries.allow(self._request, self._progress, verdict)
 
     def _final_error(self, error: AttemptError) -> PostvalveError:
@@ -130,8 +130,8 @@
             yield event
 
     def _resume(self, error: AttemptError) -> None:
-        self._fail_attempt(error)
-        if not self._may_go_on(error.verdict):
+        self._record_failed_attempt(error)
+        if not self._may_retry(error.verdict):
             raise self._final_error(error)
         self._open()
         self._observer.record_resume(self._request)
@@ -146,13 +146,13 @@
                 self.finish("completed")
                 return content
             except AttemptError as error:
-                self._fail_attempt(error)
-                if not self._may_go_on(error.verdict):
+                self._record_failed_attempt(error)
+                if not self._may_retry(error.verdict):
                     self.finish("failed")
                     raise self._final_error(error) from error
-                self._open_again()
+                self._reopen()
 
-    def _open_again(self) -> None:
+    def _reopen(self) -> None:
         try:
             self._open()
         except PostvalveError:
--- a/postvalve/node/unknown_messages.py
+++ b/postvalve/node/unknown_messages.py
@@ -16,13 +16,13 @@
         self._events = events
         self._counts: dict[int, int] = {}
         """Of those that no line has told yet."""
-        self._told_at: dict[int, float] = {}
+        self._logged_at: dict[int, float] = {}
 
     def record(self, kind: int, peer: str, now: float) -> None:
         """One came from a peer, at monotonic time `now`."""
         self._counts[kind] = self._counts.get(kind, 0) + 1
-        if now - self._told_at.get(kind, float("-inf")) < UNKNOWN_MESSAGE_LOG_INTERVAL:
+        if now - self._logged_at.get(kind, float("-inf")) < UNKNOWN_MESSAGE_LOG_INTERVAL:
             return
-        self._told_at[kind] = now
+        self._logged_at[kind] = now
         count = self._counts.pop(kind)
         self._events.emit(Event.MESSAGES_NOT_KNOWN, kind=kind, peer=peer, count=count)
