--- a/postvalve/node/batch/item_reports.py
+++ b/postvalve/node/batch/item_reports.py
@@ -43,7 +43,7 @@
 
         Args:
             report: Outcome of the item.
-            wanted: Whether the report still matters; its job may be cancelled meanwhile.
+            still_needed: Returns whether the report is still needed; its job may be cancelled.
             on_end: Called when the report was accepted or is no longer needed.
         """
         self.pending += 1
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnansweredPull:
-    """A pull without a reply, whose lost reply may have assigned items."""
+    """A pull without a reply; the lost reply may have assigned items."""
 
     engine_id: str
     holder_address: str
@@ -199,8 +199,8 @@
     def _holders_with_work(self, models: set[str]) -> list[str]:
         """Return the peer addresses of holders with waiting items, in order of preference.
 
-        This node comes first, as the empty address; then nodes of the same zone; and among them
-        those with the most waiting items.
+        Nodes of the same zone come first, and within a zone those with the most waiting items.
+        The empty address stands for this node, which comes last of its own zone.
         """
         found: list[tuple[bool, int, str]] = []
         if models & set(self._holder.waiting_by_model()):
--- a/postvalve/node/keyed_requests.py
+++ b/postvalve/node/keyed_requests.py
@@ -1,8 +1,9 @@
-"""Online requests with an idempotency key: decided on the log before they run.
+"""Online requests with an idempotency key, whose start is recorded on the log before they run.
 
-A resend gets the stored answer. While the first one runs, or when its outcome is unknown,
-a resend is refused as *may have run*, and nothing runs twice. During a log outage such a
-request is refused as not run; requests without a key don't need the log.
+A resend gets the stored answer. While the first request runs, or if its outcome is unknown, a
+resend is refused as *may have run*, so that no request runs twice. A repeatable request may run
+again once the deadline of an unfinished start has passed. During a log outage, requests with a
+key are refused as not run; requests without a key do not need the log.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 from postvalve.services.log import read_all
 
 IN_PROGRESS_RETRY_AFTER = 1.0
-"""Seconds told to a resend while the first one runs."""
+"""Retry delay, in seconds, sent to a resend while the first request runs."""
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedAnswer:
-    """An answer, new or stored."""
+    """The answer to a request with an idempotency key, new or stored."""
 
     content_type: str
     blocks: Iterator[bytes]
@@ -41,14 +42,14 @@
 
 
 class RequestInProgressError(ConflictError):
-    """The key's request runs, or its outcome is unknown."""
+    """The first request with the key is running, or its outcome is unknown."""
 
     verdict = Verdict.MAY_HAVE_RUN
     code = "request_in_progress"
 
 
 class KeyedRequests:
-    """Runs requests that carry an idempotency key."""
+    """Runs requests that carry an idempotency key, at most one at a time per key."""
 
     def __init__(self, context: NodeContext, dispatcher: OnlineDispatcher) -> None:
         self._log = context.log
@@ -59,12 +60,12 @@
         self._dispatcher = dispatcher
 
     def run(self, request: OnlineRequest, key: str, digest: str) -> KeyedAnswer:
-        """Run a request once, or give the stored answer.
+        """Run a request once, or return the stored answer.
 
         Raises:
-            ConflictError: the key was used for another request.
-            RequestInProgressError: the first one runs, or its outcome is unknown.
-            LogUnavailableError: NOT_RUN, since nothing was dispatched.
+            ConflictError: if the key was used for a different request.
+            RequestInProgressError: if the first request runs, or its outcome is unknown.
+            LogUnavailableError: with NOT_RUN, if the log did not answer before the dispatch.
         """
         stream = request_stream(request.tenant.name, key)
         keyed_request = self._read(stream, KeyedRequest())
@@ -79,7 +80,7 @@
             for entry in read_all(self._log, stream, keyed_request.next_offset):
                 keyed_request.observe(entry.offset, parse_record(entry.payload))
         except LogUnavailableError as error:
-            # Nothing is dispatched before the key is decided.
+            # No request is dispatched until the state of its key has been read.
             error.verdict = Verdict.NOT_RUN
             raise
         return keyed_request
@@ -149,7 +150,7 @@
         for event in events:
             sent.append(event)
             if event == DONE_EVENT:
-                # Stored before the caller knows that it is whole.
+                # Stored before the client receives the event that completes the answer.
                 self._finish(stream, attempt_id, EVENT_STREAM, b"".join(sent))
             yield event
 
@@ -163,5 +164,5 @@
         try:
             self._writer.append(stream, body)
         except LogUnavailableError as error:
-            # The caller has the answer all the same; a resend is refused as may have run.
+            # The client still gets the answer; a resend is refused as may have run.
             self._events.emit(Event.LOG_UNAVAILABLE, stream=stream, error=error.message)
--- a/postvalve/node/log_writer.py
+++ b/postvalve/node/log_writer.py
@@ -1,4 +1,4 @@
-"""Appends with repetition: the same record id until the log answers or time is up."""
+"""Appends to the log with retries, under the same record id until acknowledged or timed out."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 from postvalve.services.log import LogService
 
 INITIAL_RETRY_DELAY = 0.1
-"""Seconds before the first repetition, doubled for each later one."""
+"""Seconds before the first retry; the delay doubles with each further one."""
 MAX_RETRY_DELAY = 2.0
+"""Longest delay between two retries, in seconds."""
 DEFAULT_APPEND_TIMEOUT = 3.0
-"""Seconds that an append is repeated for a caller who waits."""
+"""Seconds for which an append is retried while a client waits for it."""
 
 
 class LogWriter:
-    """Appends records to the log."""
+    """Appends records to the log, and retries while it does not answer."""
 
     def __init__(self, log: LogService, clock: Clock, new_id: Callable[[], str]) -> None:
         self._log = log
@@ -34,11 +35,13 @@
         timeout: float = DEFAULT_APPEND_TIMEOUT,
         record_id: str | None = None,
     ) -> int:
-        """Append a record, repeating it until it is acknowledged; returns its offset.
+        """Append a record, with retries until it is acknowledged, and return its offset.
+
+        Readers drop repeated records by their id.
 
         Raises:
-            LogUnavailableError: after `patience` seconds; NOT_RUN only when no repetition
-                may have taken effect.
+            LogUnavailableError: after `timeout` seconds; with NOT_RUN only if no attempt can have
+                taken effect.
         """
         payload = encode_record(Record(record_id or self._new_id(), body))
         deadline = self._clock.monotonic() + timeout
--- a/postvalve/node/online/__init__.py
+++ b/postvalve/node/online/__init__.py
@@ -1,1 +1,1 @@
-"""Online requests at a gateway: admission, attempts, retries."""
+"""Online requests at a gateway: admission, attempts and retries."""
--- a/postvalve/node/online/admission.py
+++ b/postvalve/node/online/admission.py
@@ -1,4 +1,4 @@
-"""Slots at engines: asked of their owners, used for one attempt, and given back."""
+"""Requests engine slots from their owners for single attempts, and releases them."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 _Outcome = peer.AdmissionOutcome
 
 ADMISSION_TIMEOUT = 0.5
-"""Seconds until an owner's answer is given up and another engine is asked."""
+"""Seconds to wait for an owner's reply before another engine is tried."""
 MAX_ADMISSION_CANDIDATES = 6
-"""Owners asked before a request is refused."""
+"""Maximum number of engines tried in one round."""
 RETRY_ADMISSION_TIMEOUT = 1.5
-"""Seconds for which an owner that did not answer is asked again, when no other has room."""
+"""Seconds to wait for the reply of a silent owner in a second try, if no other engine has room."""
 MAX_RETRIED_OWNERS = 2
-"""Silent owners that are asked again."""
+"""Maximum number of silent owners that are tried a second time."""
 OWNER_CHANGE_DELAYS = (0.15, 0.3, 0.6)
-"""Seconds between rounds in which all owners say that they are none; heartbeats tell of owners
-each second."""
+"""Seconds before each further round, if every node asked replied that it is not the owner; nodes
+learn of owners from heartbeats, which are sent each second."""
 MAX_RELEASE_ATTEMPTS = 4
-"""Times that a slot is given back to an owner that does not answer."""
+"""Attempts to release a slot at an owner that does not answer."""
 OVERLOAD_RETRY_AFTER = 1.0
-"""Seconds told to a caller when no engine has room."""
+"""Minimum retry delay, in seconds, sent to a client when no engine has room."""
 ONLINE_PRIORITY = 0
-"""Priority of online attempts at engines; batch ranks follow."""
+"""Priority of online attempts at engines; batch items have larger numbers, by rank."""
 
 
 @dataclass(slots=True)
@@ -50,17 +50,17 @@
 
 @dataclass(slots=True)
 class _AdmissionRound:
-    """What the owners of one round have said."""
+    """Replies of the owners in one round of admission requests."""
 
     has_candidates: bool = False
-    """Whether there were engines to ask for."""
+    """Whether any engine serves the model."""
     retry_after: float = OVERLOAD_RETRY_AFTER
     outcomes: dict[str, str] = field(default_factory=dict)
-    """What each owner that answered said, by engine."""
+    """Outcome in the reply of the owner, by engine."""
     silent_candidates: list[EngineCandidate] = field(default_factory=list)
 
     def record_refusal(self, candidate: EngineCandidate, reply: peer.AdmissionReply | None) -> None:
-        """An owner gave no slot."""
+        """Record that an owner granted no slot; `reply` is None if it did not answer."""
         if reply is not None:
             self.outcomes[candidate.engine_id] = _Outcome(reply.outcome).name
             self.retry_after = max(self.retry_after, reply.retry_after_ms / 1000)
@@ -69,7 +69,7 @@
 
     @property
     def owner_changing(self) -> bool:
-        """Whether all who were asked say that they are not the owners."""
+        """Whether every node asked replied that it is not the owner."""
         not_owner = _Outcome.ADMISSION_OUTCOME_NOT_OWNER.name
         return (
             bool(self.outcomes)
@@ -79,7 +79,7 @@
 
 
 class AdmissionClient:
-    """A gateway's access to the slots of all engines."""
+    """Requests and releases slots at the engines of all owners, on behalf of a gateway."""
 
     def __init__(
         self, context: NodeContext, membership: MembershipService, registry: EngineRegistry
@@ -94,22 +94,22 @@
         self._router = Router(context.settings.zone, context.generator)
 
     def admit(self, request: OnlineRequest, failed_engines: set[str]) -> Admission:
-        """Get a slot at some engine.
+        """Request a slot at the candidate engines, in order, until one is granted.
 
         Raises:
-            RefusedError: no engine has room, or none serves the model.
+            RefusedError: if no engine has room, or none serves the model.
         """
-        for pause in (*OWNER_CHANGE_DELAYS, None):
+        for delay in (*OWNER_CHANGE_DELAYS, None):
             candidates = self._candidates(request, failed_engines)
             round_ = _AdmissionRound(bool(candidates))
             admission = self._try_candidates(request, candidates, round_)
             if admission is not None:
                 return admission
-            is_last_round = pause is None or self._clock.monotonic() + pause >= request.deadline
+            is_last_round = delay is None or self._clock.monotonic() + delay >= request.deadline
             if is_last_round or not round_.owner_changing:
                 break
-            # Nodes see the owners differently: nobody has refused, and views meet soon.
-            gevent.sleep(pause)
+            # The nodes disagree about the owner: none has refused, and their views converge soon.
+            gevent.sleep(delay)
         self._events.emit(
             Event.NO_ENGINE_ADMITTED,
             request=request.request_id,
@@ -124,11 +124,11 @@
     def _candidates(
         self, request: OnlineRequest, failed_engines: set[str]
     ) -> Sequence[EngineCandidate]:
-        """Engines in the order in which they are asked for."""
+        """Return the engines to try, in order of preference."""
         find_candidates = self._registry.candidates
         candidates = find_candidates(request.tenant, request.model, failed_engines)
         if not candidates:
-            # Better an engine that failed before than none.
+            # An engine at which an attempt of this request failed is better than none.
             candidates = find_candidates(request.tenant, request.model, ())
         return self._router.order(candidates, request.prefix_key)[:MAX_ADMISSION_CANDIDATES]
 
@@ -139,7 +139,7 @@
             admission = self._request_slot(request, candidate, ADMISSION_TIMEOUT, round_)
             if admission is not None:
                 return admission
-        # A silent owner has refused nothing, and may have stood still for a moment.
+        # A silent owner has not refused; its process may have been suspended for a moment.
         for candidate in round_.silent_candidates[:MAX_RETRIED_OWNERS]:
             remaining = request.deadline - self._clock.monotonic()
             admission = self._request_slot(
@@ -166,7 +166,7 @@
     def _request_from_owner(
         self, request: OnlineRequest, admission: Admission, timeout: float
     ) -> peer.AdmissionReply | None:
-        """Ask for a slot; None where the owner did not answer."""
+        """Request a slot from the engine's owner; returns None if it did not answer."""
         message = peer.AdmissionRequest(
             attempt_id=admission.attempt_id,
             engine_id=admission.candidate.engine_id,
@@ -179,7 +179,7 @@
         try:
             reply = self._call_owner(admission, message, timeout)
         except PeerUnavailableError:
-            # The grant may have been made: give it back so that no slot leaks.
+            # The slot may have been granted: release it, so that it does not leak.
             self.release(admission)
             return None
         assert isinstance(reply, peer.AdmissionReply)
@@ -193,11 +193,11 @@
     ) -> object:
         owner = self._membership.member(admission.candidate.owner_id)
         if owner is None:
-            raise PeerUnavailableError("the owner is unknown", Verdict.NOT_RUN)
+            raise PeerUnavailableError("engine owner is not a known member", Verdict.NOT_RUN)
         return self._transport.call(owner.peer_address, Channel.ADMISSION, message, timeout)
 
     def release(self, admission: Admission) -> None:
-        """Give a slot back; does not wait for the owner."""
+        """Release a slot; a remote owner is notified in the background."""
         if admission.released:
             return
         admission.released = True
@@ -221,10 +221,11 @@
     def open_stream(
         self, request: OnlineRequest, admission: Admission, resume_offset: int
     ) -> EngineStream:
-        """Start an attempt at the admitted engine.
+        """Start an attempt at the engine of an admission, and return its stream.
 
         Raises:
-            AttemptError: with the verdict.
+            AttemptError: if the engine did not accept the attempt, with a verdict on whether it may
+                have run.
         """
         machine = self._registry.machine(admission.candidate.engine_id)
         if machine is None:
--- a/postvalve/node/online/dispatcher.py
+++ b/postvalve/node/online/dispatcher.py
@@ -1,4 +1,4 @@
-"""Starts online requests of this node's callers, within their tenants' limits."""
+"""Starts the online requests that clients send to this node, within their tenants' limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OnlineDispatcher:
-    """Dispatches online requests of this node's callers."""
+    """Runs the online requests that clients send to this node, and counts those in progress."""
 
     def __init__(
         self,
@@ -38,10 +38,11 @@
         self.in_progress = 0
 
     def run(self, request: OnlineRequest) -> OnlineAnswer:
-        """Start a request; returns once an engine answers.
+        """Start a request, and return once an engine answers.
 
         Raises:
-            PostvalveError: with a verdict; nothing is held after it.
+            PostvalveError: if the request was refused or failed, with a verdict; all slots and
+                limits are released.
         """
         limit_key = self._enter_limit(request)
         self.in_progress += 1
--- a/postvalve/node/online/observer.py
+++ b/postvalve/node/online/observer.py
@@ -11,7 +11,7 @@
 
 
 class OnlineObserver:
-    """Notes what happens to online requests."""
+    """Records metrics and log events of online requests."""
 
     def __init__(self, context: NodeContext) -> None:
         self._clock = context.clock
@@ -19,7 +19,7 @@
         self._metrics = context.metrics
 
     def record_failure(self, admission: Admission, error: AttemptError) -> None:
-        """Log and count a failed attempt."""
+        """Log and count a failed attempt at an engine."""
         self._metrics.record_failed_attempt(TrafficClass.ONLINE, error)
         self._events.emit(
             Event.ATTEMPT_FAILED,
@@ -30,22 +30,22 @@
         )
 
     def record_resume(self, request: OnlineRequest) -> None:
-        """Log and count a stream that goes on at another engine."""
+        """Log and count a stream that was resumed at another engine."""
         self._metrics.retries.labels("resume").inc()
         self._events.emit(Event.STREAM_RESUMED, request=request.request_id)
 
     def record_early_end(self, request: OnlineRequest, error: PostvalveError) -> None:
-        """Log a stream that ends with an error."""
+        """Log that a stream to the client ended with an error event."""
         self._events.emit(Event.STREAM_ENDED_EARLY, request=request.request_id, error=error.message)
 
     def record_first_token(self, request: OnlineRequest) -> None:
-        """Record the time to the first token."""
+        """Observe the time from a request's arrival to its first token."""
         waited = self._clock.monotonic() - request.arrived_at
         self._metrics.first_token.labels(request.workload.name).observe(waited)
         self._metrics.tenant_first_token.labels(request.tenant.name).observe(waited)
 
     def record_end(self, request: OnlineRequest, outcome: str) -> None:
-        """Count a request that ended."""
+        """Count a request that ended, and observe its duration."""
         workload = request.workload.name
         self._metrics.requests.labels(request.tenant.name, workload, outcome).inc()
         duration = self._clock.monotonic() - request.arrived_at
--- a/postvalve/node/online/retries.py
+++ b/postvalve/node/online/retries.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt is followed by another."""
+"""Decides whether and when a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from postvalve.node.online.request import OnlineRequest
 
 MAX_ATTEMPTS = 4
-"""Attempts at engines for one request, the first included."""
+"""Maximum attempts at engines for one request, including the first."""
 
 
 @dataclass(slots=True)
 class RequestProgress:
-    """What a request went through."""
+    """Attempts of a request, and how far its answer has come."""
 
     attempts: int = 0
     failed_engines: set[str] = field(default_factory=set)
@@ -28,7 +28,7 @@
 
 
 class RetryPolicy:
-    """The retry budget of this node."""
+    """Decides on retries, within the retry budget of this node."""
 
     def __init__(self, context: NodeContext) -> None:
         self._clock = context.clock
@@ -36,11 +36,11 @@
         self._budget = RetryBudget()
 
     def count_request(self) -> None:
-        """Count a first attempt, which earns a part of a retry."""
+        """Count the first attempt of a request, which adds a fraction of a retry to the budget."""
         self._budget.deposit()
 
     def allow(self, request: OnlineRequest, progress: RequestProgress, verdict: Verdict) -> bool:
-        """Whether a failed attempt is followed by another; waits the backoff."""
+        """Return whether a failed attempt may be retried; if so, sleeps for the backoff first."""
         if progress.attempts >= MAX_ATTEMPTS or progress.expired:
             return False
         if not may_repeat(verdict, at_most_once=request.at_most_once):
--- a/postvalve/node/online/run.py
+++ b/postvalve/node/online/run.py
@@ -1,4 +1,4 @@
-"""One online request: its attempts, one after the other, and its answer."""
+"""Runs one online request: sequential attempts at engines, and the answer."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunServices:
-    """What a run uses of its node."""
+    """The services of a node that its request runs use."""
 
     clock: Clock
     admissions: AdmissionClient
@@ -28,7 +28,7 @@
 
 
 class RequestRun:
-    """The attempts of one request, one after the other."""
+    """Runs the attempts of one request one after the other, until its deadline."""
 
     def __init__(
         self, services: RunServices, request: OnlineRequest, on_end: Callable[[], None]
@@ -46,7 +46,7 @@
         self._deadline_timer = gevent.spawn_later(remaining, self._expire)
 
     def start(self) -> OnlineAnswer:
-        """Open the first stream, with retries."""
+        """Open a stream at an engine, with retries, and return the answer."""
         self._open()
         return OnlineAnswer(self)
 
@@ -60,7 +60,7 @@
                 if not self._may_retry(error.verdict):
                     raise self._final_error(error) from error
             except PostvalveError as error:
-                # A refusal of this attempt says nothing of the earlier ones.
+                # A refusal of this attempt says nothing about the earlier ones.
                 if self._progress.may_have_run:
                     error.verdict = Verdict.MAY_HAVE_RUN
                 raise
@@ -104,7 +104,7 @@
         return final
 
     def events(self) -> Iterator[bytes]:
-        """Yield the stream's events; a cut one is resumed, or ends with an error event."""
+        """Yield the answer's events; a truncated stream is resumed or ends in an error event."""
         try:
             while True:
                 try:
@@ -137,7 +137,7 @@
         self._observer.record_resume(self._request)
 
     def read_body(self) -> bytes:
-        """Read an answer that is not streamed; retried where the request may repeat."""
+        """Read the body of an answer that is not streamed; failed attempts may be retried."""
         while True:
             assert self._stream is not None
             try:
@@ -173,7 +173,7 @@
             self._admission = None
 
     def finish(self, outcome: str) -> None:
-        """Give everything back; only the first call counts."""
+        """Release the slot and the stream, and record the outcome; later calls have no effect."""
         if self._finished:
             return
         self._finished = True
@@ -190,13 +190,13 @@
         self._run = run
 
     def events(self) -> Iterator[bytes]:
-        """Server-sent events, ready for the wire."""
+        """Yield the encoded server-sent events of the answer."""
         return self._run.events()
 
     def read_body(self) -> bytes:
-        """The whole answer as JSON.
+        """Return the complete answer as JSON.
 
         Raises:
-            PostvalveError: with a verdict.
+            PostvalveError: if no attempt succeeded, with a verdict.
         """
         return self._run.read_body()
