--- a/postvalve/node/keyed_requests.py
+++ b/postvalve/node/keyed_requests.py
@@ -146,12 +146,12 @@
     def _stored_events(
         self, stream: str, attempt_id: str, events: Iterator[bytes]
     ) -> Iterator[bytes]:
-        sent: list[bytes] = []
+        collected: list[bytes] = []
         for event in events:
-            sent.append(event)
+            collected.append(event)
             if event == DONE_EVENT:
                 # Stored before the client receives the event that completes the answer.
-                self._finish(stream, attempt_id, EVENT_STREAM, b"".join(sent))
+                self._finish(stream, attempt_id, EVENT_STREAM, b"".join(collected))
             yield event
 
     def _finish(self, stream: str, attempt_id: str, content_type: str, content: bytes) -> None:
--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -1,4 +1,4 @@
-"""Items complete exactly once and results stay readable, under failures."""
+"""Failures during batch jobs: items complete exactly once, and results stay readable."""
 
 import unittest
 
@@ -26,10 +26,10 @@
 AT_MOST_ONCE = {"X-Postvalve-At-Most-Once": "true"}
 
 
-class BatchSessionCase(unittest.TestCase):
-    """Sessions with a batch on four nodes in two zones."""
+class BatchSimulationCase(unittest.TestCase):
+    """Base of tests that simulate batch jobs on a fleet in virtual time; two zones by default."""
 
-    def session(self, function, **shape):
+    def simulate(self, function, **shape):
         def run(loop):
             fleet = VirtualFleet(loop, FleetShape(**{"zones": 2, "engines": 4, **shape}))
             fleet.start()
@@ -39,14 +39,14 @@
 
     def holder_of(self, fleet, job_id):
         loaded = [
-            one.node_id
-            for one in fleet.events
-            if one.event is Event.JOB_LOADED and one.fields["job"] == job_id
+            entry.node_id
+            for entry in fleet.events
+            if entry.event is Event.JOB_LOADED and entry.fields["job"] == job_id
         ]
         return loaded[-1]
 
     def lose_item_replies(self, fleet, count):
-        """Lose the first replies to pulls that carry items; returns them as they are lost."""
+        """Drop the first `count` pull replies with items; the returned list grows with each."""
         lost = []
 
         def loses_reply(reply):
@@ -68,22 +68,24 @@
             if running:
                 return min(running, key=lambda node_id: node_id in excluded)
             gevent.sleep(0.01)
-        raise AssertionError("no node runs items")
+        raise AssertionError("no node ran items within 100 polls")
 
 
-class BatchFailureTest(BatchSessionCase):
-    """Items that may be repeated."""
+class BatchFailureTest(BatchSimulationCase):
+    """Failures while repeatable items run: each item ends once, with a correct result."""
 
     def test_engine_dies_with_items(self):
         def run(fleet):
             job_id = submit_batch(fleet, "node-0-0", 200)
             gevent.sleep(0.2)
-            victim = max(fleet.engines.values(), key=lambda one: one.model.load().running)
-            self.assertGreater(victim.model.load().running, 0)
-            fleet.kill_engine(victim.place.owner)
+            busiest_engine = max(
+                fleet.engines.values(), key=lambda engine: engine.model.load().running
+            )
+            self.assertGreater(busiest_engine.model.load().running, 0)
+            fleet.kill_engine(busiest_engine.place.owner)
             check_job(self, fleet, job_id, 200)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_owner_dies_with_items(self):
         def run(fleet):
@@ -93,7 +95,7 @@
             fleet.kill_node(self.owner_with_items(fleet, {holder}))
             check_job(self, fleet, job_id, 300)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_holder_dies(self):
         def run(fleet):
@@ -102,7 +104,7 @@
             fleet.kill_node(self.holder_of(fleet, job_id))
             check_job(self, fleet, job_id, 300)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_node_is_lost_right_after_it_acknowledged(self):
         def run(fleet):
@@ -110,7 +112,7 @@
             fleet.kill_node("node-0-0")
             check_job(self, fleet, job_id, 20)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_an_item_that_breaks_every_engine_ends_as_failed(self):
         def run(fleet):
@@ -123,7 +125,7 @@
             self.assertEqual(line["custom_id"], "item-3")
             self.assertEqual(line["response"]["status_code"], 502)
 
-        self.session(run, zones=1, engines=2)
+        self.simulate(run, zones=1, engines=2)
 
     def test_replies_to_pulls_are_lost(self):
         def run(fleet):
@@ -132,7 +134,7 @@
             check_job(self, fleet, job_id, 200)
             self.assertEqual(len(lost), 2)
 
-        self.session(run, nodes_per_zone=3)
+        self.simulate(run, nodes_per_zone=3)
 
     def test_append_answers_are_lost(self):
         def run(fleet):
@@ -143,11 +145,11 @@
             self.assertEqual(answer.status, 503)
             self.assertEqual(answer.document["error"]["verdict"], "may_have_run")
             fleet.log.model.faults.fault = LogFault.NONE
-            again = create_batch(fleet, "node-1-0", file_id, headers=key)
-            self.assertEqual(again.status, 200)
-            check_job(self, fleet, again.document["id"], 30)
+            resent = create_batch(fleet, "node-1-0", file_id, headers=key)
+            self.assertEqual(resent.status, 200)
+            check_job(self, fleet, resent.document["id"], 30)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_answers_are_lost_while_results_are_written(self):
         def run(fleet):
@@ -158,39 +160,39 @@
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 100)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_job_is_sent_to_two_zones_at_once(self):
         def run(fleet):
             key = {"Idempotency-Key": "k"}
             file_id = upload(fleet, "node-0-0", batch_lines("m", 30))
-            both = [
+            submissions = [
                 gevent.spawn(create_batch, fleet, node_id, file_id, None, key)
                 for node_id in ("node-0-0", "node-1-0")
             ]
-            answers = [one.get() for one in both]
-            self.assertEqual({one.status for one in answers}, {200})
-            self.assertEqual(len({one.document["id"] for one in answers}), 1)
+            answers = [submission.get() for submission in submissions]
+            self.assertEqual({answer.status for answer in answers}, {200})
+            self.assertEqual(len({answer.document["id"] for answer in answers}), 1)
             check_job(self, fleet, answers[0].document["id"], 30)
             self.assertEqual(set(engine_runs(fleet).values()), {1})
 
-        self.session(run)
+        self.simulate(run)
 
     def test_two_bodies_under_one_key_at_once_have_one_winner(self):
         def run(fleet):
             key = {"Idempotency-Key": "k"}
             files = [upload(fleet, "node-0-0", batch_lines("m", count)) for count in (10, 11)]
-            both = [
+            submissions = [
                 gevent.spawn(create_batch, fleet, node_id, file_id, None, key)
                 for node_id, file_id in zip(("node-0-0", "node-1-0"), files, strict=True)
             ]
-            answers = [one.get() for one in both]
-            self.assertEqual(sorted(one.status for one in answers), [200, 409])
-            winner = next(one for one in answers if one.status == 200)
+            answers = [submission.get() for submission in submissions]
+            self.assertEqual(sorted(answer.status for answer in answers), [200, 409])
+            winner = next(answer for answer in answers if answer.status == 200)
             count = winner.document["request_counts"]["total"]
             check_job(self, fleet, winner.document["id"], count)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_log_is_down_for_minutes(self):
         def run(fleet):
@@ -205,7 +207,7 @@
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 300)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_log_is_slow(self):
         def run(fleet):
@@ -214,7 +216,7 @@
             job_id = submit_batch(fleet, "node-0-0", 100)
             check_job(self, fleet, job_id, 100)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_log_is_so_slow_that_appends_take_effect_unanswered(self):
         def run(fleet):
@@ -226,7 +228,7 @@
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 100)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_every_node_is_replaced_one_after_the_other(self):
         def run(fleet):
@@ -239,7 +241,7 @@
                 gevent.sleep(4)
             check_job(self, fleet, job_id, 2000)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_every_node_is_replaced_at_once(self):
         def run(fleet):
@@ -256,9 +258,9 @@
             check_job(self, fleet, done_id, 20, name="done")
             check_job(self, fleet, job_id, 500)
 
-        self.session(run)
+        self.simulate(run)
 
-    def test_holder_wakes_after_its_lease_lapsed(self):
+    def test_holder_resumes_after_its_lease_expired(self):
         def run(fleet):
             job_id = submit_batch(fleet, "node-0-0", 600)
             gevent.sleep(0.3)
@@ -270,7 +272,7 @@
             check_job(self, fleet, job_id, 600)
             views_agree(self, fleet, job_id)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_submitter_dies_between_its_records(self):
         def run(fleet):
@@ -281,17 +283,17 @@
             fleet.kill_node("node-0-0")
             with self.assertRaises(ConnectionResetByNodeError):
                 first.get()
-            again = create_batch(fleet, "node-1-0", file_id, headers=key)
-            check_job(self, fleet, again.document["id"], 10)
+            resent = create_batch(fleet, "node-1-0", file_id, headers=key)
+            check_job(self, fleet, resent.document["id"], 10)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_cancel_races_with_completion(self):
         for delay in (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4):
             with self.subTest(delay=delay):
-                self.session(lambda fleet, delay=delay: self.race(fleet, delay))
+                self.simulate(lambda fleet, delay=delay: self.cancel_after(fleet, delay))
 
-    def race(self, fleet, delay):
+    def cancel_after(self, fleet, delay):
         job_id = submit_batch(fleet, "node-0-0", 60)
         gevent.sleep(delay)
         answer = fleet.request("node-1-0", "POST", f"/v1/batches/{job_id}/cancel")
@@ -304,8 +306,8 @@
         self.assertEqual(running, [0] * len(running))
 
 
-class AtMostOnceTest(BatchSessionCase):
-    """Items that must not be repeated, under the same failures."""
+class AtMostOnceTest(BatchSimulationCase):
+    """Failures while at-most-once items run: no item reaches an engine twice."""
 
     def test_nothing_fails(self):
         def run(fleet):
@@ -313,28 +315,30 @@
             _, failed = check_job(self, fleet, job_id, 100, at_most_once=True)
             self.assertEqual(failed, [])
 
-        self.session(run)
+        self.simulate(run)
 
     def test_replies_to_pulls_are_lost(self):
         def run(fleet):
             lost = self.lose_item_replies(fleet, 2)
             job_id = submit_batch(fleet, "node-0-0", 200, headers=AT_MOST_ONCE)
             _, failed = check_job(self, fleet, job_id, 200, at_most_once=True)
-            # What nobody got did not run, but only its start is known.
+            # Lost items did not run, but only their starts are on record, so they end as failed.
             self.assertEqual(len(failed), sum(len(reply.items) for reply in lost))
 
-        self.session(run, nodes_per_zone=3)
+        self.simulate(run, nodes_per_zone=3)
 
     def test_engine_dies_with_items(self):
         def run(fleet):
             job_id = submit_batch(fleet, "node-0-0", 200, headers=AT_MOST_ONCE)
             gevent.sleep(0.3)
-            victim = max(fleet.engines.values(), key=lambda one: one.model.load().running)
-            fleet.kill_engine(victim.place.owner)
+            busiest_engine = max(
+                fleet.engines.values(), key=lambda engine: engine.model.load().running
+            )
+            fleet.kill_engine(busiest_engine.place.owner)
             _, failed = check_job(self, fleet, job_id, 200, at_most_once=True)
             self.assertGreater(len(failed), 0)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_owner_dies_with_items(self):
         def run(fleet):
@@ -344,12 +348,12 @@
             fleet.kill_node(self.owner_with_items(fleet, {holder}))
             check_job(self, fleet, job_id, 300, at_most_once=True)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_holder_dies(self):
         for delay in (0.12, 0.15, 0.2, 0.5):
             with self.subTest(delay=delay):
-                self.session(lambda fleet, delay=delay: self.kill_holder(fleet, delay))
+                self.simulate(lambda fleet, delay=delay: self.kill_holder(fleet, delay))
 
     def kill_holder(self, fleet, delay):
         job_id = submit_batch(fleet, "node-0-0", 300, headers=AT_MOST_ONCE)
@@ -357,7 +361,7 @@
         fleet.kill_node(self.holder_of(fleet, job_id))
         check_job(self, fleet, job_id, 300, at_most_once=True)
 
-    def test_holder_wakes_after_its_lease_lapsed(self):
+    def test_holder_resumes_after_its_lease_expired(self):
         def run(fleet):
             job_id = submit_batch(fleet, "node-0-0", 600, headers=AT_MOST_ONCE)
             gevent.sleep(0.3)
@@ -367,7 +371,7 @@
             fleet.thaw_node(holder)
             check_job(self, fleet, job_id, 600, at_most_once=True)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_answers_are_lost_while_results_are_written(self):
         def run(fleet):
@@ -378,7 +382,7 @@
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 100, at_most_once=True)
 
-        self.session(run)
+        self.simulate(run)
 
     def test_log_is_down_for_minutes(self):
         def run(fleet):
@@ -392,7 +396,7 @@
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 300, at_most_once=True)
 
-        self.session(run)
+        self.simulate(run)
 
 
 if __name__ == "__main__":
--- a/tests/test_differential.py
+++ b/tests/test_differential.py
@@ -1,4 +1,4 @@
-"""The real thing beside a naive version: one process, one queue, no faults."""
+"""Compares the service and its job ledger with simple reference models, without faults."""
 
 import unittest
 from unittest import mock
@@ -26,13 +26,13 @@
 
 
 class NaiveService:
-    """Runs everything in the order it comes; a page, and obviously right."""
+    """Reference model of the service: computes each answer directly, in order of arrival."""
 
     def __init__(self):
         self._jobs = {}
 
     def submit(self, tenant, key, name, count):
-        """Returns the answers of the job, or None for a conflict."""
+        """Return the answers of the job by custom id, or None for a conflict."""
         known = self._jobs.get((tenant, key))
         if known is not None and known != (name, count):
             return None
@@ -48,7 +48,7 @@
 
 
 class NaiveLedger:
-    """What a job's records add up to, kept in full."""
+    """Reference model of the job ledger, which keeps every result that counts."""
 
     def __init__(self):
         self.items = None
@@ -93,7 +93,7 @@
 
 
 def replay(sequence):
-    """Counted results and final state by the real ledger."""
+    """Return the ledger after all records, and the attempt that counts for each item."""
     ledger = JobLedger("j")
     counted = {}
     for offset, body in enumerate(sequence):
@@ -125,7 +125,8 @@
         self.assertEqual(counted, again)
 
     def test_with_the_mechanism_off_the_comparison_fails(self):
-        # Counting a second result in place of the first is what the ledger must not do.
+        # Checks the comparison itself: it must detect a ledger that lets a second result of an
+        # item replace the first.
         results = [
             records.ItemsFinished(results=[records.ItemResult(0, attempt, status_code=200)])
             for attempt in "ab"
@@ -153,7 +154,7 @@
     @given(submissions, st.integers(1, 2), st.integers(1, 3))
     def test_batches_agree_with_the_naive_service(self, submissions, zones, engines):
         naive = NaiveService()
-        expected = [naive.submit(*one[:4]) for one in submissions]
+        expected = [naive.submit(*submission[:4]) for submission in submissions]
 
         def run(loop):
             fleet = VirtualFleet(loop, FleetShape(zones=zones, engines=engines))
