--- a/postvalve/node/batch/file_store.py
+++ b/postvalve/node/batch/file_store.py
@@ -179,7 +179,7 @@
 
         Raises:
             NotFoundError: if the file does not exist, was deleted or belongs to another tenant.
-            LogUnavailableError: if the file is not cached and the log did not answer.
+            LogUnavailableError: if the metadata could not be read from the log.
         """
         cached = self._descriptions.get(file_id)
         if cached is None or self._end_offset(file_id, cached.end_offset) != cached.end_offset:
--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -40,7 +40,8 @@
 ENGINE_FAILURE_STATUS = 502
 """HTTP status recorded for an item that ended without an answer of an engine."""
 MAX_RECOVERIES = 20
-"""Failed attempts after which a repeatable item ends as failed; it may make engines fail."""
+"""Failed attempts after which a repeatable item ends as failed, since the item may be what makes
+engines fail."""
 
 
 class BatchHolder:
@@ -294,7 +295,7 @@
         self._scheduler.requeue(key)
 
     def _end_as_failed(self, job: ScheduledJob, key: ItemKey) -> None:
-        """End an item that failed `MAX_RECOVERIES` times, since it may make engines fail."""
+        """End an item after `MAX_RECOVERIES` failures, since it may be what makes engines fail."""
         message = f"engines failed {MAX_RECOVERIES} times while they ran this item"
         result = records.ItemResult(
             item_index=key.item_index,
--- a/postvalve/node/batch/item_reports.py
+++ b/postvalve/node/batch/item_reports.py
@@ -15,7 +15,7 @@
 from postvalve.node.peer_link import Channel
 
 REPORT_TIMEOUT = 60.0
-"""Seconds to wait for a holder's reply, which it sends once the result is durable."""
+"""Seconds to wait for a holder's reply, which is sent once the result is durable."""
 REPORT_RETRY_DELAY = 0.5
 """Seconds before a report that no holder accepted is repeated."""
 
--- a/postvalve/node/batch/result_committer.py
+++ b/postvalve/node/batch/result_committer.py
@@ -45,21 +45,21 @@
         self._events = events
         self._on_commit = on_commit
         self._queues: dict[str, list[_PendingResult]] = defaultdict(list)
-        self._busy: set[str] = set()
+        self._appending: set[str] = set()
         self._pool = Pool(CONCURRENT_APPENDS)
         self._wakeup = GeventEvent()
 
     @property
     def pending(self) -> int:
         """Number of queued results, plus the jobs whose results are being appended."""
-        return sum(len(queue) for queue in self._queues.values()) + len(self._busy)
+        return sum(len(queue) for queue in self._queues.values()) + len(self._appending)
 
     def commit(self, job_id: str, result: records.ItemResult) -> None:
         """Queue a result for its job's stream, and wait until it is durable."""
-        waiting = _PendingResult(result, AsyncResult())
-        self._queues[job_id].append(waiting)
+        pending_result = _PendingResult(result, AsyncResult())
+        self._queues[job_id].append(pending_result)
         self._wakeup.set()
-        waiting.committed.get()
+        pending_result.committed.get()
 
     def run_once(self) -> None:
         """Wait for queued results, and start an append for each job that has some."""
@@ -67,8 +67,8 @@
         gevent.sleep(GROUP_COMMIT_DELAY)
         self._wakeup.clear()
         for job_id in [queued for queued, queue in self._queues.items() if queue]:
-            if job_id not in self._busy:
-                self._busy.add(job_id)
+            if job_id not in self._appending:
+                self._appending.add(job_id)
                 self._pool.spawn(self._append_queued, job_id)
 
     def _append_queued(self, job_id: str) -> None:
@@ -76,14 +76,14 @@
             while batch := self._next_batch(job_id):
                 self._append(job_id, batch)
         finally:
-            self._busy.discard(job_id)
+            self._appending.discard(job_id)
 
     def _next_batch(self, job_id: str) -> list[_PendingResult]:
         queue = self._queues[job_id]
         count = 0
         size = 0
-        for waiting in queue[:MAX_RESULTS_PER_APPEND]:
-            size += len(waiting.result.response_body)
+        for pending_result in queue[:MAX_RESULTS_PER_APPEND]:
+            size += len(pending_result.result.response_body)
             if count and size > MAX_BYTES_PER_APPEND:
                 break
             count += 1
@@ -94,11 +94,11 @@
         return batch
 
     def _append(self, job_id: str, batch: list[_PendingResult]) -> None:
-        body = records.ItemsFinished(results=[waiting.result for waiting in batch])
+        body = records.ItemsFinished(results=[pending_result.result for pending_result in batch])
         offset = self._append_with_retry(job_id, body)
         self._on_commit(job_id, offset, body)
-        for waiting in batch:
-            waiting.committed.set(None)
+        for pending_result in batch:
+            pending_result.committed.set(None)
 
     def _append_with_retry(self, job_id: str, body: records.ItemsFinished) -> int:
         while True:
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -163,9 +163,9 @@
         return engine.usable and backoff_over and below_report_limit and not self._draining
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
-        waiting = self._paused.get(engine.machine.machine_id, [])
-        while waiting and engine.slots.batch_room(self._clock.monotonic()) > 0:
-            self._start_item(engine, waiting.pop(0))
+        paused = self._paused.get(engine.machine.machine_id, [])
+        while paused and engine.slots.batch_room(self._clock.monotonic()) > 0:
+            self._start_item(engine, paused.pop(0))
 
     def _return_unowned_items(self) -> None:
         """Return the paused items of engines that this node no longer owns to their holders."""
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -118,7 +118,7 @@
                 self._mark_lost(follower)
 
     def step(self) -> None:
-        """Follow the shards for which this node ranks high enough, and update their leases."""
+        """Follow the shards that rank this node in the first `FOLLOWERS_PER_SHARD`; update leases."""
         if self._releasing or not self._is_view_complete():
             return
         nodes = tuple(self._membership.view.alive_ids())
--- a/postvalve/node/keyed_requests.py
+++ b/postvalve/node/keyed_requests.py
@@ -164,5 +164,5 @@
         try:
             self._writer.append(stream, body)
         except LogUnavailableError as error:
-            # The client still gets the answer; a resend is refused as may have run.
+            # The client still gets its answer or error; a resend is refused as may have run.
             self._events.emit(Event.LOG_UNAVAILABLE, stream=stream, error=error.message)
--- a/postvalve/node/online/admission.py
+++ b/postvalve/node/online/admission.py
@@ -55,9 +55,11 @@
     has_candidates: bool = False
     """Whether any engine serves the model."""
     retry_after: float = OVERLOAD_RETRY_AFTER
+    """Seconds after which the client may retry."""
     outcomes: dict[str, str] = field(default_factory=dict)
     """Outcome in the reply of the owner, by engine."""
     silent_candidates: list[EngineCandidate] = field(default_factory=list)
+    """Engines whose owners did not answer."""
 
     def record_refusal(self, candidate: EngineCandidate, reply: peer.AdmissionReply | None) -> None:
         """Record that an owner granted no slot; `reply` is None if it did not answer."""
