--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -216,7 +216,7 @@
         """
         first_starts = self._starts.record(job.ledger, attempts)
         may_run = first_starts if self._holds(job.ledger.job_id) else {}
-        for key in [excluded for excluded in attempts if excluded not in may_run]:
+        for key in [key for key in attempts if key not in may_run]:
             self._scheduler.withhold(key)
             self._end_after_lease(key)
         return may_run
--- a/postvalve/node/batch/item_bodies.py
+++ b/postvalve/node/batch/item_bodies.py
@@ -54,7 +54,7 @@
     def evict(self, file_id: str) -> None:
         """Drop the cached chunks and offsets of a file."""
         self._first_lines.pop(file_id, None)
-        for key in [cached for cached in self._chunks if cached[0] == file_id]:
+        for key in [key for key in self._chunks if key[0] == file_id]:
             del self._chunks[key]
 
     def _cached_chunk(self, file_id: str, line: int) -> _Chunk | None:
--- a/postvalve/node/batch/result_committer.py
+++ b/postvalve/node/batch/result_committer.py
@@ -66,7 +66,7 @@
         self._wakeup.wait()
         gevent.sleep(GROUP_COMMIT_DELAY)
         self._wakeup.clear()
-        for job_id in [queued for queued, queue in self._queues.items() if queue]:
+        for job_id in [job_id for job_id, queue in self._queues.items() if queue]:
             if job_id not in self._appending:
                 self._appending.add(job_id)
                 self._pool.spawn(self._append_queued, job_id)
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -170,7 +170,7 @@
     def _return_unowned_items(self) -> None:
         """Return the paused items of engines that this node no longer owns to their holders."""
         owned = {engine.machine.machine_id for engine in self._registry.owned()}
-        for engine_id in [paused for paused in self._paused if paused not in owned]:
+        for engine_id in [engine_id for engine_id in self._paused if engine_id not in owned]:
             for item in self._paused.pop(engine_id):
                 self._send_report(item, _interrupted_outcome(item), 0, b"")
 
@@ -273,7 +273,7 @@
             raise AttemptError("model version changed before the resume", Verdict.MAY_HAVE_RUN)
         item.model_version = item.stream.model_version
         if item.preempted or item.cancelled:
-            raise AttemptError("attempt aborted: item cancelled or preempted", Verdict.MAY_HAVE_RUN)
+            raise AttemptError("interrupted", Verdict.MAY_HAVE_RUN)
         for event in item.stream.events():
             item.events.append(event)
 
@@ -345,7 +345,7 @@
     def cancel_job(self, job_id: str) -> None:
         """Abort the running items of a cancelled job, and drop its paused ones."""
         for items in self._paused.values():
-            for item in [paused for paused in items if paused.assignment.job_id == job_id]:
+            for item in [item for item in items if item.assignment.job_id == job_id]:
                 items.remove(item)
                 self._drop_held_attempt(item)
         for item in list(self._running.values()):
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -118,7 +118,7 @@
                 self._mark_lost(follower)
 
     def step(self) -> None:
-        """Follow the shards that rank this node among their first nodes, and update their leases."""
+        """Follow the shards that rank this node among their first, and update their leases."""
         if self._releasing or not self._is_view_complete():
             return
         nodes = tuple(self._membership.view.alive_ids())
