--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -1,4 +1,4 @@
-"""Works on the jobs of held shards: hands items to engine owners, records their results."""
+"""Manages the jobs of held shards: dispatches items to engine owners and records results."""
 
 from __future__ import annotations
 
@@ -34,17 +34,21 @@
 from postvalve.states import JobState, NodeState
 
 MAX_ITEMS_PER_PULL = 64
-"""Items handed out in one answer."""
+"""Maximum number of items in one reply to a pull."""
 LOG_RETRY_DELAY = 1.0
-"""Seconds between tries to load a job while the log does not answer."""
+"""Seconds before a failed call to the log is retried."""
 ENGINE_FAILURE_STATUS = 502
-"""Status recorded for an item that ended without an answer."""
+"""HTTP status recorded for an item that ended without an answer of an engine."""
 MAX_RECOVERIES = 20
-"""Attempts that may have run and failed until a repeatable item ends as failed."""
+"""Failed attempts after which a repeatable item ends as failed, since the item may be what makes
+engines fail."""
 
 
 class BatchHolder:
-    """The jobs that this node holds."""
+    """Holds jobs: schedules their items, answers engine owners and closes ended jobs.
+
+    A node holds the jobs of the shards whose leases it has.
+    """
 
     def __init__(
         self, context: NodeContext, membership: MembershipService, store: JobStore
@@ -65,17 +69,17 @@
         self._recoveries: Counter[ItemKey] = Counter()
         self._loading: set[str] = set()
         self._closing: set[str] = set()
-        self.committer = ResultCommitter(context.writer, context.events, self._committed)
+        self.committer = ResultCommitter(context.writer, context.events, self._results_committed)
         self.leases = ShardLeases(context, membership, self)
-        membership.add_listener(self._node_changed)
+        membership.listen(self._node_state_changed)
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to work."""
+        """Start the background tasks that maintain leases and commit results."""
         self.leases.start(tasks)
         tasks.loop(self.committer.run_once)
 
     def waiting_by_model(self) -> dict[str, int]:
-        """Items that wait for an engine, by model."""
+        """Return the number of items that wait for an engine, by model."""
         return self._scheduler.waiting_by_model()
 
     # ShardListener
@@ -86,7 +90,7 @@
             self.job_opened(shard, job_id)
 
     def shard_lost(self, shard: int) -> None:
-        """See `ShardListener`. Items that are with owners finish there all the same."""
+        """See `ShardListener`. Dispatched items still finish at their engine owners."""
         for job_id in self._scheduler.job_ids():
             if shard_of(job_id, self._settings.shards) == shard:
                 self._scheduler.remove(job_id)
@@ -120,24 +124,25 @@
         job.withheld.update(ledger.unfinished_starts())
         self._scheduler.add(job)
         self._events.emit(Event.JOB_LOADED, job=job_id, remaining=ledger.remaining)
-        self._settle_unknown_starts(job)
+        self._schedule_unknown_starts(job)
         self._close_if_ended(job)
         self._membership.announce()
 
-    def _settle_unknown_starts(self, job: ScheduledJob) -> None:
-        """End items that an earlier holder started, unless their result still comes."""
+    def _schedule_unknown_starts(self, job: ScheduledJob) -> None:
+        """Schedule the end of items that an earlier holder started, unless a result comes first."""
         for item_index in list(job.withheld):
-            self._settle_later(ItemKey(job.ledger.job_id, item_index))
+            self._end_after_lease(ItemKey(job.ledger.job_id, item_index))
 
-    def _settle_later(self, key: ItemKey) -> None:
-        patience = self._settings.timing.lease_duration
-        gevent.spawn_later(patience, self._end_as_may_have_run, key)
+    def _end_after_lease(self, key: ItemKey) -> None:
+        """End an item as "may have run" after one lease duration, unless it has a result then."""
+        delay = self._settings.timing.lease_duration
+        gevent.spawn_later(delay, self._end_as_may_have_run, key)
 
-    # Requests of engine owners
+    # Requests from engine owners
 
     def pull(self, request: peer.ItemPull) -> list[peer.ItemAssignment]:
-        """Hand out items for an engine with room."""
-        self._recover_lost(request)
+        """Return items to run at an engine with free slots."""
+        self._recover_lost_items(request)
         keys = self._scheduler.take(
             request.models, min(request.slots, MAX_ITEMS_PER_PULL), self._clock.wall()
         )
@@ -146,33 +151,33 @@
             assignments += self._assign_items(request, job_id, list(job_keys))
         return assignments
 
-    def _recover_lost(self, request: peer.ItemPull) -> None:
+    def _recover_lost_items(self, request: peer.ItemPull) -> None:
         lost = self._scheduler.lost_dispatches(
             request.node_id, request.incarnation, request.engine_id, set(request.held_attempts)
         )
         for dispatch in lost:
-            gevent.spawn(self._recover_safely, dispatch.key)
+            gevent.spawn(self._recover_with_retry, dispatch.key)
 
     def _assign_items(
         self, request: peer.ItemPull, job_id: str, keys: list[ItemKey]
     ) -> list[peer.ItemAssignment]:
         job = self._scheduler.job(job_id)
         if job is None or not self._holds(job_id):
-            return self._give_back(keys)
+            return self._requeue(keys)
         attempts = {key: self._starts.attempt_for(key) for key in keys}
         try:
             file_id = job.ledger.accepted.input_file_id
             bodies = {key: self._bodies.get(file_id, key.item_index) for key in keys}
             if job.ledger.accepted.at_most_once:
-                attempts = self._start_once(job, attempts)
+                attempts = self._record_starts(job, attempts)
         except LogUnavailableError:
-            return self._give_back(keys)
+            return self._requeue(keys)
         return [
             self._assign(request, job, key, attempt_id, bodies[key])
             for key, attempt_id in attempts.items()
         ]
 
-    def _give_back(self, keys: list[ItemKey]) -> list[peer.ItemAssignment]:
+    def _requeue(self, keys: list[ItemKey]) -> list[peer.ItemAssignment]:
         for key in keys:
             self._scheduler.requeue(key)
         return []
@@ -201,24 +206,26 @@
             at_most_once=submission.at_most_once,
         )
 
-    def _start_once(self, job: ScheduledJob, attempts: dict[ItemKey, str]) -> dict[ItemKey, str]:
-        """Record the starts of at-most-once items; returns those that alone may run.
+    def _record_starts(self, job: ScheduledJob, attempts: dict[ItemKey, str]) -> dict[ItemKey, str]:
+        """Record the starts of at-most-once items, and return the attempts that may run.
+
+        Items whose first recorded start is another attempt are withheld.
 
         Raises:
-            LogUnavailableError: the starts are undecided; the next try settles them.
+            LogUnavailableError: if the starts could not be confirmed; the next pull repeats them.
         """
-        won = self._starts.record(job.ledger, attempts)
-        may_run = won if self._holds(job.ledger.job_id) else {}
-        for key in [one for one in attempts if one not in may_run]:
+        first_starts = self._starts.record(job.ledger, attempts)
+        may_run = first_starts if self._holds(job.ledger.job_id) else {}
+        for key in [key for key in attempts if key not in may_run]:
             self._scheduler.withhold(key)
-            self._settle_later(key)
+            self._end_after_lease(key)
         return may_run
 
     def _holds(self, job_id: str) -> bool:
         return self.leases.holds(shard_of(job_id, self._settings.shards))
 
     def report(self, report: peer.ItemReport) -> peer.ItemReportReply:
-        """Take an item's outcome from an engine's owner; answers once it is durable."""
+        """Process the report of an engine owner; a result is durable on return."""
         key = ItemKey(report.job_id, report.item_index)
         job = self._scheduler.job(report.job_id)
         if job is None:
@@ -235,7 +242,7 @@
         elif outcome == peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN:
             self._recover(key)
         else:
-            self._return_not_run(job, key, report.attempt_id)
+            self._handle_not_run(job, key, report.attempt_id)
         return peer.ItemReportReply(accepted=True)
 
     def _report_of_unknown_job(self, report: peer.ItemReport) -> peer.ItemReportReply:
@@ -256,24 +263,24 @@
         self.committer.commit(key.job_id, result)
 
     def _custom_id(self, job: ScheduledJob, key: ItemKey) -> str:
-        known = self._custom_ids.get(key)
-        if known is None:
+        custom_id = self._custom_ids.get(key)
+        if custom_id is None:
             file_id = job.ledger.accepted.input_file_id
-            known = self._bodies.get(file_id, key.item_index).custom_id
-        return known
+            custom_id = self._bodies.get(file_id, key.item_index).custom_id
+        return custom_id
 
-    def _return_not_run(self, job: ScheduledJob, key: ItemKey, attempt_id: str) -> None:
+    def _handle_not_run(self, job: ScheduledJob, key: ItemKey, attempt_id: str) -> None:
         dispatch = self._scheduler.dispatch_of(key)
         if dispatch is None or dispatch.attempt_id != attempt_id:
             return
         if job.ledger.accepted.at_most_once:
-            # Its start is spent: another start would not be the first.
+            # Only the first recorded start may run, and this item already has one.
             self._end_as_may_have_run(key)
         else:
             self._scheduler.requeue(key)
 
     def _recover(self, key: ItemKey) -> None:
-        """Take back an item whose attempt may have run."""
+        """Requeue an item whose attempt may have run, or end it if it must not run again."""
         job = self._scheduler.job(key.job_id)
         if job is None or job.ledger.is_finished(key.item_index):
             return
@@ -288,7 +295,7 @@
         self._scheduler.requeue(key)
 
     def _end_as_failed(self, job: ScheduledJob, key: ItemKey) -> None:
-        """End an item at which engine after engine failed; it may be the cause."""
+        """End an item after `MAX_RECOVERIES` failures, since it may be what makes engines fail."""
         message = f"engines failed {MAX_RECOVERIES} times while they ran this item"
         result = records.ItemResult(
             item_index=key.item_index,
@@ -316,15 +323,15 @@
         )
         self.committer.commit(key.job_id, result)
 
-    # What became durable
+    # Durable records
 
-    def _committed(self, job_id: str, offset: int, body: records.ItemsFinished) -> None:
+    def _results_committed(self, job_id: str, offset: int, body: records.ItemsFinished) -> None:
         job = self._scheduler.job(job_id)
         if job is None:
             return
         ledger = job.ledger
         if offset == ledger.next_offset:
-            # Nobody else wrote in between, so there is nothing to read back.
+            # No other record was appended in between, so there is nothing to read.
             ledger.observe(offset, Record("", body))
         else:
             self._store.catch_up(ledger)
@@ -382,19 +389,19 @@
             return
         self._closing.discard(ledger.job_id)
 
-    # Owners
+    # State changes of engine owners
 
-    def _node_changed(self, change: StateChanged) -> None:
+    def _node_state_changed(self, change: StateChanged) -> None:
         for dispatch in self._scheduler.dispatches():
             if dispatch.owner_id != change.node_id:
                 continue
             restarted = dispatch.owner_incarnation < change.incarnation
             if restarted or change.state is NodeState.DEAD:
-                gevent.spawn(self._recover_safely, dispatch.key)
+                gevent.spawn(self._recover_with_retry, dispatch.key)
 
-    def _recover_safely(self, key: ItemKey) -> None:
+    def _recover_with_retry(self, key: ItemKey) -> None:
         try:
             self._recover(key)
         except PostvalveError as error:
             self._events.emit(Event.LOG_UNAVAILABLE, job=key.job_id, error=error.message)
-            gevent.spawn_later(LOG_RETRY_DELAY, self._recover_safely, key)
+            gevent.spawn_later(LOG_RETRY_DELAY, self._recover_with_retry, key)
--- a/postvalve/node/batch/item_reports.py
+++ b/postvalve/node/batch/item_reports.py
@@ -1,4 +1,4 @@
-"""Reports of items to the holder of their shard, whoever that is by now."""
+"""Sends item reports to the present holder of the item's shard until one accepts them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from postvalve.node.peer_link import Channel
 
 REPORT_TIMEOUT = 60.0
-"""Seconds until a report is repeated; a holder answers once the result is durable."""
+"""Seconds to wait for a holder's reply, which is sent once the result is durable."""
 REPORT_RETRY_DELAY = 0.5
-"""Seconds between repetitions of a report."""
+"""Seconds before a report that no holder accepted is repeated."""
 
 
 class ItemReports:
-    """Reports that are repeated until a holder has taken them."""
+    """Repeats each report until a holder accepts it, or it is no longer needed."""
 
     def __init__(
         self, context: NodeContext, membership: MembershipService, holder: BatchHolder
@@ -39,17 +39,17 @@
         still_needed: Callable[[], bool],
         on_end: Callable[[], None],
     ) -> None:
-        """Start to report; does not wait.
+        """Send a report in the background.
 
         Args:
-            report: What became of the item.
-            wanted: Whether the report still matters; its job may be cancelled meanwhile.
-            on_end: Called when the report was taken, or is no longer wanted.
+            report: Outcome of the item.
+            still_needed: Returns whether the report is still needed; its job may be cancelled.
+            on_end: Called when the report was accepted or is no longer needed.
         """
         self.pending += 1
-        gevent.spawn(self._repeat, report, still_needed, on_end)
+        gevent.spawn(self._send_until_accepted, report, still_needed, on_end)
 
-    def _repeat(
+    def _send_until_accepted(
         self, report: peer.ItemReport, still_needed: Callable[[], bool], on_end: Callable[[], None]
     ) -> None:
         try:
@@ -62,21 +62,21 @@
     def _report_once(self, report: peer.ItemReport) -> bool:
         shard = shard_of(report.job_id, self._settings.shards)
         if self._holder.leases.holds(shard):
-            return self._is_taken_here(report)
+            return self._report_locally(report)
         holders = [
             member.peer_address
             for member in self._membership.view.members()
             if shard in member.summary.shards and member.node_id != self._settings.node_id
         ]
-        return any(self._is_taken(address, report) for address in holders)
+        return any(self._report_to(address, report) for address in holders)
 
-    def _is_taken_here(self, report: peer.ItemReport) -> bool:
+    def _report_locally(self, report: peer.ItemReport) -> bool:
         try:
             return self._holder.report(report).accepted
         except LogUnavailableError:
             return False
 
-    def _is_taken(self, address: str, report: peer.ItemReport) -> bool:
+    def _report_to(self, address: str, report: peer.ItemReport) -> bool:
         try:
             reply = self._transport.call(address, Channel.BATCH, report, REPORT_TIMEOUT)
         except PeerUnavailableError:
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -1,4 +1,4 @@
-"""Runs batch items at the engines this node owns, in slots that online work leaves free."""
+"""Runs batch items at the engines that this node owns, in slots not used by online work."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from postvalve.states import TrafficClass
 
 PULL_TIMEOUT = 5.0
-"""Seconds until a holder's answer to a pull is given up."""
+"""Seconds to wait for a holder's reply to a pull."""
 MAX_UNREPORTED_ITEMS = 256
-"""Finished items in memory at which this node stops to pull."""
+"""Finished items in memory, not yet reported, at which this node stops pulling."""
 FAILED_ENGINE_BACKOFF = 1.0
-"""Seconds without pulls for an engine after one of its attempts failed."""
+"""Seconds without pulls for an engine after a failed attempt at it."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnansweredPull:
-    """A pull whose answer did not come, and may have carried items."""
+    """A pull without a reply; the lost reply may have assigned items."""
 
     engine_id: str
     holder_address: str
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class RunningItem:
-    """An item at this node, running or paused."""
+    """An item assigned to this node, running or paused."""
 
     assignment: peer.ItemAssignment
     engine_id: str
@@ -60,12 +60,12 @@
 
     @property
     def engine_attempt_id(self) -> str:
-        """Id of the present attempt at the engine."""
+        """Id of the current attempt at the engine."""
         return f"{self.assignment.attempt_id}.{self.attempts}"
 
 
 class BatchRunner:
-    """Items by engine."""
+    """Pulls items for the owned engines, runs them and reports their outcomes."""
 
     def __init__(
         self,
@@ -82,30 +82,30 @@
         self._membership = membership
         self._registry = registry
         self._holder = holder
-        self._held: dict[str, set[str]] = {}
-        """Attempts by engine, from the pull until the report is taken."""
+        self._held_attempts: dict[str, set[str]] = {}
+        """Attempt ids by engine, from the pull until the report is accepted."""
         self._unanswered: dict[UnansweredPull, None] = {}
         self._running: dict[str, RunningItem] = {}
         self._paused: dict[str, list[RunningItem]] = {}
         self._pulling: set[str] = set()
-        self._resting: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._reports = ItemReports(context, membership, holder)
         self._draining = False
-        registry.add_preemption_listener(self.preempt)
+        registry.on_preemption(self.preempt)
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to pull."""
-        self._membership.add_work_listener(self.pull_all)
+        """Start to pull items, at intervals and whenever new work is announced."""
+        self._membership.on_work(self.pull_all)
         tasks.every(self._settings.timing.pull_interval, self.pull_all)
 
     @property
     def in_progress(self) -> int:
-        """Items that run, pause or wait to be reported."""
+        """Number of items that run, are paused or wait to be reported."""
         paused = sum(len(items) for items in self._paused.values())
         return len(self._running) + paused + self._reports.pending
 
     def drain(self) -> None:
-        """Pull no more; paused items go on where there is room."""
+        """Stop pulling; paused items are still resumed where slots are free."""
         self._draining = True
 
     def pull_all(self) -> None:
@@ -113,15 +113,15 @@
         for pull in list(self._unanswered):
             if pull.engine_id not in self._pulling:
                 self._pulling.add(pull.engine_id)
-                gevent.spawn(self._settle, pull)
-        for engine in self._registry.usable_engines():
-            self._fill_soon(engine)
-        self._return_orphans()
+                gevent.spawn(self._confirm_received, pull)
+        for engine in self._registry.owned():
+            self._schedule_fill(engine)
+        self._return_unowned_items()
 
-    def _settle(self, pull: UnansweredPull) -> None:
-        """Tell a holder what arrived, so that it takes back what did not."""
+    def _confirm_received(self, pull: UnansweredPull) -> None:
+        """Send a holder the attempts held here, so that it requeues those lost with a reply."""
         request = self._pull_request(pull.engine_id, [], 0)
-        addresses = {one.peer_address for one in self._membership.view.members()}
+        addresses = {member.peer_address for member in self._membership.view.members()}
         try:
             if pull.holder_address in addresses:
                 self._transport.call(pull.holder_address, Channel.BATCH, request, PULL_TIMEOUT)
@@ -138,10 +138,10 @@
             engine_id=engine_id,
             models=models,
             slots=slots,
-            held_attempts=sorted(self._held.get(engine_id, ())),
+            held_attempts=sorted(self._held_attempts.get(engine_id, ())),
         )
 
-    def _fill_soon(self, engine: OwnedEngine) -> None:
+    def _schedule_fill(self, engine: OwnedEngine) -> None:
         engine_id = engine.machine.machine_id
         if engine_id not in self._pulling:
             self._pulling.add(engine_id)
@@ -150,7 +150,7 @@
     def _fill(self, engine: OwnedEngine) -> None:
         try:
             self._resume_paused(engine)
-            # Slots that come free while a pull is under way are filled by the next one.
+            # Slots freed during a pull are filled by the next one.
             while self._may_pull(engine) and self._pull(engine):
                 pass
         finally:
@@ -158,35 +158,35 @@
 
     def _may_pull(self, engine: OwnedEngine) -> bool:
         now = self._clock.monotonic()
-        rested = self._resting.get(engine.machine.machine_id, 0.0) <= now
-        in_memory = self._reports.pending < MAX_UNREPORTED_ITEMS
-        return engine.usable and rested and in_memory and not self._draining
+        backoff_over = self._backoff_until.get(engine.machine.machine_id, 0.0) <= now
+        below_report_limit = self._reports.pending < MAX_UNREPORTED_ITEMS
+        return engine.usable and backoff_over and below_report_limit and not self._draining
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
-        waiting = self._paused.get(engine.machine.machine_id, [])
-        while waiting and engine.slots.batch_capacity(self._clock.monotonic()) > 0:
-            self._launch(engine, waiting.pop(0))
-
-    def _return_orphans(self) -> None:
-        """Give back paused items of engines that this node no longer owns."""
-        owned = {engine.machine.machine_id for engine in self._registry.usable_engines()}
-        for engine_id in [one for one in self._paused if one not in owned]:
+        paused = self._paused.get(engine.machine.machine_id, [])
+        while paused and engine.slots.batch_room(self._clock.monotonic()) > 0:
+            self._start_item(engine, paused.pop(0))
+
+    def _return_unowned_items(self) -> None:
+        """Return the paused items of engines that this node no longer owns to their holders."""
+        owned = {engine.machine.machine_id for engine in self._registry.owned()}
+        for engine_id in [engine_id for engine_id in self._paused if engine_id not in owned]:
             for item in self._paused.pop(engine_id):
-                self._send_report(item, _interrupted(item), 0, b"")
+                self._send_report(item, _interrupted_outcome(item), 0, b"")
 
     def _pull(self, engine: OwnedEngine) -> bool:
-        """Start items of the first holder that has some; whether there were any."""
-        room = engine.slots.batch_capacity(self._clock.monotonic())
+        """Start items of the first holder that has some, and return whether there were any."""
+        room = engine.slots.batch_room(self._clock.monotonic())
         if room < 1:
             return False
         engine_id = engine.machine.machine_id
         request = self._pull_request(engine_id, self._served_models(engine), room)
         for address in self._holders_with_work(set(request.models)):
-            assignments = self._ask_holder(address, request)
+            assignments = self._pull_from(address, request)
             for assignment in assignments:
                 item = RunningItem(assignment, engine.machine.machine_id)
-                self._held.setdefault(item.engine_id, set()).add(assignment.attempt_id)
-                self._launch(engine, item)
+                self._held_attempts.setdefault(item.engine_id, set()).add(assignment.attempt_id)
+                self._start_item(engine, item)
             if assignments:
                 return True
         return False
@@ -197,18 +197,22 @@
         return sorted(model for model in engine.load.models if model.partition(":")[0] in allowed)
 
     def _holders_with_work(self, models: set[str]) -> list[str]:
-        """Peer addresses of holders, this node first as the empty address."""
+        """Return the peer addresses of holders with waiting items, in order of preference.
+
+        Nodes of the same zone come first, and within a zone those with the most waiting items.
+        The empty address stands for this node, which comes last of its own zone.
+        """
         found: list[tuple[bool, int, str]] = []
         if models & set(self._holder.waiting_by_model()):
             found.append((False, 0, ""))
         for member in self._membership.view.members():
-            waiting = sum(one.items for one in member.summary.pending if one.model in models)
+            waiting = sum(batch.items for batch in member.summary.pending if batch.model in models)
             if waiting and member.node_id != self._settings.node_id:
-                foreign = member.zone != self._settings.zone
-                found.append((foreign, -waiting, member.peer_address))
+                is_remote_zone = member.zone != self._settings.zone
+                found.append((is_remote_zone, -waiting, member.peer_address))
         return [address for _, _, address in sorted(found)]
 
-    def _ask_holder(self, address: str, request: peer.ItemPull) -> list[peer.ItemAssignment]:
+    def _pull_from(self, address: str, request: peer.ItemPull) -> list[peer.ItemAssignment]:
         if not address:
             return self._holder.pull(request)
         try:
@@ -218,13 +222,13 @@
             return []
         return reply.items if isinstance(reply, peer.ItemPullReply) else []
 
-    def _launch(self, engine: OwnedEngine, item: RunningItem) -> None:
+    def _start_item(self, engine: OwnedEngine, item: RunningItem) -> None:
         item.attempts += 1
         item.preempted = False
         now = self._clock.monotonic()
         assignment = item.assignment
         if not engine.slots.admit_batch(item.engine_attempt_id, assignment.rank, now):
-            # Online work came while the item was on its way.
+            # Online work took the slot while the item was in transit.
             self._pause(engine, item)
             return
         self._running[item.engine_attempt_id] = item
@@ -243,13 +247,13 @@
             body = json.dumps({"error": {"message": error.message}}).encode("utf-8")
             self._end(item, peer.ItemOutcome.ITEM_OUTCOME_FAILED, error.http_status, body)
         except AttemptError as error:
-            self._interrupt(engine, item, error)
+            self._handle_attempt_error(engine, item, error)
         finally:
             if item.stream is not None:
                 item.stream.close()
             self._running.pop(attempt_id, None)
             self._registry.release(engine.machine.machine_id, attempt_id)
-            self._fill_soon(engine)
+            self._schedule_fill(engine)
 
     def _read_stream(self, engine: OwnedEngine, item: RunningItem) -> None:
         assignment = item.assignment
@@ -257,7 +261,7 @@
             EngineAttempt(
                 attempt_id=item.engine_attempt_id,
                 request_id=f"chatcmpl-{assignment.attempt_id}",
-                body=_streamed(assignment.request_body),
+                body=_as_streamed(assignment.request_body),
                 priority=ONLINE_PRIORITY + 1 + assignment.rank,
                 cache_salt=cache_salt(assignment.tenant),
                 resume_offset=len(item.events),
@@ -266,14 +270,16 @@
         )
         if item.events and item.stream.model_version != item.model_version:
             item.events.clear()
-            raise AttemptError("the model version changed in between", Verdict.MAY_HAVE_RUN)
+            raise AttemptError("model version changed before the resume", Verdict.MAY_HAVE_RUN)
         item.model_version = item.stream.model_version
         if item.preempted or item.cancelled:
             raise AttemptError("interrupted", Verdict.MAY_HAVE_RUN)
         for event in item.stream.events():
             item.events.append(event)
 
-    def _interrupt(self, engine: OwnedEngine, item: RunningItem, error: AttemptError) -> None:
+    def _handle_attempt_error(
+        self, engine: OwnedEngine, item: RunningItem, error: AttemptError
+    ) -> None:
         if item.cancelled:
             return
         if item.preempted:
@@ -289,8 +295,8 @@
             verdict=error.verdict.value,
             error=error.message,
         )
-        self._resting[engine_id] = self._clock.monotonic() + FAILED_ENGINE_BACKOFF
-        outcome = _interrupted(item)
+        self._backoff_until[engine_id] = self._clock.monotonic() + FAILED_ENGINE_BACKOFF
+        outcome = _interrupted_outcome(item)
         if error.verdict is Verdict.MAY_HAVE_RUN:
             outcome = peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN
         self._end(item, outcome, 0, b"")
@@ -311,16 +317,18 @@
             response_body=body,
         )
         self._reports.send(
-            report, still_needed=lambda: not item.cancelled, on_end=lambda: self._forget(item)
+            report,
+            still_needed=lambda: not item.cancelled,
+            on_end=lambda: self._drop_held_attempt(item),
         )
 
-    def _forget(self, item: RunningItem) -> None:
-        self._held.get(item.engine_id, set()).discard(item.assignment.attempt_id)
+    def _drop_held_attempt(self, item: RunningItem) -> None:
+        self._held_attempts.get(item.engine_id, set()).discard(item.assignment.attempt_id)
 
     def preempt(self, engine_id: str, attempt_ids: tuple[str, ...]) -> None:
-        """Cancel attempts that lost their slot to online work, at once."""
+        """Abort attempts that lost their slots to online work, and pause their items."""
         connection = None
-        for engine in self._registry.usable_engines():
+        for engine in self._registry.owned():
             if engine.machine.machine_id == engine_id:
                 connection = engine.connection
         for attempt_id in attempt_ids:
@@ -332,18 +340,18 @@
             self._events.emit(Event.ITEM_PREEMPTED, engine=engine_id, attempt=attempt_id)
             self._stop_stream(item)
             if connection is not None:
-                gevent.spawn(_cancel_quietly, connection.cancel, attempt_id)
+                gevent.spawn(_cancel_best_effort, connection.cancel, attempt_id)
 
     def cancel_job(self, job_id: str) -> None:
-        """Stop the items of a cancelled job, running or paused."""
+        """Abort the running items of a cancelled job, and drop its paused ones."""
         for items in self._paused.values():
-            for item in [one for one in items if one.assignment.job_id == job_id]:
+            for item in [item for item in items if item.assignment.job_id == job_id]:
                 items.remove(item)
-                self._forget(item)
+                self._drop_held_attempt(item)
         for item in list(self._running.values()):
             if item.assignment.job_id == job_id:
                 item.cancelled = True
-                self._forget(item)
+                self._drop_held_attempt(item)
                 self._stop_stream(item)
 
     @staticmethod
@@ -352,23 +360,23 @@
             item.stream.abort()
 
 
-def _interrupted(item: RunningItem) -> peer.ItemOutcome:
-    # An at-most-once item that produced something did run.
+def _interrupted_outcome(item: RunningItem) -> peer.ItemOutcome:
+    # An item that produced events did run, which matters if it must run at most once.
     if item.events and item.assignment.at_most_once:
         return peer.ItemOutcome.ITEM_OUTCOME_MAY_HAVE_RUN
     return peer.ItemOutcome.ITEM_OUTCOME_NOT_RUN
 
 
-def _streamed(body: bytes) -> bytes:
+def _as_streamed(body: bytes) -> bytes:
     document = json.loads(body)
     document["stream"] = True
     return json.dumps(document).encode("utf-8")
 
 
-def _cancel_quietly(cancel: object, attempt_id: str) -> None:
+def _cancel_best_effort(cancel: object, attempt_id: str) -> None:
     assert callable(cancel)
     try:
         cancel(attempt_id)
     except PlatformError:
-        # The stream's connection is closed as well, which stops the attempt a little later.
+        # Closing the stream's connection stops the attempt too, a little later.
         return
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -1,4 +1,4 @@
-"""Follows the shards that this node may hold, and claims, renews and releases leases."""
+"""Follows the streams of shards that this node may hold, and maintains their leases."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 from postvalve.states import LeaseState, NodeState
 
 LONG_POLL_TIMEOUT = 5.0
-"""Seconds of one long poll of a shard's stream."""
+"""Seconds for which a read of a shard's stream waits for new records."""
 FOLLOWERS_PER_SHARD = 2
-"""Nodes that follow a shard: the preferred holder and the one that would take over."""
+"""Nodes that follow a shard: the preferred holder and its successor."""
 LEASE_CHECK_INTERVAL = 0.25
-"""Seconds between looks at the leases."""
+"""Seconds between checks of the leases."""
 LOG_RETRY_DELAY = 1.0
-"""Seconds between reads while the log does not answer."""
+"""Seconds before a failed read is retried."""
 
 
 class ShardListener(Protocol):
-    """Who works on the jobs of held shards."""
+    """Receives changes of the held shards and their jobs."""
 
     def shard_acquired(self, shard: int, open_jobs: list[str]) -> None:
-        """This node holds the shard from now on."""
+        """Handle that this node has become the holder of a shard."""
 
     def shard_lost(self, shard: int) -> None:
-        """This node no longer holds the shard."""
+        """Handle that this node no longer holds a shard."""
 
     def job_opened(self, shard: int, job_id: str) -> None:
-        """A job came to a held shard."""
+        """Handle a new job of a held shard."""
 
     def job_cancel_requested(self, shard: int, job_id: str) -> None:
-        """A job of a held shard was cancelled, or is about to be."""
+        """Handle a cancel of a held shard's job, which may not be in the job's stream yet."""
 
 
 class _Follower:
-    """Reads one shard's stream from its newest checkpoint on."""
+    """Replay state and position in the stream of one followed shard."""
 
     def __init__(self, shard: int, state: ShardState) -> None:
         self.shard = shard
@@ -68,7 +68,7 @@
 
 
 class ShardLeases:
-    """The shards of this node."""
+    """Claims, renews and releases the leases of the shards for which this node is preferred."""
 
     def __init__(
         self, context: NodeContext, membership: MembershipService, listener: ShardListener
@@ -82,7 +82,7 @@
         self._listener = listener
         self._followers: dict[int, _Follower] = {}
         self._releasing = False
-        self._settled = False
+        self._view_complete = False
         self._ranked_nodes: tuple[str, ...] = ()
         self._preferences: list[list[str]] = []
         self._started_at = self._clock.monotonic()
@@ -90,36 +90,36 @@
         self._timing = LeaseTiming(timing.lease_duration, timing.lease_renewal)
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to follow."""
+        """Start to follow shards and maintain their leases."""
         tasks.every(LEASE_CHECK_INTERVAL, self.step)
 
     def held_shards(self) -> list[int]:
-        """Shards whose lease this node holds, by its own clock."""
+        """Return the shards whose leases this node holds, by its own clock."""
         return sorted(shard for shard in self._followers if self.holds(shard))
 
     def holds(self, shard: int) -> bool:
-        """Whether this node's own lease of the shard has not expired."""
+        """Return whether this node has an unexpired lease of the shard, by its own clock."""
         follower = self._followers.get(shard)
         if follower is None or not follower.held:
             return False
         return follower.state.lease.state(self._clock.monotonic()) is LeaseState.HELD_HERE
 
     def shard_state(self, shard: int) -> ShardState | None:
-        """The replayed state of a followed shard."""
+        """Return the replayed state of a shard, or None if this node does not follow it."""
         follower = self._followers.get(shard)
         return follower.state if follower else None
 
     def release_all(self) -> None:
-        """Give all shards up, for a planned stop."""
+        """Release all held leases before a planned stop."""
         self._releasing = True
         for follower in list(self._followers.values()):
             if follower.held:
                 self._append_step(follower, LeaseStep.RELEASE)
-                self._lose(follower)
+                self._mark_lost(follower)
 
     def step(self) -> None:
-        """Follow the right shards and take the due steps on their leases."""
-        if self._releasing or not self._view_settled():
+        """Follow the shards that rank this node among their first, and update their leases."""
+        if self._releasing or not self._is_view_complete():
             return
         nodes = tuple(self._membership.view.alive_ids())
         if nodes != self._ranked_nodes:
@@ -131,14 +131,14 @@
         for shard, order in enumerate(self._preferences):
             self._step_shard(shard, order)
 
-    def _view_settled(self) -> bool:
-        # Before a node that just started has heard the others, it would be the preferred
-        # holder of every shard, and claim them all.
-        if self._settled or self._membership.all_listed_nodes_known():
-            self._settled = True
+    def _is_view_complete(self) -> bool:
+        # A node that has just started and has heard from no other node would be the preferred
+        # holder of every shard, and would claim them all.
+        if self._view_complete or self._membership.heard_all_listed():
+            self._view_complete = True
         timing = self._settings.timing
         timeout = timing.machine_list_interval + timing.dead_after + timing.digest_interval
-        return self._settled or self._clock.monotonic() - self._started_at >= timeout
+        return self._view_complete or self._clock.monotonic() - self._started_at >= timeout
 
     def _step_shard(self, shard: int, order: list[str]) -> None:
         node_id = self._settings.node_id
@@ -165,27 +165,27 @@
         lease = follower.state.lease
         holding = lease.state(now) is LeaseState.HELD_HERE
         if holding and not follower.held:
-            self._acquire(follower)
+            self._mark_acquired(follower)
         elif follower.held and not holding:
-            self._lose(follower)
-        step = lease.next_step(now, preferred=preferred, holder_gone=self._is_gone(lease.holder))
+            self._mark_lost(follower)
+        step = lease.next_step(now, preferred=preferred, holder_gone=self._is_dead(lease.holder))
         if step is not LeaseStep.NONE:
             gevent.spawn(self._append_step, follower, step)
         if step is LeaseStep.RELEASE:
-            self._lose(follower)
+            self._mark_lost(follower)
         elif holding and follower.state.checkpoint_due:
             gevent.spawn(self._append_checkpoint, follower)
 
-    def _is_gone(self, holder: str) -> bool:
+    def _is_dead(self, holder: str) -> bool:
         member = self._membership.member(holder)
         return member is not None and member.state is NodeState.DEAD
 
-    def _acquire(self, follower: _Follower) -> None:
+    def _mark_acquired(self, follower: _Follower) -> None:
         follower.held = True
         self._events.emit(Event.SHARD_LEASED, shard=follower.shard)
         self._listener.shard_acquired(follower.shard, follower.state.open_jobs)
 
-    def _lose(self, follower: _Follower) -> None:
+    def _mark_lost(self, follower: _Follower) -> None:
         if follower.held:
             follower.held = False
             self._events.emit(Event.SHARD_LOST, shard=follower.shard)
@@ -212,7 +212,7 @@
         self._append(follower, checkpoint)
 
     def append_job_closed(self, shard: int, job_id: str) -> None:
-        """Note that a job ended, so that later holders pass it over."""
+        """Record in the shard's stream that a job ended, so that later holders skip it."""
         closed = records.JobClosed(job_id=job_id)
         self._writer.append(shard_stream(shard), closed)
 
@@ -229,22 +229,22 @@
                 if follower.offset < 0:
                     follower.offset = self._replay_start(stream)
                 wait = LONG_POLL_TIMEOUT if follower.caught_up else 0.0
-                part = self._log.read(stream, follower.offset, wait=wait)
+                log_slice = self._log.read(stream, follower.offset, wait=wait)
             except LogUnavailableError:
                 gevent.sleep(LOG_RETRY_DELAY)
                 continue
-            for entry in part.entries:
+            for entry in log_slice.entries:
                 self._observe(follower, entry)
-            follower.offset = part.next_offset
-            follower.caught_up = follower.caught_up or part.caught_up
+            follower.offset = log_slice.next_offset
+            follower.caught_up = follower.caught_up or log_slice.caught_up
 
     def _replay_start(self, stream: str) -> int:
         end = self._log.read(stream, 0, limit=1).end_offset
         window = REPLAY_WINDOW
         while True:
             start = max(0, end - window)
-            part = self._log.read(stream, start)
-            for entry in reversed(part.entries):
+            log_slice = self._log.read(stream, start)
+            for entry in reversed(log_slice.entries):
                 if start == 0:
                     return 0
                 if isinstance(parse_record(entry.payload).body, records.ShardCheckpoint):
--- a/postvalve/node/keyed_requests.py
+++ b/postvalve/node/keyed_requests.py
@@ -1,8 +1,9 @@
-"""Online requests with an idempotency key: decided on the log before they run.
+"""Online requests with an idempotency key, whose start is recorded on the log before they run.
 
-A resend gets the stored answer. While the first one runs, or when its outcome is unknown,
-a resend is refused as *may have run*, and nothing runs twice. During a log outage such a
-request is refused as not run; requests without a key don't need the log.
+A resend gets the stored answer. While the first request runs, or if its outcome is unknown, a
+resend is refused as *may have run*, so that no request runs twice. A repeatable request may run
+again once the deadline of an unfinished start has passed. During a log outage, requests with a
+key are refused as not run; requests without a key do not need the log.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 from postvalve.services.log import read_all
 
 IN_PROGRESS_RETRY_AFTER = 1.0
-"""Seconds told to a resend while the first one runs."""
+"""Retry delay, in seconds, sent to a resend while the first request runs."""
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedAnswer:
-    """An answer, new or stored."""
+    """The answer to a request with an idempotency key, new or stored."""
 
     content_type: str
     blocks: Iterator[bytes]
@@ -41,14 +42,14 @@
 
 
 class RequestInProgressError(ConflictError):
-    """The key's request runs, or its outcome is unknown."""
+    """The first request with the key is running, or its outcome is unknown."""
 
     verdict = Verdict.MAY_HAVE_RUN
     code = "request_in_progress"
 
 
 class KeyedRequests:
-    """Runs requests that carry an idempotency key."""
+    """Runs requests that carry an idempotency key, at most one at a time per key."""
 
     def __init__(self, context: NodeContext, dispatcher: OnlineDispatcher) -> None:
         self._log = context.log
@@ -59,51 +60,53 @@
         self._dispatcher = dispatcher
 
     def run(self, request: OnlineRequest, key: str, digest: str) -> KeyedAnswer:
-        """Run a request once, or give the stored answer.
+        """Run a request once, or return the stored answer.
 
         Raises:
-            ConflictError: the key was used for another request.
-            RequestInProgressError: the first one runs, or its outcome is unknown.
-            LogUnavailableError: NOT_RUN, since nothing was dispatched.
+            ConflictError: if the key was used for a different request.
+            RequestInProgressError: if the first request runs, or its outcome is unknown.
+            LogUnavailableError: with NOT_RUN, if the log did not answer before the dispatch.
         """
         stream = request_stream(request.tenant.name, key)
-        known = self._read(stream, KeyedRequest())
-        stored = self._stored(known, digest)
+        keyed_request = self._read(stream, KeyedRequest())
+        stored = self._stored_answer(keyed_request, digest)
         if stored is not None:
             return stored
-        attempt_id = self._start(stream, known, request, digest)
+        attempt_id = self._start(stream, keyed_request, request, digest)
         return self._dispatch(stream, attempt_id, request)
 
-    def _read(self, stream: str, known: KeyedRequest) -> KeyedRequest:
+    def _read(self, stream: str, keyed_request: KeyedRequest) -> KeyedRequest:
         try:
-            for entry in read_all(self._log, stream, known.next_offset):
-                known.observe(entry.offset, parse_record(entry.payload))
+            for entry in read_all(self._log, stream, keyed_request.next_offset):
+                keyed_request.observe(entry.offset, parse_record(entry.payload))
         except LogUnavailableError as error:
-            # Nothing is dispatched before the key is decided.
+            # No request is dispatched until the state of its key has been read.
             error.verdict = Verdict.NOT_RUN
             raise
-        return known
+        return keyed_request
 
-    def _stored(self, known: KeyedRequest, digest: str) -> KeyedAnswer | None:
-        if known.request_digest and known.request_digest != digest:
+    def _stored_answer(self, keyed_request: KeyedRequest, digest: str) -> KeyedAnswer | None:
+        if keyed_request.request_digest and keyed_request.request_digest != digest:
             raise ConflictError(
                 "this idempotency key was used for another request",
                 parameter="Idempotency-Key",
                 code="idempotency_key_reused",
             )
-        state = known.state(milliseconds(self._clock.wall()))
+        state = keyed_request.state(milliseconds(self._clock.wall()))
         if state is KeyState.RUNNING:
             raise RequestInProgressError(
                 "the request with this key is in progress", retry_after=IN_PROGRESS_RETRY_AFTER
             )
-        if state is KeyState.ABANDONED and known.start and known.start.at_most_once:
+        if state is KeyState.ABANDONED and keyed_request.start and keyed_request.start.at_most_once:
             raise RequestInProgressError("the request may have run and is not repeated")
-        if known.finish is None:
+        if keyed_request.finish is None:
             return None
-        content = known.finish.response_body
-        return KeyedAnswer(known.finish.content_type, iter((content,)), True)
+        content = keyed_request.finish.response_body
+        return KeyedAnswer(keyed_request.finish.content_type, iter((content,)), True)
 
-    def _start(self, stream: str, known: KeyedRequest, request: OnlineRequest, digest: str) -> str:
+    def _start(
+        self, stream: str, keyed_request: KeyedRequest, request: OnlineRequest, digest: str
+    ) -> str:
         attempt_id = self._new_id()
         remaining = request.deadline - self._clock.monotonic()
         started = records.RequestStarted(
@@ -111,15 +114,15 @@
             request_digest=digest,
             deadline_at_ms=milliseconds(self._clock.wall() + remaining),
             at_most_once=request.at_most_once,
-            replaces_attempt_id=known.start.attempt_id if known.start else "",
+            replaces_attempt_id=keyed_request.start.attempt_id if keyed_request.start else "",
         )
         try:
             self._writer.append(stream, started)
         except LogUnavailableError as error:
             error.verdict = Verdict.NOT_RUN
             raise
-        self._read(stream, known)
-        if known.start is None or known.start.attempt_id != attempt_id:
+        self._read(stream, keyed_request)
+        if keyed_request.start is None or keyed_request.start.attempt_id != attempt_id:
             raise RequestInProgressError(
                 "the request with this key is in progress", retry_after=IN_PROGRESS_RETRY_AFTER
             )
@@ -143,12 +146,12 @@
     def _stored_events(
         self, stream: str, attempt_id: str, events: Iterator[bytes]
     ) -> Iterator[bytes]:
-        kept: list[bytes] = []
+        collected: list[bytes] = []
         for event in events:
-            kept.append(event)
+            collected.append(event)
             if event == DONE_EVENT:
-                # Stored before the caller knows that it is whole.
-                self._finish(stream, attempt_id, EVENT_STREAM, b"".join(kept))
+                # Stored before the client receives the event that completes the answer.
+                self._finish(stream, attempt_id, EVENT_STREAM, b"".join(collected))
             yield event
 
     def _finish(self, stream: str, attempt_id: str, content_type: str, content: bytes) -> None:
@@ -161,5 +164,5 @@
         try:
             self._writer.append(stream, body)
         except LogUnavailableError as error:
-            # The caller has the answer all the same; a resend is refused as may have run.
+            # The client still gets its answer or error; a resend is refused as may have run.
             self._events.emit(Event.LOG_UNAVAILABLE, stream=stream, error=error.message)
--- a/postvalve/node/online/dispatcher.py
+++ b/postvalve/node/online/dispatcher.py
@@ -1,4 +1,4 @@
-"""Starts online requests of this node's callers, within their tenants' limits."""
+"""Starts the online requests that clients send to this node, within their tenants' limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OnlineDispatcher:
-    """Dispatches online requests of this node's callers."""
+    """Runs the online requests that clients send to this node, and counts those in progress."""
 
     def __init__(
         self,
@@ -38,15 +38,16 @@
         self.in_progress = 0
 
     def run(self, request: OnlineRequest) -> OnlineAnswer:
-        """Start a request; returns once an engine answers.
+        """Start a request, and return once an engine answers.
 
         Raises:
-            PostvalveError: with a verdict; nothing is held after it.
+            PostvalveError: if the request was refused or failed, with a verdict; all slots and
+                limits are released.
         """
         limit_key = self._enter_limit(request)
         self.in_progress += 1
         self._services.retries.count_request()
-        run = RequestRun(self._services, request, lambda: self._leave(limit_key))
+        run = RequestRun(self._services, request, lambda: self._request_ended(limit_key))
         try:
             return run.start()
         except BaseException:
@@ -61,7 +62,7 @@
         now = self._clock.monotonic()
         return self._limiter.enter(request.tenant.name, rules[0], live_nodes, now)
 
-    def _leave(self, limit_key: LimitKey | None) -> None:
+    def _request_ended(self, limit_key: LimitKey | None) -> None:
         self.in_progress -= 1
         if limit_key is not None:
             self._limiter.leave(limit_key)
