--- a/postvalve/node/background.py
+++ b/postvalve/node/background.py
@@ -9,7 +9,7 @@
 
 from postvalve.events import Event, EventLog
 
-ERROR_PAUSE = 1.0
+ERROR_RETRY_DELAY = 1.0
 """Seconds before a failed task is run again."""
 
 
@@ -41,7 +41,7 @@
                 self._events.emit(
                     Event.BACKGROUND_TASK_FAILED, task=task.__qualname__, error=repr(error)
                 )
-                pause = max(interval, ERROR_PAUSE)
+                pause = max(interval, ERROR_RETRY_DELAY)
             self.stopping.wait(pause)
 
     def stop(self) -> None:
--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -67,7 +67,7 @@
         self._closing: set[str] = set()
         self.committer = ResultCommitter(context.writer, context.events, self._committed)
         self.leases = ShardLeases(context, membership, self)
-        membership.listen(self._node_changed)
+        membership.add_listener(self._node_changed)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to work."""
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -91,11 +91,11 @@
         self._resting: dict[str, float] = {}
         self._reports = ItemReports(context, membership, holder)
         self._draining = False
-        registry.on_preemption(self.preempt)
+        registry.add_preemption_listener(self.preempt)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to pull."""
-        self._membership.on_work(self.pull_all)
+        self._membership.add_work_listener(self.pull_all)
         tasks.every(self._settings.timing.pull_interval, self.pull_all)
 
     @property
@@ -114,7 +114,7 @@
             if pull.engine_id not in self._pulling:
                 self._pulling.add(pull.engine_id)
                 gevent.spawn(self._settle, pull)
-        for engine in self._registry.owned():
+        for engine in self._registry.usable_engines():
             self._fill_soon(engine)
         self._return_orphans()
 
@@ -169,7 +169,7 @@
 
     def _return_orphans(self) -> None:
         """Give back paused items of engines that this node no longer owns."""
-        owned = {engine.machine.machine_id for engine in self._registry.owned()}
+        owned = {engine.machine.machine_id for engine in self._registry.usable_engines()}
         for engine_id in [one for one in self._paused if one not in owned]:
             for item in self._paused.pop(engine_id):
                 self._send_report(item, _interrupted(item), 0, b"")
@@ -320,7 +320,7 @@
     def preempt(self, engine_id: str, attempt_ids: tuple[str, ...]) -> None:
         """Cancel attempts that lost their slot to online work, at once."""
         connection = None
-        for engine in self._registry.owned():
+        for engine in self._registry.usable_engines():
             if engine.machine.machine_id == engine_id:
                 connection = engine.connection
         for attempt_id in attempt_ids:
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -134,7 +134,7 @@
     def _view_settled(self) -> bool:
         # Before a node that just started has heard the others, it would be the preferred
         # holder of every shard, and claim them all.
-        if self._settled or self._membership.heard_all_listed():
+        if self._settled or self._membership.all_listed_nodes_known():
             self._settled = True
         timing = self._settings.timing
         patience = timing.machine_list_interval + timing.dead_after + timing.digest_interval
--- a/postvalve/node/configuration_service.py
+++ b/postvalve/node/configuration_service.py
@@ -25,7 +25,7 @@
 from postvalve.settings.fleet import FleetConfiguration, parse_fleet_configuration
 from postvalve.settings.validation import InvalidSettingsGroup
 
-FOLLOW_WAIT = 10.0
+LONG_POLL_TIMEOUT = 10.0
 """Seconds of one long poll of the configuration stream."""
 PEER_CHECK_INTERVAL = 1.0
 """Seconds between looks at the revisions that peers have."""
@@ -86,7 +86,7 @@
         tasks.every(PEER_CHECK_INTERVAL, self._ask_peers)
 
     def _follow(self) -> None:
-        wait = FOLLOW_WAIT if self._offset or self.ready else 1.0
+        wait = LONG_POLL_TIMEOUT if self._offset or self.ready else 1.0
         try:
             part = self._log.read(CONFIGURATION_STREAM, self._offset, wait=wait)
         except LogUnavailableError as error:
@@ -156,7 +156,7 @@
             self._events.emit(Event.CONFIGURATION_FROM_PEER, revision=revision.number)
             self._enforce(revision)
 
-    def answer_fetch(self) -> peer.ConfigurationReply:
+    def handle_fetch(self) -> peer.ConfigurationReply:
         """Give the newest revision to a peer; empty when there is none."""
         newest = self._history.newest
         if newest is None:
--- a/postvalve/node/engine_registry.py
+++ b/postvalve/node/engine_registry.py
@@ -33,9 +33,9 @@
 
 OWNERSHIP_INTERVAL = 0.5
 """Seconds between looks at who owns which engine."""
-LOST_RELEASE_SLACK = 60.0
+LOST_RELEASE_MARGIN = 60.0
 """Seconds beyond the longest request after which a slot's release counts as lost."""
-UNREACHABLE_AFTER = 3
+UNREACHABLE_THRESHOLD = 3
 """Load reads that fail in a row until an engine gets no new work."""
 
 PreemptionListener = Callable[[str, tuple[str, ...]], None]
@@ -59,7 +59,7 @@
         """Whether it takes new work."""
         live = self.machine.state is MachineState.LIVE
         steady = not self.disowned and not self.changing
-        return live and steady and self.failed_reads < UNREACHABLE_AFTER
+        return live and steady and self.failed_reads < UNREACHABLE_THRESHOLD
 
 
 class EngineRegistry:
@@ -84,14 +84,14 @@
         self._candidates: dict[str, list[str]] = {}
         self._owners: dict[str, str | None] = {}
         self._preemption_listeners: list[PreemptionListener] = []
-        membership.listen(self._node_changed)
+        membership.add_listener(self._node_changed)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to follow ownership and load."""
         tasks.every(OWNERSHIP_INTERVAL, self.refresh)
         tasks.every(self._settings.timing.load_report_interval, self._read_loads)
 
-    def on_preemption(self, listener: PreemptionListener) -> None:
+    def add_preemption_listener(self, listener: PreemptionListener) -> None:
         """Be told of batch attempts that lost their slot at an engine."""
         self._preemption_listeners.append(listener)
 
@@ -188,7 +188,7 @@
 
     def _read_loads(self) -> None:
         now = self._clock.monotonic()
-        longest = self._settings.http.request_timeout + LOST_RELEASE_SLACK
+        longest = self._settings.http.request_timeout + LOST_RELEASE_MARGIN
         for engine in list(self._owned.values()):
             engine.slots.release_older(now - longest, now)
             try:
@@ -221,7 +221,7 @@
         """An engine of the machine list."""
         return self._machines.get(engine_id)
 
-    def owned(self) -> list[OwnedEngine]:
+    def usable_engines(self) -> list[OwnedEngine]:
         """Engines that this node owns and that take new work."""
         return [engine for engine in self._owned.values() if engine.usable]
 
@@ -237,7 +237,7 @@
             for summary in self._engine_summaries(member.node_id, member.summary):
                 machine = self._machines.get(summary.engine_id)
                 if machine is not None and machine.state is MachineState.LIVE:
-                    held = dict(parse_held_model(text) for text in summary.models)
+                    held = dict(parse_loaded_model(text) for text in summary.models)
                     views[summary.engine_id] = EngineView(
                         summary.engine_id, engine_labels(machine), held, summary.slots > 0
                     )
@@ -279,7 +279,7 @@
                 machine = self._machines.get(summary.engine_id)
                 if machine is None or summary.engine_id in skipped:
                     continue
-                held = {parse_held_model(text)[0] for text in summary.models}
+                held = {parse_loaded_model(text)[0] for text in summary.models}
                 if not summary.slots or model not in held:
                     continue
                 if self._may_serve(machine, tenant, model):
@@ -331,11 +331,11 @@
             del self._owned[engine_id]
 
 
-def _held_models(load: EngineLoad) -> list[str]:
+def _loaded_models(load: EngineLoad) -> list[str]:
     return [f"{name}={version}" for name, version in sorted(load.models.items())]
 
 
-def parse_held_model(text: str) -> tuple[str, str]:
+def parse_loaded_model(text: str) -> tuple[str, str]:
     """Model and version of NAME=VERSION, as summaries carry them."""
     name, _, version = text.rpartition("=")
     return name, version
--- a/postvalve/node/http/batches.py
+++ b/postvalve/node/http/batches.py
@@ -26,8 +26,8 @@
     idempotency_key,
     workload_name,
 )
-from postvalve.node.http.json_answers import json_response, list_document
-from postvalve.node.http.paging import page_of
+from postvalve.node.http.json_responses import json_response, list_document
+from postvalve.node.http.paging import paginate
 from postvalve.settings.fleet import TenantSpec
 from postvalve.states import JobState, TrafficClass
 
@@ -105,7 +105,7 @@
 
     def list(self, request: Request, tenant: TenantSpec) -> Response:
         """List the tenant's batches, the newest first."""
-        page = page_of(request, self._jobs.tenant_jobs(tenant.name))
+        page = paginate(request, self._jobs.tenant_jobs(tenant.name))
         documents = [batch_document(self._jobs.get(tenant.name, one)) for one in page.ids]
         return json_response(list_document(documents, page.has_more))
 
--- a/postvalve/node/http/chat.py
+++ b/postvalve/node/http/chat.py
@@ -20,7 +20,7 @@
     idempotency_key,
     workload_name,
 )
-from postvalve.node.http.json_answers import json_response
+from postvalve.node.http.json_responses import json_response
 from postvalve.node.keyed_requests import KeyedRequests
 from postvalve.node.online.dispatcher import OnlineDispatcher
 from postvalve.node.online.request import OnlineRequest
--- a/postvalve/node/http/files.py
+++ b/postvalve/node/http/files.py
@@ -20,8 +20,8 @@
     FileUpload,
 )
 from postvalve.node.batch.job_store import JobStore
-from postvalve.node.http.json_answers import json_response, list_document
-from postvalve.node.http.paging import page_of
+from postvalve.node.http.json_responses import json_response, list_document
+from postvalve.node.http.paging import paginate
 from postvalve.settings.fleet import TenantSpec
 from postvalve.settings.process import HttpSettings
 
@@ -82,7 +82,7 @@
     def list(self, request: Request, tenant: TenantSpec) -> Response:
         """List the files that the tenant uploaded, the newest first."""
         documents: list[dict[str, Any]] = []
-        page = page_of(request, self._jobs.tenant_files(tenant.name))
+        page = paginate(request, self._jobs.tenant_files(tenant.name))
         for file_id in page.ids:
             try:
                 documents.append(file_document(self._files.describe(tenant.name, file_id)))
--- a/postvalve/node/http/operations.py
+++ b/postvalve/node/http/operations.py
@@ -8,7 +8,7 @@
 
 from postvalve.node.configuration_service import ConfigurationService
 from postvalve.node.http.authentication import authenticate_operator
-from postvalve.node.http.json_answers import json_response
+from postvalve.node.http.json_responses import json_response
 from postvalve.node.metrics import NodeMetrics
 
 
--- a/postvalve/node/http/paging.py
+++ b/postvalve/node/http/paging.py
@@ -8,8 +8,8 @@
 
 from postvalve.exceptions import InvalidRequestError
 
-DEFAULT_PAGE = 20
-MAX_PAGE = 100
+DEFAULT_PAGE_SIZE = 20
+MAX_PAGE_SIZE = 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
     has_more: bool
 
 
-def page_of(request: Request, ids: list[str]) -> Page:
+def paginate(request: Request, ids: list[str]) -> Page:
     """Cut the page that the request asks for.
 
     Raises:
@@ -37,7 +37,7 @@
 
 
 def _limit(request: Request) -> int:
-    text = request.args.get("limit", str(DEFAULT_PAGE))
-    if not text.isascii() or not text.isdigit() or not 1 <= int(text) <= MAX_PAGE:
-        raise InvalidRequestError(f"limit: takes 1 to {MAX_PAGE}", parameter="limit")
+    text = request.args.get("limit", str(DEFAULT_PAGE_SIZE))
+    if not text.isascii() or not text.isdigit() or not 1 <= int(text) <= MAX_PAGE_SIZE:
+        raise InvalidRequestError(f"limit: takes 1 to {MAX_PAGE_SIZE}", parameter="limit")
     return int(text)
--- a/postvalve/node/membership_service.py
+++ b/postvalve/node/membership_service.py
@@ -29,7 +29,7 @@
 from postvalve.services.machines import Machine
 from postvalve.states import MachineKind, MachineState, NodeState
 
-FULL_SUMMARY_EVERY = 5
+HEARTBEATS_PER_SUMMARY = 5
 """Heartbeats between two that carry the summary though it did not change."""
 RELAYS_PER_ZONE = 2
 """Nodes of another zone that get a digest and relay it."""
@@ -55,23 +55,25 @@
         self._sequence = 0
         self._summary = b""
         self._summary_version = 0
-        self._summary_sent_at = -FULL_SUMMARY_EVERY
+        self._summary_sent_at = -HEARTBEATS_PER_SUMMARY
         self._machines: dict[str, Machine] = {}
         self._listeners: list[ChangeListener] = []
         self._work_listeners: list[Callable[[], None]] = []
         self._summary_provider: Callable[[], peer.NodeSummary] = peer.NodeSummary
         self._revision_provider: Callable[[], int] = lambda: -1
 
-    def provide(self, summary: Callable[[], peer.NodeSummary], revision: Callable[[], int]) -> None:
+    def set_providers(
+        self, summary: Callable[[], peer.NodeSummary], revision: Callable[[], int]
+    ) -> None:
         """Set what heartbeats tell of this node."""
         self._summary_provider = summary
         self._revision_provider = revision
 
-    def listen(self, listener: ChangeListener) -> None:
+    def add_listener(self, listener: ChangeListener) -> None:
         """Be told of changes of node states."""
         self._listeners.append(listener)
 
-    def on_work(self, listener: Callable[[], None]) -> None:
+    def add_work_listener(self, listener: Callable[[], None]) -> None:
         """Be told at once of a heartbeat, this node's own included, with items waiting."""
         self._work_listeners.append(listener)
 
@@ -79,7 +81,7 @@
         """Start to send and receive."""
         timing = self._settings.timing
         tasks.every(timing.machine_list_interval, self.read_machine_list)
-        tasks.every(timing.heartbeat_interval, self.beat)
+        tasks.every(timing.heartbeat_interval, self.send_heartbeat)
         tasks.every(timing.digest_interval, self.send_digest)
 
     def engines(self) -> list[Machine]:
@@ -90,7 +92,7 @@
         """What is known of a node."""
         return self.view.get(node_id)
 
-    def heard_all_listed(self) -> bool:
+    def all_listed_nodes_known(self) -> bool:
         """Whether this node is on the machine list and every node there was heard."""
         listed = {
             machine.machine_id
@@ -108,7 +110,7 @@
 
     def announce(self) -> None:
         """Tell this node's zone and the others of its state now: it has work, or leaves."""
-        self.beat()
+        self.send_heartbeat()
         self.send_digest(force=True)
 
     def read_machine_list(self) -> None:
@@ -118,22 +120,22 @@
         except PlatformError as error:
             self._events.emit(Event.MACHINE_LIST_UNAVAILABLE, error=error.message)
             return
-        self._machines = {machine.machine_id: self._still_leaving(machine) for machine in machines}
+        self._machines = {machine.machine_id: self._keep_leaving(machine) for machine in machines}
 
-    def _still_leaving(self, machine: Machine) -> Machine:
+    def _keep_leaving(self, machine: Machine) -> Machine:
         known = self._machines.get(machine.machine_id)
         if known is not None and known.state is MachineState.LEAVING:
             machine = machine.model_copy(update={"state": MachineState.LEAVING})
         if machine.state is MachineState.LEAVING and machine.kind is MachineKind.NODE:
-            self._publish(self.view.mark_leaving(machine.machine_id))
+            self._publish_changes(self.view.mark_leaving(machine.machine_id))
         return machine
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send one heartbeat to the zone, and expire silent nodes."""
         now = self._clock.monotonic()
         heartbeat = self._heartbeat()
-        self._take_in(heartbeat, now, direct=True)
-        self._publish(self.view.expire(now))
+        self._apply_heartbeat(heartbeat, now, direct=True)
+        self._publish_changes(self.view.expire(now))
         data = encode_frame(heartbeat, 0)
         for address in self._zone_addresses(self._settings.zone):
             self._send(data, address)
@@ -145,7 +147,7 @@
         if changed:
             self._summary = summary
             self._summary_version += 1
-        due = self._sequence - self._summary_sent_at >= FULL_SUMMARY_EVERY
+        due = self._sequence - self._summary_sent_at >= HEARTBEATS_PER_SUMMARY
         if changed or due:
             self._summary_sent_at = self._sequence
         return peer.Heartbeat(
@@ -191,16 +193,16 @@
         # Zone to node id to address. The machine list may lack nodes that were heard.
         nodes: dict[str, dict[str, str]] = defaultdict(dict)
         for machine in self._machines.values():
-            if machine.kind is MachineKind.NODE and not self._is_dead(machine.machine_id):
+            if machine.kind is MachineKind.NODE and not self._is_skipped(machine.machine_id):
                 nodes[machine.zone][machine.machine_id] = machine.address
         for member in self.view.members():
             nodes[member.zone][member.node_id] = member.peer_address
         return nodes
 
-    def _is_dead(self, node_id: str) -> bool:
+    def _is_skipped(self, node_id: str) -> bool:
         member = self.view.get(node_id)
         # Dead nodes are still told of this one now and then: they may only have been cut off.
-        probing = self._sequence % FULL_SUMMARY_EVERY == 0
+        probing = self._sequence % HEARTBEATS_PER_SUMMARY == 0
         return member is not None and member.state is NodeState.DEAD and not probing
 
     def _send(self, data: bytes, address: str) -> None:
@@ -212,29 +214,29 @@
         self._metrics.control_bytes.labels("received").inc(len(data))
         try:
             message = decode_datagram(data)
-            self._take(message)
+            self._handle_message(message)
         except UnknownKindError as unknown:
             self._passed_over.note(unknown.header.kind, address, self._clock.monotonic())
         except FrameError as error:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(error))
 
-    def _take(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
         now = self._clock.monotonic()
         if isinstance(message, peer.Heartbeat):
-            self._observe(message, now, direct=True)
+            self._receive_heartbeat(message, now, direct=True)
         elif isinstance(message, peer.ZoneDigest):
             for data in message.heartbeats:
-                self._observe(peer.Heartbeat().parse(data), now, direct=False)
+                self._receive_heartbeat(peer.Heartbeat().parse(data), now, direct=False)
             if not message.relayed:
                 self._relay(message)
 
-    def _observe(self, heartbeat: peer.Heartbeat, now: float, *, direct: bool) -> None:
+    def _receive_heartbeat(self, heartbeat: peer.Heartbeat, now: float, *, direct: bool) -> None:
         if heartbeat.node_id == self._settings.node_id:
             return
-        self._take_in(heartbeat, now, direct=direct)
+        self._apply_heartbeat(heartbeat, now, direct=direct)
 
-    def _take_in(self, heartbeat: peer.Heartbeat, now: float, *, direct: bool) -> None:
-        self._publish(self.view.observe(heartbeat, now, direct=direct))
+    def _apply_heartbeat(self, heartbeat: peer.Heartbeat, now: float, *, direct: bool) -> None:
+        self._publish_changes(self.view.observe(heartbeat, now, direct=direct))
         member = self.view.get(heartbeat.node_id)
         if member is not None and member.summary.pending:
             for listener in self._work_listeners:
@@ -246,7 +248,7 @@
         for address in self._zone_addresses(self._settings.zone):
             self._send(data, address)
 
-    def _publish(self, changes: list[StateChanged]) -> None:
+    def _publish_changes(self, changes: list[StateChanged]) -> None:
         for change in changes:
             self._events.emit(
                 Event.NODE_STATE_CHANGED, peer=change.node_id, state=change.state.value
--- a/postvalve/node/node.py
+++ b/postvalve/node/node.py
@@ -33,7 +33,7 @@
 
 DRAIN_CHECK_INTERVAL = 0.05
 """Seconds between looks at what is still in progress."""
-NOTICE_TIME = 0.2
+DRAIN_GRACE_TIME = 0.2
 """Seconds that a drained node still answers, so that peers and callers hear of it."""
 
 
@@ -60,7 +60,7 @@
             context, self._configuration, self._membership, self._registry
         )
         self.application = self._build_application()
-        self._membership.provide(self._summary, lambda: self._configuration.revision)
+        self._membership.set_providers(self._summary, lambda: self._configuration.revision)
         self._configuration.add_listener(self._follow_drains)
 
     def _build_application(self) -> NodeApplication:
@@ -129,7 +129,7 @@
         finished = self._wait_until_idle(self._settings.timing.drain_timeout)
         self._holder.leases.release_all()
         self._membership.announce_leaving()
-        gevent.sleep(NOTICE_TIME)
+        gevent.sleep(DRAIN_GRACE_TIME)
         self._events.emit(Event.DRAIN_FINISHED if finished else Event.DRAIN_TIMED_OUT)
         self._stop()
 
@@ -189,7 +189,7 @@
             self._runner.cancel_job(message.job_id)
             return peer.Acknowledgement()
         if isinstance(message, peer.ConfigurationFetch):
-            return self._configuration.answer_fetch()
+            return self._configuration.handle_fetch()
         raise TypeError(f"no request of a peer: {type(message).__name__}")
 
     def result_lines(self, job_id: str) -> list[bytes]:
--- a/postvalve/node/placement_service.py
+++ b/postvalve/node/placement_service.py
@@ -20,7 +20,7 @@
 """Seconds between plans."""
 IDLE_CHECK_INTERVAL = 0.1
 """Seconds between looks whether an engine's work has ended."""
-CHANGE_PATIENCE = 900.0
+CHANGE_TIMEOUT = 900.0
 """Seconds until an engine that does not report the change is planned for anew."""
 
 
@@ -81,7 +81,7 @@
             gevent.sleep(IDLE_CHECK_INTERVAL)
 
     def _wait_until_held(self, engine: OwnedEngine, orders: list[EngineOrder]) -> None:
-        deadline = self._clock.monotonic() + CHANGE_PATIENCE
+        deadline = self._clock.monotonic() + CHANGE_TIMEOUT
         while self._clock.monotonic() < deadline:
             engine.load = engine.connection.load()
             if all(_is_done(engine, order) for order in orders):
--- a/tests/support.py
+++ b/tests/support.py
@@ -6,7 +6,7 @@
 import gevent
 
 
-def expected_start(text):
+def expected_first_token(text):
     """The first token of the emulated engines for a message."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -14,7 +14,7 @@
     batch_document,
     batch_lines,
     create_batch,
-    expected_start,
+    expected_first_token,
     result_lines,
     run_batch,
     submit_batch,
@@ -341,7 +341,7 @@
         self.assertEqual(len(lines), document["request_counts"]["completed"])
         for line in lines:
             text = line["response"]["body"]["choices"][0]["message"]["content"]
-            self.assertTrue(text.startswith(expected_start(f"text of {line['custom_id']}")))
+            self.assertTrue(text.startswith(expected_first_token(f"text of {line['custom_id']}")))
 
 
 class InputLimitsTest(unittest.TestCase):
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -21,7 +21,7 @@
     answer_tokens,
     batch_lines,
     create_batch,
-    expected_start,
+    expected_first_token,
     upload_form,
 )
 
@@ -106,14 +106,14 @@
         if not streamed:
             content = answer.document["choices"][0]["message"]["content"]
             self.case.assertEqual(len(content.split()), 6)
-            self.case.assertTrue(content.startswith(expected_start(text)))
+            self.case.assertTrue(content.startswith(expected_first_token(text)))
             return
         tokens = answer_tokens(answer)
         if tokens is None:
             self.case.assertIn(b'"error"', answer.chunks[-1])
         else:
             self.case.assertEqual(len(tokens), 6)
-            self.case.assertEqual(tokens[0], expected_start(text))
+            self.case.assertEqual(tokens[0], expected_first_token(text))
 
     def submit(self):
         node_id = self.any_node()
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -22,7 +22,7 @@
     AdmissionClient,
 )
 from tests.checks import check_job, engine_runs
-from tests.support import answer_tokens, expected_start, submit_batch
+from tests.support import answer_tokens, expected_first_token, submit_batch
 
 CHAT = "/v1/chat/completions"
 AT_MOST_ONCE = {"X-Postvalve-At-Most-Once": "true"}
@@ -175,7 +175,7 @@
     def test_answer_is_crossed_once_and_the_request_may_repeat(self):
         answer, _ = self.verdict(lambda fleet: self.spoil(fleet, crossed_answers=1))
         text = answer.document["choices"][0]["message"]["content"]
-        self.assertTrue(text.startswith(expected_start("hi")))
+        self.assertTrue(text.startswith(expected_first_token("hi")))
 
     def test_every_repetition_is_crossed(self):
         answer, runs = self.verdict(lambda fleet: self.spoil(fleet, crossed_answers=100))
@@ -265,7 +265,7 @@
                 self.assertIn(b"error", answer.chunks[-1])
                 continue
             self.assertEqual(len(tokens), 6)
-            self.assertEqual(tokens[0], expected_start(f"q{number}"))
+            self.assertEqual(tokens[0], expected_first_token(f"q{number}"))
         whole = sum(answer_tokens(answer) is not None for answer in answers)
         self.assertGreaterEqual(whole, 35)
 
--- a/tests/test_virtual_fleet.py
+++ b/tests/test_virtual_fleet.py
@@ -4,7 +4,7 @@
 
 from postvalve.emulator.virtual_fleet import FleetShape, VirtualFleet
 from postvalve.emulator.virtual_time import run_virtual
-from tests.support import expected_start, run_batch, submit_batch
+from tests.support import expected_first_token, run_batch, submit_batch
 
 
 class VirtualFleetTest(unittest.TestCase):
@@ -19,10 +19,10 @@
 
         answer, results, _ = run_virtual(session)
         text = answer.document["choices"][0]["message"]["content"]
-        self.assertTrue(text.startswith(expected_start("hi")))
+        self.assertTrue(text.startswith(expected_first_token("hi")))
         self.assertEqual(len(results), 50)
         for custom_id, text in results.items():
-            self.assertTrue(text.startswith(expected_start(f"text of {custom_id}")))
+            self.assertTrue(text.startswith(expected_first_token(f"text of {custom_id}")))
 
     def test_a_run_is_a_function_of_its_seed(self):
         def session(loop):
