--- a/postvalve/node/background.py
+++ b/postvalve/node/background.py
@@ -1,4 +1,4 @@
-"""Periodic work of a node, in greenlets that outlive their errors."""
+"""Background tasks of a node, in greenlets that go on after an error."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from postvalve.events import Event, EventLog
 
 ERROR_RETRY_DELAY = 1.0
-"""Seconds before a failed task is run again."""
+"""Minimum number of seconds before a task that raised an error runs again."""
 
 
 class BackgroundTasks:
-    """Greenlets that are ended together."""
+    """Background greenlets that are stopped together."""
 
     def __init__(self, events: EventLog) -> None:
         self._events = events
@@ -22,11 +22,11 @@
         self.stopping = GeventEvent()
 
     def every(self, interval: float, task: Callable[[], None]) -> None:
-        """Run `task` now and then every `interval` seconds."""
+        """Run `task` at once, then again `interval` seconds after each run."""
         self._spawn(task, interval)
 
     def loop(self, task: Callable[[], None]) -> None:
-        """Run `task` over and over; it waits by itself."""
+        """Run `task` in a loop without a delay; the task itself must block."""
         self._spawn(task, 0.0)
 
     def _spawn(self, task: Callable[[], None], interval: float) -> None:
@@ -34,17 +34,17 @@
 
     def _run(self, task: Callable[[], None], interval: float) -> None:
         while not self.stopping.is_set():
-            pause = interval
+            delay = interval
             try:
                 task()
-            except Exception as error:  # a background task must go on whatever happens
+            except Exception as error:  # one failed run must not end a background task
                 self._events.emit(
                     Event.BACKGROUND_TASK_FAILED, task=task.__qualname__, error=repr(error)
                 )
-                pause = max(interval, ERROR_RETRY_DELAY)
-            self.stopping.wait(pause)
+                delay = max(interval, ERROR_RETRY_DELAY)
+            self.stopping.wait(delay)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Kill all tasks, and wait at most 2 s for them to end."""
         self.stopping.set()
         gevent.killall(self._greenlets, timeout=2.0)
--- a/postvalve/node/configuration_service.py
+++ b/postvalve/node/configuration_service.py
@@ -1,4 +1,7 @@
-"""Follows the configuration stream, and asks peers while the log is out of reach."""
+"""Follows the configuration stream, and fetches newer revisions from peers.
+
+Peers matter while this node can't reach the log.
+"""
 
 from __future__ import annotations
 
@@ -26,19 +29,19 @@
 from postvalve.settings.validation import InvalidSettingsGroup
 
 LONG_POLL_TIMEOUT = 10.0
-"""Seconds of one long poll of the configuration stream."""
+"""Time-out, in seconds, of one long poll of the configuration stream."""
 PEER_CHECK_INTERVAL = 1.0
-"""Seconds between looks at the revisions that peers have."""
+"""Seconds between checks whether a peer has a newer revision."""
 PEER_TIMEOUT = 2.0
-"""Seconds until a peer's answer is given up."""
+"""Time-out, in seconds, of a fetch from a peer."""
 NOT_READY_RETRY_AFTER = 1.0
-"""Seconds told to callers of a node without configuration."""
+"""Retry-After, in seconds, of a node that has no configuration yet."""
 
-RevisionListener = Callable[[FleetConfiguration], None]
+ConfigurationListener = Callable[[FleetConfiguration], None]
 
 
 class ConfigurationService:
-    """The configuration in force at this node. It only moves forward."""
+    """The configuration that is active at this node; its revision number never decreases."""
 
     def __init__(self, context: NodeContext, membership: MembershipService) -> None:
         self._log = context.log
@@ -49,26 +52,26 @@
         self._history = ConfigurationHistory()
         self._offset = 0
         self._current: FleetConfiguration | None = None
-        self._listeners: list[RevisionListener] = []
+        self._listeners: list[ConfigurationListener] = []
         self._log_reachable = True
-        self._enforced_revision = NO_REVISION
+        self._applied_revision = NO_REVISION
 
     @property
     def ready(self) -> bool:
-        """Whether a configuration is in force."""
+        """Whether a configuration is active."""
         return self._current is not None
 
     @property
     def revision(self) -> int:
-        """Number of the newest revision known."""
+        """Number of the newest known revision, or NO_REVISION."""
         return self._history.newest_number
 
     @property
     def current(self) -> FleetConfiguration:
-        """The configuration in force.
+        """The active configuration.
 
         Raises:
-            NotReadyError: when this node has none yet.
+            NotReadyError: this node has none yet.
         """
         if self._current is None:
             raise NotReadyError(
@@ -76,16 +79,16 @@
             )
         return self._current
 
-    def add_listener(self, listener: RevisionListener) -> None:
-        """Be told of each revision that comes into force."""
+    def add_listener(self, listener: ConfigurationListener) -> None:
+        """Call `listener` with each configuration that becomes active."""
         self._listeners.append(listener)
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to follow."""
-        tasks.loop(self._follow)
-        tasks.every(PEER_CHECK_INTERVAL, self._ask_peers)
+        """Start the background tasks."""
+        tasks.loop(self._poll_log)
+        tasks.every(PEER_CHECK_INTERVAL, self._fetch_from_peers)
 
-    def _follow(self) -> None:
+    def _poll_log(self) -> None:
         wait = LONG_POLL_TIMEOUT if self._offset or self.ready else 1.0
         try:
             part = self._log.read(CONFIGURATION_STREAM, self._offset, wait=wait)
@@ -99,7 +102,7 @@
         for entry in part.entries:
             self._observe(entry.offset, entry.payload)
         self._offset = part.next_offset
-        self._enforce(self._history.newest)
+        self._apply(self._history.newest)
 
     def _observe(self, offset: int, payload: bytes) -> None:
         try:
@@ -111,11 +114,11 @@
         if outcome is ChangeOutcome.CONFLICT:
             self._events.emit(Event.CONFIGURATION_CONFLICT, offset=offset)
 
-    def _enforce(self, revision: Revision | None) -> None:
-        if revision is None or self._enforced_revision == revision.number:
+    def _apply(self, revision: Revision | None) -> None:
+        if revision is None or self._applied_revision == revision.number:
             return
-        self._enforced_revision = revision.number
-        first = self._current is None
+        self._applied_revision = revision.number
+        is_first = self._current is None
         try:
             self._current = parse_fleet_configuration(
                 revision.document, f"revision {revision.number}"
@@ -127,20 +130,20 @@
             return
         self._metrics.configuration_revision.set(revision.number)
         self._events.emit(Event.CONFIGURATION_IN_FORCE, revision=revision.number)
-        if first:
+        if is_first:
             self._events.emit(Event.NODE_READY)
         for listener in self._listeners:
             listener(self._current)
 
-    def _ask_peers(self) -> None:
-        ahead = [
+    def _fetch_from_peers(self) -> None:
+        newer = [
             member
             for member in self._membership.view.members()
             if member.configuration_revision > self.revision
         ]
-        if not ahead:
+        if not newer:
             return
-        newest = max(ahead, key=lambda member: member.configuration_revision)
+        newest = max(newer, key=lambda member: member.configuration_revision)
         fetch = peer.ConfigurationFetch(known_revision=max(0, self.revision))
         try:
             reply = self._transport.call(
@@ -154,10 +157,10 @@
     def _adopt(self, revision: Revision) -> None:
         if self._history.adopt(revision):
             self._events.emit(Event.CONFIGURATION_FROM_PEER, revision=revision.number)
-            self._enforce(revision)
+            self._apply(revision)
 
     def handle_fetch(self) -> peer.ConfigurationReply:
-        """Give the newest revision to a peer; empty when there is none."""
+        """Return the newest known revision for a peer, or an empty reply if there is none."""
         newest = self._history.newest
         if newest is None:
             return peer.ConfigurationReply()
--- a/postvalve/node/configuration_store.py
+++ b/postvalve/node/configuration_store.py
@@ -1,4 +1,4 @@
-"""Configuration on the log, as operators read and publish it."""
+"""Reads and publishes configuration revisions on the log, for operators' tools."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """One change that was asked for, and what became of it."""
+    """One submitted change of the configuration, and its outcome."""
 
     offset: int
     base_revision: int
@@ -33,7 +33,7 @@
 
 
 class ConfigurationStore:
-    """Reads and publishes revisions."""
+    """Reads and publishes configuration revisions on the log."""
 
     def __init__(
         self, log: LogService, writer: LogWriter, clock: Clock, new_id: Callable[[], str]
@@ -44,22 +44,22 @@
         self._clock = clock
 
     def newest(self) -> Revision | None:
-        """The revision in force by the log.
+        """Return the active revision according to the log, or None before the first.
 
         Raises:
-            LogUnavailableError: the log does not answer.
+            LogUnavailableError: the log does not respond.
         """
         return self._replay().newest
 
     def newest_configuration(self) -> FleetConfiguration:
-        """The configuration in force, or an empty one before the first."""
+        """Return the active configuration, or an empty one before the first revision."""
         revision = self.newest()
         if revision is None:
             return FleetConfiguration()
         return parse_fleet_configuration(revision.document, f"revision {revision.number}")
 
     def history(self) -> list[HistoryEntry]:
-        """Every change in offset order, with its outcome."""
+        """Return all submitted changes in offset order, with their outcomes."""
         history = ConfigurationHistory()
         entries: list[HistoryEntry] = []
         for entry in read_all(self._log, CONFIGURATION_STREAM):
@@ -82,16 +82,16 @@
     def publish(
         self, configuration: FleetConfiguration, base_revision: int | None, author: str
     ) -> int:
-        """Publish a checked configuration; returns its revision once it is decided.
+        """Publish a validated configuration; returns its revision once the log has decided on it.
 
         Args:
-            configuration: The whole new configuration.
-            base_revision: The revision it was made from; None takes the newest.
-            author: Who asks, for the history.
+            configuration: The complete new configuration.
+            base_revision: The revision that the change is based on; None for the newest.
+            author: Name of the author, for the history.
 
         Raises:
-            RevisionConflictError: another change came first.
-            LogUnavailableError: it may have been published; the history tells.
+            RevisionConflictError: another change with the same base precedes it on the log.
+            LogUnavailableError: the change may have been published; `history` shows whether it was.
         """
         if base_revision is None:
             newest = self.newest()
@@ -104,10 +104,11 @@
         )
         record_id = self._new_id()
         self._writer.append(CONFIGURATION_STREAM, change, record_id=record_id)
-        return self._decided(record_id, base_revision)
+        return self._published_revision(record_id, base_revision)
 
-    def _decided(self, record_id: str, base_revision: int) -> int:
-        # An acknowledged append is not decided before everything up to it was read.
+    def _published_revision(self, record_id: str, base_revision: int) -> int:
+        # An acknowledged append is not yet accepted: an earlier record may have the same base, so
+        # the stream has to be read up to it.
         history = ConfigurationHistory()
         for entry in read_all(self._log, CONFIGURATION_STREAM):
             record = parse_record(entry.payload)
--- a/postvalve/node/context.py
+++ b/postvalve/node/context.py
@@ -1,7 +1,7 @@
-"""What every part of a node gets from outside: settings, time, ids, services, log and metrics.
+"""External dependencies of a node: settings, clock, ids, services, log and metrics.
 
-Tests and experiments hand in virtual time, seeded generators and in-process services; the
-rest of the node is the same code.
+Tests and experiments inject virtual time, seeded random generators and in-process services; all
+other code of a node is the same.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 
 def random_id() -> str:
-    """A new id, unique in the fleet."""
+    """Return a new id that is unique in the fleet."""
     return uuid.uuid4().hex
 
 
 @dataclass(frozen=True)
 class NodeContext:
-    """The outside of one node."""
+    """External dependencies of one node."""
 
     settings: NodeSettings
     clock: Clock
@@ -38,19 +38,19 @@
     machine_list: MachineList
     transport: Transport
     connect_engine: Callable[[str], Engine]
-    """Gives the engine at an address."""
+    """Returns a client of the engine at an address."""
     generator: random.Random
     new_id: Callable[[], str]
     metrics: NodeMetrics = field(default_factory=NodeMetrics)
 
     @property
     def writer(self) -> LogWriter:
-        """Appends to the log with repetition."""
+        """A writer that appends to the log and retries."""
         return LogWriter(self.log, self.clock, self.new_id)
 
 
 def system_context(settings: NodeSettings) -> NodeContext:
-    """The context of a process: the machine's clock, and the services by their addresses."""
+    """Return the context of a node process: system clock, real network and HTTP services."""
     events = EventLog(settings.node_id, settings.zone)
     return NodeContext(
         settings=settings,
--- a/postvalve/node/engine_registry.py
+++ b/postvalve/node/engine_registry.py
@@ -1,4 +1,4 @@
-"""Engines as this node sees them: which it owns, their slots, and candidates for requests."""
+"""Engines known to this node: ownership, slots, and candidates for requests."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 from postvalve.states import MachineState, NodeState
 
 OWNERSHIP_INTERVAL = 0.5
-"""Seconds between looks at who owns which engine."""
+"""Seconds between two updates of the ownership of engines."""
 LOST_RELEASE_MARGIN = 60.0
-"""Seconds beyond the longest request after which a slot's release counts as lost."""
+"""Seconds beyond the request time-out after which a slot is freed, as its release must be lost."""
 UNREACHABLE_THRESHOLD = 3
-"""Load reads that fail in a row until an engine gets no new work."""
+"""Consecutive failed load reads after which an engine gets no new work."""
 
 PreemptionListener = Callable[[str, tuple[str, ...]], None]
 
 
 @dataclass(slots=True)
 class OwnedEngine:
-    """An engine that this node admits work to."""
+    """An engine owned by this node, which decides on the admission of work to it."""
 
     machine: Machine
     connection: Engine
@@ -52,18 +52,18 @@
     failed_reads: int = 0
     disowned: bool = False
     changing: bool = False
-    """Whether it is about to load or unload models."""
+    """Whether models are about to be loaded or unloaded; the engine gets no new work then."""
 
     @property
     def usable(self) -> bool:
-        """Whether it takes new work."""
+        """Whether the engine can get new work."""
         live = self.machine.state is MachineState.LIVE
         steady = not self.disowned and not self.changing
         return live and steady and self.failed_reads < UNREACHABLE_THRESHOLD
 
 
 class EngineRegistry:
-    """Engines by id."""
+    """Tracks the engines of the fleet, and admits work to those that this node owns."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._settings = context.settings
         self._clock = context.clock
         self._events = context.events
-        self._connect = context.connect_engine
+        self._connect_engine = context.connect_engine
         self._membership = membership
         self._configuration = configuration
         self._connections: dict[str, Engine] = {}
@@ -87,30 +87,30 @@
         membership.add_listener(self._node_changed)
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to follow ownership and load."""
+        """Start the periodic updates of ownership and load."""
         tasks.every(OWNERSHIP_INTERVAL, self.refresh)
         tasks.every(self._settings.timing.load_report_interval, self._read_loads)
 
     def add_preemption_listener(self, listener: PreemptionListener) -> None:
-        """Be told of batch attempts that lost their slot at an engine."""
+        """Call `listener` with an engine id and the batch attempts preempted there."""
         self._preemption_listeners.append(listener)
 
     def refresh(self) -> None:
-        """Follow the machine list and the live nodes."""
-        self._machines = {one.machine_id: one for one in self._membership.engines()}
+        """Update engines and ownership from the machine list and the live nodes."""
+        self._machines = {machine.machine_id: machine for machine in self._membership.engines()}
         if not self._configuration.ready:
             return
-        self._mark_drained()
-        self._rank_owners()
+        self._mark_draining()
+        self._update_candidates()
         for engine_id, machine in self._machines.items():
             owned = self._owner_of(machine) == self._settings.node_id
             self._set_owned(machine, owned)
             if engine_id in self._owned:
                 self._owned[engine_id].machine = machine
-        for engine_id in [one for one in self._owned if one not in self._machines]:
+        for engine_id in [key for key in self._owned if key not in self._machines]:
             self._disown(engine_id)
 
-    def _mark_drained(self) -> None:
+    def _mark_draining(self) -> None:
         for drain in self._configuration.current.drains:
             selector = compiled_selector(drain.machines)
             for engine_id, machine in self._machines.items():
@@ -118,15 +118,18 @@
                     leaving = machine.model_copy(update={"state": MachineState.LEAVING})
                     self._machines[engine_id] = leaving
 
-    def _rank_owners(self) -> None:
-        """Forget owners when the live nodes of a zone change; others stay as they are."""
+    def _update_candidates(self) -> None:
+        """Update the candidate owners of each zone.
+
+        Cached owners are discarded only for engines in zones whose candidates changed.
+        """
         alive: dict[str, list[str]] = defaultdict(list)
         for member in self._membership.view.alive():
             alive[member.zone].append(member.node_id)
-        everywhere = [node_id for nodes in alive.values() for node_id in nodes]
-        # A zone without nodes is served by those of the others.
+        all_nodes = [node_id for nodes in alive.values() for node_id in nodes]
+        # Engines of a zone without live nodes are owned by nodes of the other zones.
         candidates = {
-            machine.zone: alive.get(machine.zone, everywhere) for machine in self._machines.values()
+            machine.zone: alive.get(machine.zone, all_nodes) for machine in self._machines.values()
         }
         for engine_id, machine in self._machines.items():
             if self._candidates.get(machine.zone) != candidates[machine.zone]:
@@ -142,14 +145,14 @@
         return self._owners[machine.machine_id]
 
     def _set_owned(self, machine: Machine, owned: bool) -> None:
-        known = self._owned.get(machine.machine_id)
-        if owned and known is not None and known.disowned:
-            known.disowned = False
-        elif owned and known is None and machine.machine_id not in self._connecting:
-            # Listeners must not block, and the first load read does.
+        existing = self._owned.get(machine.machine_id)
+        if owned and existing is not None and existing.disowned:
+            existing.disowned = False
+        elif owned and existing is None and machine.machine_id not in self._connecting:
+            # The first read of the load blocks, which `refresh` must not.
             self._connecting.add(machine.machine_id)
             gevent.spawn(self._own, machine)
-        elif not owned and known is not None and not known.disowned:
+        elif not owned and existing is not None and not existing.disowned:
             self._disown(machine.machine_id)
 
     def _own(self, machine: Machine) -> None:
@@ -172,7 +175,7 @@
     def _disown(self, engine_id: str) -> None:
         engine = self._owned[engine_id]
         engine.disowned = True
-        # Work in progress still counts here until it ends.
+        # The entry stays until the work in progress has ended, since its slots are counted here.
         if engine.slots.online_count + engine.slots.batch_count == 0:
             del self._owned[engine_id]
         self._events.emit(Event.ENGINE_DISOWNED, engine=engine_id)
@@ -188,9 +191,9 @@
 
     def _read_loads(self) -> None:
         now = self._clock.monotonic()
-        longest = self._settings.http.request_timeout + LOST_RELEASE_MARGIN
+        max_age = self._settings.http.request_timeout + LOST_RELEASE_MARGIN
         for engine in list(self._owned.values()):
-            engine.slots.release_older(now - longest, now)
+            engine.slots.release_older(now - max_age, now)
             try:
                 engine.load = engine.connection.load()
                 engine.failed_reads = 0
@@ -211,40 +214,43 @@
                 engine.slots.release_gateway(change.node_id, now)
 
     def connection(self, machine: Machine) -> Engine:
-        """Connections to an engine."""
-        known = self._connections.get(machine.machine_id)
-        if known is None or known.address != machine.address:
-            known = self._connections[machine.machine_id] = self._connect(machine.address)
-        return known
+        """Return the client of an engine, a new one if the address has changed."""
+        existing = self._connections.get(machine.machine_id)
+        if existing is None or existing.address != machine.address:
+            existing = self._connections[machine.machine_id] = self._connect_engine(machine.address)
+        return existing
 
     def machine(self, engine_id: str) -> Machine | None:
-        """An engine of the machine list."""
+        """Return the entry of an engine in the machine list, if there is one."""
         return self._machines.get(engine_id)
 
     def usable_engines(self) -> list[OwnedEngine]:
-        """Engines that this node owns and that take new work."""
+        """Return the engines that this node owns and that can get new work."""
         return [engine for engine in self._owned.values() if engine.usable]
 
     def owned_engine(self, engine_id: str) -> OwnedEngine | None:
-        """An engine that this node owns, usable or not."""
+        """Return an engine if this node owns it, whether usable or not."""
         engine = self._owned.get(engine_id)
         return engine if engine is not None and not engine.disowned else None
 
     def engine_views(self) -> list[EngineView]:
-        """Live engines of the fleet and what they hold, by their owners' summaries."""
+        """Return the live engines of the fleet and their loaded models.
+
+        The models come from the summaries that the owners send in heartbeats.
+        """
         views: dict[str, EngineView] = {}
         for member in self._membership.view.members():
             for summary in self._engine_summaries(member.node_id, member.summary):
                 machine = self._machines.get(summary.engine_id)
                 if machine is not None and machine.state is MachineState.LIVE:
-                    held = dict(parse_loaded_model(text) for text in summary.models)
+                    loaded = dict(parse_loaded_model(text) for text in summary.models)
                     views[summary.engine_id] = EngineView(
-                        summary.engine_id, engine_labels(machine), held, summary.slots > 0
+                        summary.engine_id, engine_labels(machine), loaded, summary.slots > 0
                     )
         return list(views.values())
 
     def summaries(self) -> list[peer.EngineSummary]:
-        """What heartbeats tell of the owned engines."""
+        """Return the summaries of owned engines that heartbeats carry."""
         return [
             peer.EngineSummary(
                 engine_id=engine.machine.machine_id,
@@ -260,52 +266,57 @@
         ]
 
     def pools_of(self, machine: Machine) -> list[PoolSpec]:
-        """Pools that cover an engine, the winner first."""
+        """Return the pools that match an engine, by precedence; the first one applies."""
         return matching_pools(self._configuration.current, engine_labels(machine))
 
     def candidates(
         self, tenant: TenantSpec, model: str, excluded: Iterable[str]
     ) -> list[EngineCandidate]:
-        """Engines that may run a request, by the summaries of their owners.
+        """Return the engines that can run a request, according to their owners' summaries.
 
-        For a while after an owner has changed, both the former and the new one tell of an engine;
-        this node knows for sure what it owns itself.
+        For a while after a change of owner, both the former and the new owner report an engine.
+        This node's own entries replace those of other nodes, as it knows what it owns.
         """
-        skipped = set(excluded)
-        found: dict[str, EngineCandidate] = {}
+        excluded_ids = set(excluded)
+        candidates: dict[str, EngineCandidate] = {}
         own_id = self._settings.node_id
-        for member in sorted(self._membership.view.alive(), key=lambda one: one.node_id == own_id):
+        for member in sorted(
+            self._membership.view.alive(), key=lambda member: member.node_id == own_id
+        ):
             for summary in self._engine_summaries(member.node_id, member.summary):
                 machine = self._machines.get(summary.engine_id)
-                if machine is None or summary.engine_id in skipped:
+                if machine is None or summary.engine_id in excluded_ids:
                     continue
-                held = {parse_loaded_model(text)[0] for text in summary.models}
-                if not summary.slots or model not in held:
+                loaded = {parse_loaded_model(text)[0] for text in summary.models}
+                if not summary.slots or model not in loaded:
                     continue
-                if self._may_serve(machine, tenant, model):
-                    found[summary.engine_id] = EngineCandidate(
+                if self._can_serve(machine, tenant, model):
+                    candidates[summary.engine_id] = EngineCandidate(
                         summary.engine_id,
                         member.node_id,
                         machine.zone,
                         summary.in_flight_online,
                         summary.slots,
                     )
-        return list(found.values())
+        return list(candidates.values())
 
     def _engine_summaries(
         self, node_id: str, summary: peer.NodeSummary
     ) -> list[peer.EngineSummary]:
-        # This node's own counts are exact; those of others are as old as a heartbeat.
+        # Own summaries are computed now, others are as old as the last heartbeat.
         return self.summaries() if node_id == self._settings.node_id else summary.engines
 
-    def _may_serve(self, machine: Machine, tenant: TenantSpec, model: str) -> bool:
+    def _can_serve(self, machine: Machine, tenant: TenantSpec, model: str) -> bool:
         if machine.state is not MachineState.LIVE:
             return False
         pools = self.pools_of(machine)
         return bool(pools) and pool_serves(pools[0], tenant, model)
 
     def admit_online(self, request: peer.AdmissionRequest) -> peer.AdmissionReply:
-        """Decide, as the owner, whether an online attempt may start."""
+        """Decide, as the owner of the engine, whether an online attempt may start.
+
+        Batch attempts that are preempted for it are passed to the preemption listeners.
+        """
         engine = self._owned.get(request.engine_id)
         if engine is None or not engine.usable:
             return peer.AdmissionReply(outcome=peer.AdmissionOutcome.ADMISSION_OUTCOME_NOT_OWNER)
@@ -322,7 +333,7 @@
         return peer.AdmissionReply(outcome=peer.AdmissionOutcome.ADMISSION_OUTCOME_GRANTED)
 
     def release(self, engine_id: str, attempt_id: str) -> None:
-        """Free the slot of an attempt."""
+        """Free the slot of an attempt at an engine that this node owns."""
         engine = self._owned.get(engine_id)
         if engine is None:
             return
@@ -336,11 +347,11 @@
 
 
 def parse_loaded_model(text: str) -> tuple[str, str]:
-    """Model and version of NAME=VERSION, as summaries carry them."""
+    """Split NAME=VERSION, the form of a loaded model in summaries, into model and version."""
     name, _, version = text.rpartition("=")
     return name, version
 
 
 def engine_labels(machine: Machine) -> dict[str, str]:
-    """Labels of an engine, with its zone as `zone` and its kind as `kind`."""
+    """Return the labels of an engine, with its zone as `zone` and its kind as `kind`."""
     return {**machine.labels, "zone": machine.zone, "kind": machine.kind.value}
--- a/postvalve/node/error_documents.py
+++ b/postvalve/node/error_documents.py
@@ -1,4 +1,4 @@
-"""Errors as callers of the OpenAI interface know them, with the verdict."""
+"""Error objects of the OpenAI API, extended by the verdict."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def error_event(error: PostvalveError) -> bytes:
-    """The server-sent event that ends a stream that could not be finished."""
+    """Return the server-sent event that ends an incomplete stream with an error."""
     return b"data: " + json.dumps(error_document(error)).encode("utf-8") + b"\n\n"
 
 
 def error_document(error: PostvalveError) -> dict[str, dict[str, str | float | None]]:
-    """An error in the shape that callers of the OpenAI interface know, with the verdict."""
+    """Return an error object of the OpenAI API with the verdict and the retry delay."""
     return {
         "error": {
             "message": error.message,
--- a/postvalve/node/http/__init__.py
+++ b/postvalve/node/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface that callers and operators see."""
+"""HTTP API for callers and operators."""
--- a/postvalve/node/http/application.py
+++ b/postvalve/node/http/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application of a node: routes, authentication, errors."""
+"""WSGI application of a node: routing, authentication and error responses."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
 from postvalve.node.http.operations import OperationsEndpoint, StatusSource
 
 DRAINING_RETRY_AFTER = 1.0
-"""Seconds told to a caller of a draining node; another node takes the request at once."""
+"""Retry-After, in seconds, of a draining node; other nodes accept the request at once."""
 
 TenantHandler = Callable[..., Response]
-OpenHandler = Callable[[Request], Response]
+OperationsHandler = Callable[[Request], Response]
 
 
 class InternalError(PostvalveError):
-    """An unexpected error; what the request did is not known."""
+    """An unexpected error; whether the request had an effect is not known."""
 
     verdict = Verdict.MAY_HAVE_RUN
 
 
 class NodeApplication:
-    """Serves callers and operators."""
+    """Serves the API of callers and the endpoints of operators."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._events = context.events
         self._configuration = configuration
         self._node = node
-        self._open_routes: dict[str, OpenHandler] = {
+        self._operations_routes: dict[str, OperationsHandler] = {
             "GET /healthz": operations.healthz,
             "GET /readyz": operations.readyz,
             "GET /metrics": operations.metrics,
@@ -85,27 +85,29 @@
             "GET /v1/batches/<job_id>": batches.show,
             "POST /v1/batches/<job_id>/cancel": batches.cancel,
         }
-        self._map = Map([_rule(route) for route in (*self._open_routes, *self._tenant_routes)])
+        self._map = Map(
+            [_rule(route) for route in (*self._operations_routes, *self._tenant_routes)]
+        )
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one request, as the WSGI entry point."""
         request = Request(environ)
         request.max_content_length = self._http.max_body_bytes
         try:
             response = self._respond(request)
-        except Exception as error:  # every failure is answered, and the process goes on
-            response = self._failure(request, error)
+        except Exception as error:  # any error becomes a response; the server keeps running
+            response = self._handle_error(request, error)
         if self._node.draining:
             response.headers["Connection"] = "close"
         return response(environ, start_response)
 
     def _respond(self, request: Request) -> Response:
         route, arguments = self._match(request)
-        open_handler = self._open_routes.get(route)
-        if open_handler is not None:
-            return open_handler(request)
+        operations_handler = self._operations_routes.get(route)
+        if operations_handler is not None:
+            return operations_handler(request)
         if self._node.draining and request.method == "POST":
             raise DrainingError("this node is leaving", retry_after=DRAINING_RETRY_AFTER)
         tenant = authenticate_tenant(request, self._configuration.current)
@@ -122,19 +124,19 @@
             raise NotFoundError(f"there is nothing at {request.path}") from None
         return str(route), dict(arguments)
 
-    def _failure(self, request: Request, error: Exception) -> Response:
-        known = self._as_known(request, error)
-        if known.http_status >= 500:
+    def _handle_error(self, request: Request, error: Exception) -> Response:
+        reported = self._to_postvalve_error(request, error)
+        if reported.http_status >= 500:
             self._events.emit(
                 Event.REQUEST_FAILED,
                 path=request.path,
-                code=known.code,
-                verdict=known.verdict.value,
-                error=known.message,
+                code=reported.code,
+                verdict=reported.verdict.value,
+                error=reported.message,
             )
-        return error_response(known)
+        return error_response(reported)
 
-    def _as_known(self, request: Request, error: Exception) -> PostvalveError:
+    def _to_postvalve_error(self, request: Request, error: Exception) -> PostvalveError:
         if isinstance(error, LogUnavailableError) and error.retry_after is None:
             error.retry_after = self._timing.log_retry_after
         if isinstance(error, PostvalveError):
--- a/postvalve/node/http/authentication.py
+++ b/postvalve/node/http/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the tenant or operator of a request by its API key, in constant time."""
+"""Identifies the tenant or operator of a request by its API key, in constant time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def authenticate_tenant(request: Request, configuration: FleetConfiguration) -> TenantSpec:
-    """The tenant whose key the request carries.
+    """Return the tenant whose API key the request carries.
 
     Raises:
-        AuthenticationError: there is no key, or nobody has it.
+        AuthenticationError: the key is missing or belongs to no tenant.
     """
     tenant = find_by_key(_presented_key(request), configuration.tenant_by_key_digest)
     if tenant is None:
@@ -24,19 +24,19 @@
 
 
 def authenticate_operator(request: Request, configuration: FleetConfiguration) -> str:
-    """The name of the operator whose key the request carries.
+    """Return the name of the operator whose key the request carries.
 
     Raises:
-        AuthenticationError: there is no key, or no operator has it.
+        AuthenticationError: the key is missing or belongs to no operator.
     """
     key = _presented_key(request)
-    found = ""
+    name = ""
     for operator in configuration.operators:
         if same_key(key, operator.api_key_sha256):
-            found = operator.name
-    if not found:
+            name = operator.name
+    if not name:
         raise AuthenticationError("the operator key is not valid")
-    return found
+    return name
 
 
 def _presented_key(request: Request) -> str:
--- a/postvalve/node/http/batches.py
+++ b/postvalve/node/http/batches.py
@@ -1,4 +1,4 @@
-"""`/v1/batches`: create, show, list, cancel."""
+"""`/v1/batches`: create, show, list and cancel batches."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class BatchBody(BaseModel):
-    """Body of a request to create a batch."""
+    """Request body of `POST /v1/batches`."""
 
     model_config = ConfigDict(extra="ignore", strict=True)
 
@@ -51,7 +51,7 @@
 
 
 class BatchesEndpoint:
-    """Serves batches."""
+    """Handlers of `/v1/batches`."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._jobs = jobs
 
     def create(self, request: Request, tenant: TenantSpec) -> Response:
-        """Accept a batch: answered once its record is decided on the log."""
+        """Create a batch; responds once the log has decided on its record."""
         body = _parse_body(request.get_data())
         workload = resolve_workload(
             self._configuration.current, tenant, workload_name(request), TrafficClass.BATCH
@@ -75,8 +75,8 @@
         file = self._files.describe(tenant.name, body.input_file_id)
         self._check_model(file)
         created_at = self._clock.wall()
-        allowed = deadline_seconds(request) or _window_seconds(body.completion_window)
-        once = at_most_once(request)
+        time_limit = deadline_seconds(request) or _window_seconds(body.completion_window)
+        is_at_most_once = at_most_once(request)
         submission = records.JobSubmitted(
             job_id=job_id_for(tenant.name, idempotency_key(request) or self._new_id()),
             tenant=tenant.name,
@@ -87,9 +87,9 @@
             items=file.lines,
             model=file.model,
             created_at_ms=milliseconds(created_at),
-            deadline_at_ms=milliseconds(created_at + allowed),
-            request_digest=_digest(body, workload.name, once, file, allowed),
-            at_most_once=once,
+            deadline_at_ms=milliseconds(created_at + time_limit),
+            request_digest=_request_digest(body, workload.name, is_at_most_once, file, time_limit),
+            at_most_once=is_at_most_once,
             metadata_json=json.dumps(body.metadata) if body.metadata else "",
             completion_window=body.completion_window,
         )
@@ -100,17 +100,17 @@
             raise NotFoundError(f"there is no model {file.model!r}", parameter="body.model")
 
     def show(self, request: Request, tenant: TenantSpec, job_id: str) -> Response:
-        """Show a batch."""
+        """Return the state of a batch."""
         return json_response(batch_document(self._jobs.get(tenant.name, job_id)))
 
     def list(self, request: Request, tenant: TenantSpec) -> Response:
-        """List the tenant's batches, the newest first."""
+        """List the tenant's batches, newest first."""
         page = paginate(request, self._jobs.tenant_jobs(tenant.name))
-        documents = [batch_document(self._jobs.get(tenant.name, one)) for one in page.ids]
+        documents = [batch_document(self._jobs.get(tenant.name, job_id)) for job_id in page.ids]
         return json_response(list_document(documents, page.has_more))
 
     def cancel(self, request: Request, tenant: TenantSpec, job_id: str) -> Response:
-        """Cancel a batch; one that ended stays as it is."""
+        """Cancel a batch; has no effect on one that has ended."""
         return json_response(batch_document(self._jobs.cancel(tenant.name, job_id)))
 
 
@@ -118,9 +118,9 @@
     try:
         return BatchBody.model_validate_json(content)
     except ValidationError as error:
-        finding = error.errors(include_url=False)[0]
-        field = ".".join(str(part) for part in finding["loc"])
-        message = f"{field}: {finding['msg']}" if field else str(finding["msg"])
+        validation_error = error.errors(include_url=False)[0]
+        field = ".".join(str(part) for part in validation_error["loc"])
+        message = f"{field}: {validation_error['msg']}" if field else str(validation_error["msg"])
         raise InvalidRequestError(message, parameter=field or None) from None
 
 
@@ -134,23 +134,24 @@
     return float(int(match.group(1)) * _UNIT_SECONDS[match.group(2)])
 
 
-def _digest(
-    body: BatchBody, workload: str, once: bool, file: FileDescription, allowed: float
+def _request_digest(
+    body: BatchBody, workload: str, is_at_most_once: bool, file: FileDescription, time_limit: float
 ) -> str:
-    # Files are compared by content, so that a resend may upload its file again.
+    # Input files are compared by content: a client that resends a request may have uploaded its
+    # file again, under a new id.
     parts = [
         file.sha256,
         body.endpoint,
         workload,
-        str(once),
-        str(allowed),
+        str(is_at_most_once),
+        str(time_limit),
         json.dumps(body.metadata, sort_keys=True),
     ]
     return hashlib.sha256("\0".join(parts).encode()).hexdigest()
 
 
 def batch_document(ledger: JobLedger) -> dict[str, Any]:
-    """A batch as callers of the OpenAI interface know it."""
+    """Return a batch object of the OpenAI API."""
     submission = ledger.accepted
     ended_at = ledger.ended_at_ms // 1000 or None
     completed = ledger.state is JobState.COMPLETED
--- a/postvalve/node/http/chat.py
+++ b/postvalve/node/http/chat.py
@@ -30,7 +30,7 @@
 
 
 class ChatEndpoint:
-    """Serves online requests."""
+    """Handlers of chat completions and models."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._keyed_requests = keyed_requests
 
     def complete(self, request: Request, tenant: TenantSpec) -> Response:
-        """Run one chat completion."""
+        """Run one chat completion, streamed if the request asks for it."""
         arrived_at = self._clock.monotonic()
         content = request.get_data()
         body = check_chat_body(content)
@@ -55,7 +55,7 @@
         headers = {VERDICT_HEADER: Verdict.RAN.value, REQUEST_HEADER: online.request_id}
         key = idempotency_key(request)
         if key is not None:
-            return self._complete_once(online, key, headers)
+            return self._complete_idempotent(online, key, headers)
         answer = self._dispatcher.run(online)
         if online.streamed:
             return Response(
@@ -66,7 +66,9 @@
             )
         return Response(answer.whole(), headers=headers, content_type="application/json")
 
-    def _complete_once(self, online: OnlineRequest, key: str, headers: dict[str, str]) -> Response:
+    def _complete_idempotent(
+        self, online: OnlineRequest, key: str, headers: dict[str, str]
+    ) -> Response:
         digest = hashlib.sha256(online.workload.name.encode() + b"\0" + online.body).hexdigest()
         answer = self._keyed_requests.run(online, key, digest)
         headers[REPLAYED_HEADER] = str(answer.replayed).lower()
@@ -90,7 +92,7 @@
         workload = resolve_workload(
             configuration, tenant, workload_name(request), TrafficClass.ONLINE
         )
-        allowed = deadline_seconds(request) or self._settings.request_timeout
+        time_limit = deadline_seconds(request) or self._settings.request_timeout
         return OnlineRequest(
             request_id=f"chatcmpl-{self._new_id()}",
             tenant=tenant,
@@ -101,7 +103,7 @@
             at_most_once=at_most_once(request),
             prefix_key=prefix_key(tenant.name, body.model, body.messages[0].content),
             cache_salt=cache_salt(tenant.name),
-            deadline=arrived_at + min(allowed, self._settings.request_timeout),
+            deadline=arrived_at + min(time_limit, self._settings.request_timeout),
             arrived_at=arrived_at,
         )
 
@@ -110,12 +112,12 @@
             raise NotFoundError(f"there is no model {model!r}", parameter="model")
 
     def list_models(self, request: Request, tenant: TenantSpec) -> Response:
-        """List the models."""
+        """List all models that are served."""
         models = [self._model_document(name) for name in self._configuration.current.served_names]
         return json_response({"object": "list", "data": models})
 
     def show_model(self, request: Request, tenant: TenantSpec, model: str) -> Response:
-        """Show one model."""
+        """Return one model."""
         self._check_model(model)
         return json_response(self._model_document(model))
 
--- a/postvalve/node/http/errors.py
+++ b/postvalve/node/http/errors.py
@@ -1,4 +1,4 @@
-"""Errors as HTTP answers, each with its verdict."""
+"""HTTP error responses; each carries the verdict on whether the request may have run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def error_response(error: PostvalveError) -> Response:
-    """The answer for an error."""
+    """Return the HTTP response for an error."""
     response = Response(
         json.dumps(error_document(error)),
         status=error.http_status,
--- a/postvalve/node/http/files.py
+++ b/postvalve/node/http/files.py
@@ -1,4 +1,4 @@
-"""`/v1/files`: input files that callers upload, and the output files of their batches."""
+"""`/v1/files`: uploaded input files, and output and error files of batches."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from postvalve.settings.process import HttpSettings
 
 FORM_OVERHEAD_BYTES = 64 * 1024
-"""Bytes of a form around its file."""
+"""Maximum size of a multipart form beyond the file in it."""
 MAX_FORM_PARTS = 16
 
 
 class FilesEndpoint:
-    """Serves files."""
+    """Handlers of `/v1/files`."""
 
     def __init__(self, settings: HttpSettings, files: FileStore, jobs: JobStore) -> None:
         self._settings = settings
@@ -39,7 +39,7 @@
         self._jobs = jobs
 
     def upload(self, request: Request, tenant: TenantSpec) -> Response:
-        """Take a batch input file as a multipart form; it is checked while it comes."""
+        """Upload a batch input file as a multipart form, validated while it is received."""
         if request.mimetype != "multipart/form-data":
             raise InvalidRequestError("send a multipart form with the fields purpose and file")
         file_id, upload = self._files.begin(
@@ -53,7 +53,7 @@
     def _parse_form(self, request: Request, upload: FileUpload) -> str:
         request.max_content_length = self._settings.max_file_bytes + FORM_OVERHEAD_BYTES
         parser = FormDataParser(
-            stream_factory=_single_file(upload),
+            stream_factory=_single_file_factory(upload),
             max_form_memory_size=FORM_OVERHEAD_BYTES,
             max_content_length=request.max_content_length,
             max_form_parts=MAX_FORM_PARTS,
@@ -72,7 +72,7 @@
         return files["file"].filename or "input.jsonl"
 
     def show(self, request: Request, tenant: TenantSpec, file_id: str) -> Response:
-        """Describe a file."""
+        """Return the metadata of a file."""
         job_id = job_of_result_file(file_id)
         if job_id is None:
             return json_response(file_document(self._files.describe(tenant.name, file_id)))
@@ -80,7 +80,7 @@
         return json_response(_result_file_document(file_id, size))
 
     def list(self, request: Request, tenant: TenantSpec) -> Response:
-        """List the files that the tenant uploaded, the newest first."""
+        """List the files that the tenant has uploaded, newest first."""
         documents: list[dict[str, Any]] = []
         page = paginate(request, self._jobs.tenant_files(tenant.name))
         for file_id in page.ids:
@@ -91,14 +91,14 @@
         return json_response(list_document(documents, page.has_more))
 
     def delete(self, request: Request, tenant: TenantSpec, file_id: str) -> Response:
-        """Hide an uploaded file."""
+        """Delete an uploaded file: it is no longer visible, but batches that use it go on."""
         if job_of_result_file(file_id) is not None:
             raise ConflictError("results belong to their batch and stay readable")
         self._files.delete(tenant.name, file_id)
         return json_response({"id": file_id, "object": "file", "deleted": True})
 
     def content(self, request: Request, tenant: TenantSpec, file_id: str) -> Response:
-        """Stream a file's content."""
+        """Stream the content of a file."""
         job_id = job_of_result_file(file_id)
         if job_id is not None:
             lines = self._result_lines(tenant, file_id, job_id)
@@ -106,7 +106,7 @@
             self._files.describe(tenant.name, file_id)
             lines = self._files.content(file_id)
         return Response(
-            _with_first(lines), content_type="application/octet-stream", direct_passthrough=True
+            _prefetch_first(lines), content_type="application/octet-stream", direct_passthrough=True
         )
 
     def _result_lines(self, tenant: TenantSpec, file_id: str, job_id: str) -> Iterator[bytes]:
@@ -121,9 +121,9 @@
         )
 
 
-def _with_first(lines: Iterator[bytes]) -> Iterator[bytes]:
-    # Read the first block before the answer starts, so that an outage is an error, and
-    # never an empty file.
+def _prefetch_first(lines: Iterator[bytes]) -> Iterator[bytes]:
+    # Reads the first block before the response starts: an outage of the log must give an error
+    # response, not an empty file.
     first = next(lines, b"")
 
     def blocks() -> Iterator[bytes]:
@@ -133,7 +133,7 @@
     return blocks()
 
 
-def _single_file(upload: FileUpload) -> Any:
+def _single_file_factory(upload: FileUpload) -> Any:
     used = False
 
     def factory(
@@ -152,7 +152,7 @@
 
 
 def file_document(description: FileDescription) -> dict[str, Any]:
-    """A file as callers of the OpenAI interface know it."""
+    """Return a file object of the OpenAI API."""
     return {
         "id": description.file_id,
         "object": "file",
@@ -177,7 +177,7 @@
 
 
 def result_line(result: records.ItemResult) -> bytes:
-    """One line of an output or error file."""
+    """Return the line of an output or error file for one result."""
     response: dict[str, Any] | None = None
     error: dict[str, str] | None = None
     if result.may_have_run:
--- a/postvalve/node/http/headers.py
+++ b/postvalve/node/http/headers.py
@@ -1,4 +1,4 @@
-"""Headers that postvalve adds to the callers' interface."""
+"""Request headers that postvalve adds to the OpenAI API."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 def workload_name(request: Request) -> str | None:
-    """The workload that the caller names, if any."""
+    """Return the name of the workload that the caller selects, if any."""
     return request.headers.get(WORKLOAD_HEADER)
 
 
 def deadline_seconds(request: Request) -> float | None:
-    """Seconds from now that the caller allows, if it says so.
+    """Return the seconds within which the request must end, if the caller limits them.
 
     Raises:
-        InvalidRequestError: the header is no positive number.
+        InvalidRequestError: the header is not a positive number.
     """
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
@@ -43,7 +43,7 @@
 
 
 def at_most_once(request: Request) -> bool:
-    """Whether the request must not be repeated.
+    """Return whether the request must run at most once, that is, must not be retried.
 
     Raises:
         InvalidRequestError: the header is neither true nor false.
@@ -58,10 +58,10 @@
 
 
 def idempotency_key(request: Request) -> str | None:
-    """The caller's idempotency key, if any.
+    """Return the idempotency key of the request, if any.
 
     Raises:
-        InvalidRequestError: it is empty or too long.
+        InvalidRequestError: the key is empty or too long.
     """
     key = request.headers.get(IDEMPOTENCY_HEADER)
     if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
--- a/postvalve/node/http/json_responses.py
+++ b/postvalve/node/http/json_responses.py
@@ -1,4 +1,4 @@
-"""JSON answers of the callers' interface."""
+"""JSON responses of the API."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def json_response(document: Any, status: int = 200) -> Response:
-    """Answer a document as JSON."""
+    """Return a response with a JSON document."""
     return Response(json.dumps(document), status=status, content_type="application/json")
 
 
 def list_document(items: list[dict[str, Any]], has_more: bool) -> dict[str, Any]:
-    """A page of a list, as callers of the OpenAI interface know it."""
+    """Return a list object of the OpenAI API that holds one page."""
     return {
         "object": "list",
         "data": items,
--- a/postvalve/node/http/operations.py
+++ b/postvalve/node/http/operations.py
@@ -1,4 +1,4 @@
-"""Health, metrics and status, for operators and their tools."""
+"""Health checks, metrics and status, for operators and their tools."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class StatusSource(Protocol):
-    """What the operations endpoint asks of its node."""
+    """State of a node that `OperationsEndpoint` reports."""
 
     @property
     def draining(self) -> bool:
-        """Whether the node takes no new work."""
+        """Whether the node is draining and accepts no new work."""
         ...
 
     @property
     def ready(self) -> bool:
-        """Whether the node serves callers."""
+        """Whether the node has a configuration and can serve callers."""
         ...
 
     def status_document(self) -> dict[str, Any]:
-        """The node's view, for `postvalve status`."""
+        """Return the state of the node and of its peers, for `postvalve status`."""
         ...
 
 
 class OperationsEndpoint:
-    """Serves `/healthz`, `/readyz`, `/metrics` and `/status`."""
+    """Handlers of `/healthz`, `/readyz`, `/metrics` and `/status`."""
 
     def __init__(
         self, node: StatusSource, configuration: ConfigurationService, metrics: NodeMetrics
@@ -41,11 +41,11 @@
         self._metrics = metrics
 
     def healthz(self, request: Request) -> Response:
-        """Answer 200 as long as the process works, draining included."""
+        """Return 200 as long as the process responds, also while it is draining."""
         return json_response({"status": "ok"})
 
     def readyz(self, request: Request) -> Response:
-        """Answer 200 while the node takes new work."""
+        """Return 200 while the node accepts new work, else 503."""
         if self._node.draining:
             return json_response({"status": "draining"}, 503)
         if not self._node.ready:
@@ -53,10 +53,10 @@
         return json_response({"status": "ready"})
 
     def metrics(self, request: Request) -> Response:
-        """Give the metrics in Prometheus' text format."""
+        """Return the metrics in the text format of Prometheus."""
         return Response(self._metrics.exposition(), content_type="text/plain; version=0.0.4")
 
     def status(self, request: Request) -> Response:
-        """Give the node's view to an operator."""
+        """Return the state of the node and of its peers, to an operator."""
         authenticate_operator(request, self._configuration.current)
         return json_response(self._node.status_document())
--- a/postvalve/node/http/paging.py
+++ b/postvalve/node/http/paging.py
@@ -1,4 +1,4 @@
-"""Pages of lists: `limit` and `after`."""
+"""Pagination of lists by the query parameters `limit` and `after`."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Ids of one page, and whether more follow."""
+    """The ids of one page of a list, and whether more follow."""
 
     ids: list[str]
     has_more: bool
 
 
 def paginate(request: Request, ids: list[str]) -> Page:
-    """Cut the page that the request asks for.
+    """Return the page of `ids` that the request selects.
 
     Raises:
-        InvalidRequestError: the limit is no number in range, or `after` is unknown.
+        InvalidRequestError: `limit` is not a number in range, or `after` is not among the ids.
     """
     limit = _limit(request)
     after = request.args.get("after")
--- a/postvalve/node/http/server.py
+++ b/postvalve/node/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a node: limits on connections, and on silent or slow clients."""
+"""HTTP server of a node, with limits on connections and on idle or slow clients."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class HttpServer:
-    """Listens for callers."""
+    """Listens for HTTP connections of callers and operators."""
 
     def __init__(self, listen: str, application: NodeApplication, http: HttpSettings) -> None:
         self._server = _Server(listen, application, http)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self, timeout: float) -> None:
-        """Stop to listen; requests in progress have `timeout` seconds."""
+        """Stop listening; requests in progress have `timeout` seconds to end."""
         self._server.close()
         gevent.spawn(self._server.stop, timeout).join(timeout)
--- a/postvalve/node/membership_service.py
+++ b/postvalve/node/membership_service.py
@@ -1,4 +1,4 @@
-"""Carries heartbeats and zone digests over UDP, and reads the platform's machine list."""
+"""Exchanges heartbeats and zone digests over UDP, and polls the platform's machine list."""
 
 from __future__ import annotations
 
@@ -30,15 +30,18 @@
 from postvalve.states import MachineKind, MachineState, NodeState
 
 HEARTBEATS_PER_SUMMARY = 5
-"""Heartbeats between two that carry the summary though it did not change."""
+"""Heartbeats from one that carries an unchanged summary to the next.
+
+Dead nodes get one in this many heartbeats.
+"""
 RELAYS_PER_ZONE = 2
-"""Nodes of another zone that get a digest and relay it."""
+"""Nodes of each other zone that receive a digest and relay it within their zone."""
 
 ChangeListener = Callable[[StateChanged], None]
 
 
 class MembershipService:
-    """This node's part in membership."""
+    """Sends and receives the heartbeats and digests behind this node's `MembershipView`."""
 
     def __init__(self, context: NodeContext) -> None:
         self._settings = context.settings
@@ -58,42 +61,42 @@
         self._summary_sent_at = -HEARTBEATS_PER_SUMMARY
         self._machines: dict[str, Machine] = {}
         self._listeners: list[ChangeListener] = []
-        self._work_listeners: list[Callable[[], None]] = []
+        self._pending_work_listeners: list[Callable[[], None]] = []
         self._summary_provider: Callable[[], peer.NodeSummary] = peer.NodeSummary
         self._revision_provider: Callable[[], int] = lambda: -1
 
     def set_providers(
         self, summary: Callable[[], peer.NodeSummary], revision: Callable[[], int]
     ) -> None:
-        """Set what heartbeats tell of this node."""
+        """Set the functions that give the summary and configuration revision for heartbeats."""
         self._summary_provider = summary
         self._revision_provider = revision
 
     def add_listener(self, listener: ChangeListener) -> None:
-        """Be told of changes of node states."""
+        """Call `listener` with each change of a node's state."""
         self._listeners.append(listener)
 
     def add_work_listener(self, listener: Callable[[], None]) -> None:
-        """Be told at once of a heartbeat, this node's own included, with items waiting."""
-        self._work_listeners.append(listener)
+        """Call `listener` on each heartbeat of a node with pending batch items, this one included."""
+        self._pending_work_listeners.append(listener)
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to send and receive."""
+        """Start the periodic heartbeats, digests and reads of the machine list."""
         timing = self._settings.timing
         tasks.every(timing.machine_list_interval, self.read_machine_list)
         tasks.every(timing.heartbeat_interval, self.send_heartbeat)
         tasks.every(timing.digest_interval, self.send_digest)
 
     def engines(self) -> list[Machine]:
-        """Engines of the machine list, leaving ones included."""
+        """Return the engines of the machine list, including leaving ones."""
         return [one for one in self._machines.values() if one.kind is MachineKind.ENGINE]
 
     def member(self, node_id: str) -> Member | None:
-        """What is known of a node."""
+        """Return the entry of a node in the view, if there is one."""
         return self.view.get(node_id)
 
     def all_listed_nodes_known(self) -> bool:
-        """Whether this node is on the machine list and every node there was heard."""
+        """Return whether this node is on the machine list, and all nodes there are in the view."""
         listed = {
             machine.machine_id
             for machine in self._machines.values()
@@ -104,17 +107,17 @@
         return all(self.view.get(node_id) is not None for node_id in listed)
 
     def announce_leaving(self) -> None:
-        """Tell everybody at once that this node takes no new work."""
+        """Announce to all zones at once that this node accepts no new work."""
         self.leaving = True
         self.announce()
 
     def announce(self) -> None:
-        """Tell this node's zone and the others of its state now: it has work, or leaves."""
+        """Send a heartbeat and a digest now; called when this node has new work or is leaving."""
         self.send_heartbeat()
         self.send_digest(force=True)
 
     def read_machine_list(self) -> None:
-        """Refresh the hints of the platform."""
+        """Fetch the machine list of the platform; on an error the previous one stays."""
         try:
             machines = self._machine_list.fetch()
         except PlatformError as error:
@@ -131,7 +134,7 @@
         return machine
 
     def send_heartbeat(self) -> None:
-        """Send one heartbeat to the zone, and expire silent nodes."""
+        """Send one heartbeat to the nodes of this zone, and expire silent nodes."""
         now = self._clock.monotonic()
         heartbeat = self._heartbeat()
         self._apply_heartbeat(heartbeat, now, direct=True)
@@ -163,10 +166,10 @@
         )
 
     def send_digest(self, *, force: bool = False) -> None:
-        """Report this zone to the others, when this node is the zone's reporter."""
+        """Send a digest of this zone to the others if this node is its reporter, or if forced."""
         zone = self._settings.zone
-        order = rank_owners(f"reporter.{zone}", self.view.alive_ids(zone))
-        if not force and order[:1] != [self._settings.node_id]:
+        ranked = rank_owners(f"reporter.{zone}", self.view.alive_ids(zone))
+        if not force and ranked[:1] != [self._settings.node_id]:
             return
         members = [one for one in self.view.members() if one.zone == zone]
         digest = peer.ZoneDigest(
@@ -181,8 +184,8 @@
         for zone, nodes in self._known_nodes().items():
             if zone == self._settings.zone:
                 continue
-            order = rank_owners(f"relay.{zone}.{self._settings.zone}", nodes)
-            addresses += [nodes[node_id] for node_id in order[:RELAYS_PER_ZONE]]
+            ranked = rank_owners(f"relay.{zone}.{self._settings.zone}", nodes)
+            addresses += [nodes[node_id] for node_id in ranked[:RELAYS_PER_ZONE]]
         return addresses
 
     def _zone_addresses(self, zone: str) -> list[str]:
@@ -190,7 +193,7 @@
         return [address for node_id, address in nodes.items() if node_id != self._settings.node_id]
 
     def _known_nodes(self) -> dict[str, dict[str, str]]:
-        # Zone to node id to address. The machine list may lack nodes that were heard.
+        # Addresses by zone and node id. The machine list may lack nodes that send heartbeats.
         nodes: dict[str, dict[str, str]] = defaultdict(dict)
         for machine in self._machines.values():
             if machine.kind is MachineKind.NODE and not self._is_skipped(machine.machine_id):
@@ -201,7 +204,7 @@
 
     def _is_skipped(self, node_id: str) -> bool:
         member = self.view.get(node_id)
-        # Dead nodes are still told of this one now and then: they may only have been cut off.
+        # Dead nodes still get some heartbeats, as they may only have been partitioned.
         probing = self._sequence % HEARTBEATS_PER_SUMMARY == 0
         return member is not None and member.state is NodeState.DEAD and not probing
 
@@ -210,7 +213,7 @@
         self._transport.send(address, data)
 
     def receive(self, data: bytes, address: str) -> None:
-        """Take a datagram of a peer."""
+        """Process a datagram from a peer."""
         self._metrics.control_bytes.labels("received").inc(len(data))
         try:
             message = decode_datagram(data)
@@ -239,7 +242,7 @@
         self._publish_changes(self.view.observe(heartbeat, now, direct=direct))
         member = self.view.get(heartbeat.node_id)
         if member is not None and member.summary.pending:
-            for listener in self._work_listeners:
+            for listener in self._pending_work_listeners:
                 listener()
 
     def _relay(self, digest: peer.ZoneDigest) -> None:
--- a/postvalve/node/metrics.py
+++ b/postvalve/node/metrics.py
@@ -20,7 +20,7 @@
 
 
 class NodeMetrics:
-    """All metrics, in a registry of their own."""
+    """The metrics of one node, in a registry of its own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -68,18 +68,20 @@
             "postvalve_configuration_revision", "Revision in force", registry=self.registry
         )
 
-    def _counter(self, name: str, text: str, *labels: str) -> Counter:
-        return Counter(name, text, labels, registry=self.registry)
+    def _counter(self, name: str, documentation: str, *labels: str) -> Counter:
+        return Counter(name, documentation, labels, registry=self.registry)
 
-    def _histogram(self, name: str, text: str, *labels: str) -> Histogram:
-        return Histogram(name, text, labels, buckets=SECONDS_BUCKETS, registry=self.registry)
+    def _histogram(self, name: str, documentation: str, *labels: str) -> Histogram:
+        return Histogram(
+            name, documentation, labels, buckets=SECONDS_BUCKETS, registry=self.registry
+        )
 
     def record_failed_attempt(self, traffic_class: TrafficClass, error: AttemptError) -> None:
-        """Count an attempt that failed at an engine."""
+        """Count a failed attempt at an engine, and a crossed answer if that was the cause."""
         self.attempts.labels(traffic_class.value, error.verdict.value).inc()
         if isinstance(error, CrossedAnswerError):
             self.crossed_answers.inc()
 
     def exposition(self) -> bytes:
-        """The metrics in Prometheus' text format."""
+        """Return the metrics in the text format of Prometheus."""
         return generate_latest(self.registry)
--- a/postvalve/node/node.py
+++ b/postvalve/node/node.py
@@ -1,4 +1,4 @@
-"""One node: wires the parts together, starts them, drains them."""
+"""One node: creates, starts and drains its services."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 from postvalve.settings.fleet import FleetConfiguration
 
 DRAIN_CHECK_INTERVAL = 0.05
-"""Seconds between looks at what is still in progress."""
+"""Seconds between checks whether work is still in progress."""
 DRAIN_GRACE_TIME = 0.2
-"""Seconds that a drained node still answers, so that peers and callers hear of it."""
+"""Seconds for which a drained node still responds, so that peers and callers learn of it."""
 
 
 class Node:
-    """A node process."""
+    """All services of one node."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -61,7 +61,7 @@
         )
         self.application = self._build_application()
         self._membership.set_providers(self._summary, lambda: self._configuration.revision)
-        self._configuration.add_listener(self._follow_drains)
+        self._configuration.add_listener(self._apply_drains)
 
     def _build_application(self) -> NodeApplication:
         context = self._context
@@ -82,26 +82,26 @@
 
     @property
     def draining(self) -> bool:
-        """Whether the node takes no new work."""
+        """Whether the node is draining and accepts no new work."""
         return self._draining
 
     @property
     def membership_view(self) -> MembershipView:
-        """This node's view of the others."""
+        """This node's view of the membership of the fleet."""
         return self._membership.view
 
     @property
     def batch_in_progress(self) -> int:
-        """Batch items that this node runs, pauses or has yet to report."""
+        """Number of batch items that this node runs, has paused or has yet to report."""
         return self._runner.in_progress
 
     @property
     def ready(self) -> bool:
-        """Whether the node serves callers."""
+        """Whether the node has a configuration and can serve callers."""
         return self._configuration.ready
 
     def start(self) -> None:
-        """Start everything but the callers' HTTP server."""
+        """Start all services except the HTTP server."""
         self._context.transport.serve(self._serve_peer, self._membership.receive)
         self._membership.start(self._tasks)
         self._configuration.start(self._tasks)
@@ -112,11 +112,11 @@
         self._events.emit(Event.NODE_STARTED, listen=self._settings.listen)
 
     def wait(self) -> None:
-        """Return when the node was drained."""
+        """Block until the node has been drained and stopped."""
         self._stopped.wait()
 
     def drain(self) -> None:
-        """Hand everything over, finish what is in progress, and stop."""
+        """Start to drain: stop taking work, finish work in progress, release shards, then stop."""
         if self._draining:
             return
         self._draining = True
@@ -126,15 +126,15 @@
         self._events.emit(Event.DRAIN_STARTED)
         self._membership.announce_leaving()
         self._runner.drain()
-        finished = self._wait_until_idle(self._settings.timing.drain_timeout)
+        is_idle = self._wait_until_idle(self._settings.timing.drain_timeout)
         self._holder.leases.release_all()
         self._membership.announce_leaving()
         gevent.sleep(DRAIN_GRACE_TIME)
-        self._events.emit(Event.DRAIN_FINISHED if finished else Event.DRAIN_TIMED_OUT)
+        self._events.emit(Event.DRAIN_FINISHED if is_idle else Event.DRAIN_TIMED_OUT)
         self._stop()
 
-    def _wait_until_idle(self, patience: float) -> bool:
-        deadline = self._clock.monotonic() + patience
+    def _wait_until_idle(self, timeout: float) -> bool:
+        deadline = self._clock.monotonic() + timeout
         while self._clock.monotonic() < deadline:
             if not self._work_in_progress():
                 return True
@@ -151,7 +151,7 @@
         self._context.transport.stop()
         self._stopped.set()
 
-    def _follow_drains(self, configuration: FleetConfiguration) -> None:
+    def _apply_drains(self, configuration: FleetConfiguration) -> None:
         labels = {
             **self._settings.labels,
             "zone": self._settings.zone,
@@ -190,10 +190,10 @@
             return peer.Acknowledgement()
         if isinstance(message, peer.ConfigurationFetch):
             return self._configuration.handle_fetch()
-        raise TypeError(f"no request of a peer: {type(message).__name__}")
+        raise TypeError(f"unexpected peer request: {type(message).__name__}")
 
     def result_lines(self, job_id: str) -> list[bytes]:
-        """The results of a job so far, as lines of its output file."""
+        """Return the results of a job so far as lines of its output file."""
         return [result_line(result) for result in self._jobs.results(job_id)]
 
     def status_document(self) -> dict[str, Any]:
--- a/postvalve/node/peer_link.py
+++ b/postvalve/node/peer_link.py
@@ -1,7 +1,7 @@
-"""Requests between nodes over TCP, many at once on one connection.
+"""Requests between nodes over TCP, multiplexed on each connection.
 
-A node keeps two connections to each peer: one for admission and one for batch items,
-so that no online message waits behind a batch payload in a socket.
+A node keeps two connections to each peer, one for admission and one for batch items, so that
+messages for online requests are not queued behind batch payloads in a socket.
 """
 
 from __future__ import annotations
@@ -35,15 +35,15 @@
 from postvalve.sockets import end_when_silent, send_at_once
 
 CONNECT_TIMEOUT = 0.5
-"""Seconds to open a connection to a peer."""
+"""Time-out, in seconds, of connecting to a peer."""
 MAX_HANDLERS_PER_CONNECTION = 1024
-"""Requests of one peer connection that are served at once."""
+"""Maximum number of concurrent requests of one peer connection."""
 
 PeerHandler = Callable[[betterproto.Message], betterproto.Message]
 
 
 class Channel(enum.Enum):
-    """Connections to one peer, by what they carry."""
+    """The connections to one peer, by the messages they carry."""
 
     ADMISSION = "admission"
     BATCH = "batch"
@@ -53,8 +53,8 @@
     """Read one frame; None at the end of the connection.
 
     Raises:
-        UnknownKindError: when only another build knows its kind; the next frame can be read.
-        FrameError: when the bytes are no frame.
+        UnknownKindError: only another build knows the kind; the next frame can be read.
+        FrameError: the bytes are not a valid frame.
     """
     raw_header = _read_exactly(connection, HEADER.size)
     if not raw_header:
@@ -65,17 +65,17 @@
 
 
 def _read_exactly(connection: socket, size: int) -> bytes:
-    parts = bytearray()
-    while len(parts) < size:
-        part = connection.recv(min(size - len(parts), 1 << 20))
-        if not part:
+    data = bytearray()
+    while len(data) < size:
+        chunk = connection.recv(min(size - len(data), 1 << 20))
+        if not chunk:
             break
-        parts += part
-    return bytes(parts)
+        data += chunk
+    return bytes(data)
 
 
 class PeerServer:
-    """Serves requests of other nodes."""
+    """Serves requests of other nodes on a TCP port."""
 
     def __init__(self, listen: str, handler: PeerHandler, events: EventLog) -> None:
         host, _, port = listen.rpartition(":")
@@ -85,7 +85,7 @@
         self._server = StreamServer((host, int(port)), self._serve)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
@@ -112,7 +112,11 @@
     def _next_frame(
         self, connection: socket, write_lock: RLock, address: object
     ) -> tuple[betterproto.Message, int] | None:
-        """The next call that this build knows; whoever sent another one hears at once."""
+        """Return the next request that this build knows, or None at the end of the connection.
+
+        Requests of unknown kinds get an `Acknowledgement` at once, so that the peer does not wait
+        for its time-out.
+        """
         while True:
             try:
                 return read_frame(connection)
@@ -131,7 +135,7 @@
     ) -> None:
         try:
             reply = self._handler(message)
-        except Exception as error:  # the peer sees a timeout; the cause is logged here
+        except Exception as error:  # the peer runs into its time-out; the cause is logged here
             self._events.emit(
                 Event.REQUEST_ERROR, message=type(message).__name__, error=repr(error)
             )
@@ -145,7 +149,7 @@
 
 
 class PeerConnection:
-    """One connection to a peer."""
+    """Client side of one connection to a peer."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -153,88 +157,88 @@
         self._socket.settimeout(None)
         send_at_once(self._socket)
         self._write_lock = RLock()
-        self._waiting: dict[int, AsyncResult] = {}
+        self._pending: dict[int, AsyncResult] = {}
         self._correlation_ids = itertools.count(1)
-        self._frames = 0
-        """Replies read since the start."""
+        self._replies_read = 0
+        """Number of replies read on this connection."""
         self.closed = False
         gevent.spawn(self._read_replies)
 
     def call(self, message: betterproto.Message, timeout: float) -> betterproto.Message:
         """Send a request and wait for its reply.
 
-        A connection that gave nothing in all that time may have fallen silent for good: it is
-        closed, so that the next call opens another.
+        If no reply to any request arrives during the time-out, the connection may be dead. It is
+        closed then, so that the next call opens another one.
 
         Raises:
-            PeerUnavailableError: with MAY_HAVE_RUN, since the request was sent.
+            PeerUnavailableError: with MAY_HAVE_RUN, as the request may have been received.
         """
-        frames = self._frames
+        replies_read = self._replies_read
         correlation_id = next(self._correlation_ids)
-        result = self._waiting[correlation_id] = AsyncResult()
+        result = self._pending[correlation_id] = AsyncResult()
         try:
             with self._write_lock:
                 self._socket.sendall(encode_frame(message, correlation_id))
             return result.get(timeout=timeout)
         except gevent.Timeout as error:
-            silent = self._frames == frames
-            if silent:
-                self._waiting.pop(correlation_id, None)
+            is_silent = self._replies_read == replies_read
+            if is_silent:
+                self._pending.pop(correlation_id, None)
                 self.close()
-            told = "no reply, and nothing else" if silent else "no reply"
+            received = "no reply, and nothing else" if is_silent else "no reply"
             raise PeerUnavailableError(
-                f"peer: {told} in {timeout:.1f} s", Verdict.MAY_HAVE_RUN
+                f"peer: {received} in {timeout:.1f} s", Verdict.MAY_HAVE_RUN
             ) from error
         except OSError as error:
             raise PeerUnavailableError(f"peer: {error!r}", Verdict.MAY_HAVE_RUN) from error
         finally:
-            self._waiting.pop(correlation_id, None)
+            self._pending.pop(correlation_id, None)
 
     def _read_replies(self) -> None:
         try:
             while self._read_reply():
-                self._frames += 1
+                self._replies_read += 1
         except (OSError, FrameError):
             pass
         finally:
             self.close()
 
     def _read_reply(self) -> bool:
-        """Give the next reply to its caller; False at the end of the connection."""
-        # A late reply has no waiter any more and is dropped.
+        """Pass the next reply to its caller; returns False at the end of the connection."""
+        # Replies that arrive after the time-out of their call are dropped.
         try:
             frame = read_frame(self._socket)
         except UnknownKindError as unknown:
-            # The peer has done something that this build can't read.
+            # The peer may have run the request, but this build can't decode its reply.
             error = PeerUnavailableError(f"peer: {unknown}", Verdict.MAY_HAVE_RUN)
-            if (result := self._waiting.get(unknown.header.correlation_id)) is not None:
+            if (result := self._pending.get(unknown.header.correlation_id)) is not None:
                 result.set_exception(error)
             return True
         if frame is None:
             return False
         message, correlation_id = frame
-        if (result := self._waiting.get(correlation_id)) is not None:
+        if (result := self._pending.get(correlation_id)) is not None:
             result.set(message)
         return True
 
     def close(self) -> None:
-        """Close, and fail everything that waits."""
+        """Close the connection, and fail all calls that wait for a reply."""
         self.closed = True
         self._socket.close()
-        for result in self._waiting.values():
+        for result in self._pending.values():
             result.set_exception(
                 PeerUnavailableError("the peer closed the connection", Verdict.MAY_HAVE_RUN)
             )
 
 
 class PeerClients:
-    """Connections to all peers, opened when first used."""
+    """Connections to all peers, opened on first use."""
 
     def __init__(self) -> None:
         self._connections: dict[tuple[str, Channel], PeerConnection] = {}
-        self._opening: dict[tuple[str, Channel], RLock] = {}
-        self._failed: Counter[tuple[str, Channel]] = Counter()
-        """Connections that could not be opened."""
+        self._connect_locks: dict[tuple[str, Channel], RLock] = {}
+        self._connect_failures: Counter[tuple[str, Channel]] = Counter()
+        """Number of failed attempts to connect."""
 
     def call(
         self, address: str, channel: Channel, message: betterproto.Message, timeout: float
@@ -242,24 +246,25 @@
         """Send a request to the node at `address` and wait for its reply.
 
         Raises:
-            PeerUnavailableError: NOT_RUN when it could not be sent, else MAY_HAVE_RUN.
+            PeerUnavailableError: NOT_RUN if no connection could be opened, else MAY_HAVE_RUN.
         """
         return self._connection(address, channel).call(message, timeout)
 
     def _connection(self, address: str, channel: Channel) -> PeerConnection:
         key = (address, channel)
-        failed = self._failed[key]
-        with self._opening.setdefault(key, RLock()):
+        connect_failures = self._connect_failures[key]
+        with self._connect_locks.setdefault(key, RLock()):
             connection = self._connections.get(key)
             if connection is not None and not connection.closed:
                 return connection
-            if self._failed[key] != failed:
-                # Callers that waited don't wait once more, one after the other.
+            if self._connect_failures[key] != connect_failures:
+                # An attempt failed while this call waited for the lock. If each waiting call
+                # tried again, their connect time-outs would add up.
                 raise PeerUnavailableError("peer: connecting failed just now", Verdict.NOT_RUN)
             try:
                 connection = self._connections[key] = PeerConnection(address)
             except OSError as error:
-                self._failed[key] += 1
+                self._connect_failures[key] += 1
                 raise PeerUnavailableError(f"peer: {error!r}", Verdict.NOT_RUN) from error
             return connection
 
--- a/postvalve/node/placement_service.py
+++ b/postvalve/node/placement_service.py
@@ -1,7 +1,7 @@
-"""Carries out the plan's orders at the engines this node owns, with a fencing token.
+"""Loads and unloads models at the engines that this node owns, as the placement plan requires.
 
-An engine that changes gets no new work first, and its work in progress ends before the
-order is sent, so that no request is cut.
+An engine gets no new work before a change, and its work in progress ends before the order is
+sent, so that no request is interrupted. Orders carry a fencing token.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from postvalve.node.engine_registry import EngineRegistry, OwnedEngine
 
 PLAN_INTERVAL = 1.0
-"""Seconds between plans."""
+"""Seconds between two runs of the planner."""
 IDLE_CHECK_INTERVAL = 0.1
-"""Seconds between looks whether an engine's work has ended."""
+"""Seconds between checks whether an engine is idle."""
 CHANGE_TIMEOUT = 900.0
-"""Seconds until an engine that does not report the change is planned for anew."""
+"""Seconds after which an engine that has not reported a change is planned for again."""
 
 
 class PlacementService:
-    """Changes of the engines that this node owns."""
+    """Applies the placement plan to the engines that this node owns."""
 
     def __init__(
         self, context: NodeContext, configuration: ConfigurationService, registry: EngineRegistry
@@ -37,25 +37,26 @@
         self._changing: set[str] = set()
 
     def start(self, tasks: BackgroundTasks) -> None:
-        """Start to plan."""
+        """Start the periodic planning."""
         tasks.every(PLAN_INTERVAL, self.plan)
 
     def plan(self) -> None:
-        """Make the plan, and start this node's part of it."""
+        """Compute the plan, and start the changes of engines that this node owns."""
         if not self._configuration.ready or not self._configuration.current.placements:
             return
         orders: dict[str, list[EngineOrder]] = {}
         for order in plan_orders(self._configuration.current, self._registry.engine_views()):
             orders.setdefault(order.engine_id, []).append(order)
-        for engine_id, steps in orders.items():
+        for engine_id, engine_orders in orders.items():
             engine = self._registry.owned_engine(engine_id)
             if engine is not None and engine_id not in self._changing:
                 self._changing.add(engine_id)
-                gevent.spawn(self._change, engine, steps)
+                gevent.spawn(self._change, engine, engine_orders)
 
     def _change(self, engine: OwnedEngine, orders: list[EngineOrder]) -> None:
         engine_id = engine.machine.machine_id
-        # Offsets grow with every accepted revision, so an owner with an older plan loses.
+        # Revision numbers are log offsets and grow with every accepted revision, so engines reject
+        # the orders of an owner with an older plan.
         fencing_token = self._configuration.revision + 1
         engine.changing = True
         try:
@@ -69,7 +70,7 @@
                     version=order.version,
                 )
                 engine.connection.order(order.action, order.model, order.version, fencing_token)
-            self._wait_until_held(engine, orders)
+            self._wait_until_applied(engine, orders)
         except PlatformError as error:
             self._events.emit(Event.ENGINE_ORDER_FAILED, engine=engine_id, error=error.message)
         finally:
@@ -80,15 +81,19 @@
         while engine.slots.online_count + engine.slots.batch_count:
             gevent.sleep(IDLE_CHECK_INTERVAL)
 
-    def _wait_until_held(self, engine: OwnedEngine, orders: list[EngineOrder]) -> None:
+    def _wait_until_applied(self, engine: OwnedEngine, orders: list[EngineOrder]) -> None:
         deadline = self._clock.monotonic() + CHANGE_TIMEOUT
         while self._clock.monotonic() < deadline:
             engine.load = engine.connection.load()
-            if all(_is_done(engine, order) for order in orders):
+            if all(_is_applied(engine, order) for order in orders):
                 return
             gevent.sleep(PLAN_INTERVAL)
 
 
-def _is_done(engine: OwnedEngine, order: EngineOrder) -> bool:
-    held = engine.load.models.get(order.model)
-    return held == order.version if order.action is OrderAction.LOAD else held is None
+def _is_applied(engine: OwnedEngine, order: EngineOrder) -> bool:
+    loaded_version = engine.load.models.get(order.model)
+    return (
+        loaded_version == order.version
+        if order.action is OrderAction.LOAD
+        else loaded_version is None
+    )
--- a/postvalve/node/transport.py
+++ b/postvalve/node/transport.py
@@ -1,4 +1,4 @@
-"""How nodes reach each other: requests over TCP, datagrams over UDP."""
+"""Communication between nodes: requests over TCP, datagrams over UDP."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from postvalve.node.peer_link import Channel, PeerClients, PeerHandler, PeerServer
 
 GATHER_TIME = 0.02
-"""Seconds in which datagrams gather before they are read, where nothing else is asked for: to wake
-up costs more than to read one."""
+"""Default number of seconds for which received datagrams gather before they are read together.
+
+Waking up costs more than reading one datagram.
+"""
 MAX_DATAGRAM = 65_536
 
 DatagramHandler = Callable[[bytes, str], None]
-"""Takes the bytes of a datagram and the sender's address."""
+"""Called with the bytes of a datagram and the sender's address."""
 
 
 class Transport(Protocol):
-    """What a node needs to talk to others."""
+    """Interface through which a node communicates with other nodes."""
 
     def serve(self, handle_request: PeerHandler, handle_datagram: DatagramHandler) -> None:
-        """Start to serve other nodes."""
+        """Start to serve requests and datagrams of other nodes."""
         ...
 
     def call(
@@ -35,7 +37,7 @@
         """Send a request to the node at `address` and wait for its reply.
 
         Raises:
-            PeerUnavailableError: NOT_RUN when it could not be sent, else MAY_HAVE_RUN.
+            PeerUnavailableError: NOT_RUN if it could not be sent, else MAY_HAVE_RUN.
         """
         ...
 
@@ -44,12 +46,12 @@
         ...
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop serving, and close all connections."""
         ...
 
 
 class NetworkTransport:
-    """Sockets, at the node's peer address."""
+    """Transport over the sockets of the operating system, at the node's peer address."""
 
     def __init__(self, listen: str, events: EventLog) -> None:
         self._listen = listen
@@ -59,7 +61,7 @@
         self._datagrams: gevent_socket.socket | None = None
         self._receiver: gevent.Greenlet | None = None
         self.gather_time: Callable[[], float] = lambda: GATHER_TIME
-        """Gives the seconds in which datagrams gather before they are read."""
+        """Returns the seconds for which received datagrams gather before they are read together."""
 
     def serve(self, handle_request: PeerHandler, handle_datagram: DatagramHandler) -> None:
         """See `Transport`."""
@@ -72,7 +74,7 @@
         self._receiver = gevent.spawn(self._receive, self._datagrams, handle_datagram)
 
     def _receive(self, conn: gevent_socket.socket, handle: DatagramHandler) -> None:
-        """Read datagrams for ever, all that are there at each look."""
+        """Read datagrams until the transport stops: each time all that have been received."""
         while True:
             conn.settimeout(None)
             try:
@@ -85,14 +87,14 @@
             except OSError as exc:
                 if self._datagrams is None:
                     return
-                # An error that an earlier send has left behind.
+                # An asynchronous error of an earlier send, such as ECONNREFUSED.
                 self._events.emit(Event.PEER_UNREACHABLE, peer="", error=repr(exc))
             gevent.sleep(self.gather_time())
 
     def _handle(self, handle: DatagramHandler, data: bytes, sender: str) -> None:
         try:
             handle(data, sender)
-        except Exception as exc:  # one datagram must not end the reading of all others
+        except Exception as exc:  # an error of the handler must not end the receive loop
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=sender, error=repr(exc))
 
     def call(
