--- a/postvalve/node/configuration_service.py
+++ b/postvalve/node/configuration_service.py
@@ -80,7 +80,7 @@
         return self._current
 
     def add_listener(self, listener: ConfigurationListener) -> None:
-        """Call `listener` with each configuration that becomes active."""
+        """Register a callback for each configuration that becomes active."""
         self._listeners.append(listener)
 
     def start(self, tasks: BackgroundTasks) -> None:
--- a/postvalve/node/engine_registry.py
+++ b/postvalve/node/engine_registry.py
@@ -92,7 +92,7 @@
         tasks.every(self._settings.timing.load_report_interval, self._read_loads)
 
     def add_preemption_listener(self, listener: PreemptionListener) -> None:
-        """Call `listener` with an engine id and the batch attempts preempted there."""
+        """Register a callback that gets an engine id and the batch attempts preempted there."""
         self._preemption_listeners.append(listener)
 
     def refresh(self) -> None:
--- a/postvalve/node/membership_service.py
+++ b/postvalve/node/membership_service.py
@@ -61,7 +61,7 @@
         self._summary_sent_at = -HEARTBEATS_PER_SUMMARY
         self._machines: dict[str, Machine] = {}
         self._listeners: list[ChangeListener] = []
-        self._pending_work_listeners: list[Callable[[], None]] = []
+        self._work_listeners: list[Callable[[], None]] = []
         self._summary_provider: Callable[[], peer.NodeSummary] = peer.NodeSummary
         self._revision_provider: Callable[[], int] = lambda: -1
 
@@ -73,12 +73,12 @@
         self._revision_provider = revision
 
     def add_listener(self, listener: ChangeListener) -> None:
-        """Call `listener` with each change of a node's state."""
+        """Register a callback for changes of node states."""
         self._listeners.append(listener)
 
     def add_work_listener(self, listener: Callable[[], None]) -> None:
-        """Call `listener` on each heartbeat of a node with pending batch items, this one included."""
-        self._pending_work_listeners.append(listener)
+        """Register a callback for heartbeats of nodes with pending batch items."""
+        self._work_listeners.append(listener)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start the periodic heartbeats, digests and reads of the machine list."""
@@ -89,7 +89,9 @@
 
     def engines(self) -> list[Machine]:
         """Return the engines of the machine list, including leaving ones."""
-        return [one for one in self._machines.values() if one.kind is MachineKind.ENGINE]
+        return [
+            machine for machine in self._machines.values() if machine.kind is MachineKind.ENGINE
+        ]
 
     def member(self, node_id: str) -> Member | None:
         """Return the entry of a node in the view, if there is one."""
@@ -126,8 +128,8 @@
         self._machines = {machine.machine_id: self._keep_leaving(machine) for machine in machines}
 
     def _keep_leaving(self, machine: Machine) -> Machine:
-        known = self._machines.get(machine.machine_id)
-        if known is not None and known.state is MachineState.LEAVING:
+        previous = self._machines.get(machine.machine_id)
+        if previous is not None and previous.state is MachineState.LEAVING:
             machine = machine.model_copy(update={"state": MachineState.LEAVING})
         if machine.state is MachineState.LEAVING and machine.kind is MachineKind.NODE:
             self._publish_changes(self.view.mark_leaving(machine.machine_id))
@@ -171,7 +173,7 @@
         ranked = rank_owners(f"reporter.{zone}", self.view.alive_ids(zone))
         if not force and ranked[:1] != [self._settings.node_id]:
             return
-        members = [one for one in self.view.members() if one.zone == zone]
+        members = [member for member in self.view.members() if member.zone == zone]
         digest = peer.ZoneDigest(
             zone=zone, heartbeats=[bytes(_heartbeat_of(member)) for member in members]
         )
@@ -204,7 +206,7 @@
 
     def _is_skipped(self, node_id: str) -> bool:
         member = self.view.get(node_id)
-        # Dead nodes still get some heartbeats, as they may only have been partitioned.
+        # Dead nodes still get some heartbeats, as they may only be behind a network partition.
         probing = self._sequence % HEARTBEATS_PER_SUMMARY == 0
         return member is not None and member.state is NodeState.DEAD and not probing
 
@@ -242,7 +244,7 @@
         self._publish_changes(self.view.observe(heartbeat, now, direct=direct))
         member = self.view.get(heartbeat.node_id)
         if member is not None and member.summary.pending:
-            for listener in self._pending_work_listeners:
+            for listener in self._work_listeners:
                 listener()
 
     def _relay(self, digest: peer.ZoneDigest) -> None:
--- a/tests/golden_recorder.py
+++ b/tests/golden_recorder.py
@@ -1,4 +1,4 @@
-"""Records a whole session as text: callers, log, engines and node events, in time order."""
+"""Records a session as text, in time order: requests, log records, engine attempts, node events."""
 
 import difflib
 import json
@@ -33,35 +33,35 @@
 
 
 class Recorder:
-    """Notes what happens to a virtual fleet from now on."""
+    """Records what happens in a virtual fleet from now on."""
 
     def __init__(self, fleet):
         self._fleet = fleet
         self._lines = []
-        self._started = fleet.loop.now()
+        self._started_at = fleet.loop.now()
         self._first_event = len(fleet.events)
         self._append = fleet.log.model.append
         fleet.log.model.append = self._record_append
 
-    def note(self, actor, text):
-        """Note one line at the present time."""
+    def add_line(self, actor, text):
+        """Record one line at the current time."""
         self._lines.append((self._fleet.loop.now(), f"{actor:<10} {text}"))
 
     def request(self, node_id, method, path, **options):
-        """Send a request as a caller, and note it and its answer."""
-        self.note("caller", f"-> {node_id} {method} {path}")
+        """Send a request as a caller, and record it and its response."""
+        self.add_line("caller", f"-> {node_id} {method} {path}")
         answer = self._fleet.request(node_id, method, path, **options)
-        self.note("caller", f"<- {node_id} {answer.status} {_answer_text(answer)}")
+        self.add_line("caller", f"<- {node_id} {answer.status} {_answer_text(answer)}")
         return answer
 
     def _record_append(self, stream, payload, zone=""):
         body = parse_record(payload).body
         if not isinstance(body, LEASES):
-            self.note("log", f"{stream}: {_body_text(body)}")
+            self.add_line("log", f"{stream}: {_body_text(body)}")
         return self._append(stream, payload, zone)
 
     def text(self):
-        """The session so far."""
+        """Return the recorded session so far."""
         lines = list(self._lines)
         for logged in self._fleet.events[self._first_event :]:
             if logged.event in SHOWN_EVENTS:
@@ -69,26 +69,31 @@
                 lines.append((logged.at, f"{logged.node_id:<10} {logged.event.name} {fields}"))
         for engine_id, engine in self._fleet.engines.items():
             for attempt in engine.attempts:
-                lines += _attempt_lines(engine_id, attempt, self._started)
+                lines += _attempt_lines(engine_id, attempt, self._started_at)
         lines.sort(key=lambda line: line[0])
-        return "".join(f"{at - self._started:9.4f} {text}\n" for at, text in lines)
+        return "".join(f"{at - self._started_at:9.4f} {text}\n" for at, text in lines)
 
 
 def _attempt_lines(engine_id, attempt, since):
     if attempt.submitted_at < since:
         return []
     content = json.loads(attempt.body)["messages"][-1]["content"]
-    begun = f"{engine_id:<10} begins {attempt.attempt_id} {content!r} at {attempt.resume_offset}"
-    ended = "ends" if attempt.finished else "stops"
-    last = f"{engine_id:<10} {ended} {attempt.attempt_id} after {attempt.tokens} tokens"
-    return [(attempt.submitted_at, begun), (attempt.last_event_at or attempt.submitted_at, last)]
+    begin_line = (
+        f"{engine_id:<10} begins {attempt.attempt_id} {content!r} at {attempt.resume_offset}"
+    )
+    end_verb = "ends" if attempt.finished else "stops"
+    end_line = f"{engine_id:<10} {end_verb} {attempt.attempt_id} after {attempt.tokens} tokens"
+    return [
+        (attempt.submitted_at, begin_line),
+        (attempt.last_event_at or attempt.submitted_at, end_line),
+    ]
 
 
 def _answer_text(answer):
     if answer.body.startswith(b"data: "):
         events = answer.body.split(b"\n\n")
-        last = events[-2].decode()
-        return f"{len(events) - 1} events, the last {last}"
+        last_event = events[-2].decode()
+        return f"{len(events) - 1} events, the last {last_event}"
     document = answer.document
     for name in ("error", "request_counts"):
         if name in document:
@@ -101,8 +106,8 @@
     fields = body.to_dict(betterproto.Casing.SNAKE)
     if isinstance(body, records.ItemsFinished):
         items = [
-            f"{one.item_index}:{'may have run' if one.may_have_run else one.status_code}"
-            for one in body.results
+            f"{result.item_index}:{'may have run' if result.may_have_run else result.status_code}"
+            for result in body.results
         ]
         return f"ItemsFinished {' '.join(items)}"
     fields = {
@@ -114,11 +119,11 @@
 
 
 def check_golden(case, name, text):
-    """Compare a session with its golden file; write it when asked to."""
+    """Compare a session with its golden file; with UPDATE_GOLDEN set, write the file first."""
     path = DIRECTORY / f"{name}.txt"
     if os.environ.get(UPDATE_VARIABLE):
         DIRECTORY.mkdir(exist_ok=True)
         path.write_text(text, encoding="utf-8")
     expected = path.read_text(encoding="utf-8").splitlines()
     diff = list(difflib.unified_diff(expected, text.splitlines(), str(path.name), "now", n=2))
-    case.assertEqual(diff, [], "\n".join(diff[:60]) + "\n`make golden` writes the files anew")
+    case.assertEqual(diff, [], "\n".join(diff[:60]) + "\n`make golden` regenerates the files")
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What several tests share."""
+"""Helpers shared by several test modules."""
 
 import hashlib
 import json
@@ -7,12 +7,12 @@
 
 
 def expected_first_token(text):
-    """The first token of the emulated engines for a message."""
+    """Return the first token that emulated engines generate for a message."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 def batch_lines(model, count, max_tokens=6, name="item"):
-    """A batch input file."""
+    """Return a batch input file."""
     lines = (
         {
             "custom_id": f"{name}-{number}",
@@ -30,7 +30,7 @@
 
 
 def upload_form(content):
-    """A multipart form with a batch input file, and its content type."""
+    """Return a multipart form with a batch input file, and its content type."""
     head = (
         b'--x\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
         b'--x\r\nContent-Disposition: form-data; name="file"; filename="in.jsonl"\r\n\r\n'
@@ -39,7 +39,7 @@
 
 
 def upload(fleet, node_id, content, tenant=None):
-    """Upload a batch input file to a virtual fleet."""
+    """Upload a batch input file to a virtual fleet; returns the file id."""
     body, content_type = upload_form(content)
     answer = fleet.request(
         node_id, "POST", "/v1/files", tenant=tenant, body=body, content_type=content_type
@@ -49,7 +49,7 @@
 
 
 def create_batch(fleet, node_id, file_id, tenant=None, headers=None, window="24h"):
-    """Ask for a batch; returns the answer."""
+    """Send a request to create a batch; returns the response."""
     document = {
         "input_file_id": file_id,
         "endpoint": "/v1/chat/completions",
@@ -61,7 +61,7 @@
 
 
 def submit_batch(fleet, node_id, count, *, tenant=None, headers=None, max_tokens=6, name="item"):
-    """Upload and create a batch that must be accepted; returns its id."""
+    """Upload a file and create a batch, which must be accepted; returns the batch id."""
     content = batch_lines(fleet.shape.model, count, max_tokens, name)
     file_id = upload(fleet, node_id, content, tenant)
     answer = create_batch(fleet, node_id, file_id, tenant, headers)
@@ -70,26 +70,26 @@
 
 
 def batch_document(fleet, node_id, job_id, tenant=None):
-    """The state of a batch as a node shows it."""
+    """Return the batch object that a node reports."""
     answer = fleet.request(node_id, "GET", f"/v1/batches/{job_id}", tenant=tenant)
     assert answer.status == 200, answer.body
     return answer.document
 
 
-def wait_for_batch(fleet, job_id, *, node_id=None, tenant=None, patience=200.0):
-    """Wait until a batch has ended; returns its document."""
+def wait_for_batch(fleet, job_id, *, node_id=None, tenant=None, timeout=200.0):
+    """Wait until a batch has ended; returns the batch object."""
     node_id = node_id or next(iter(fleet.nodes))
-    deadline = fleet.loop.now() + patience
+    deadline = fleet.loop.now() + timeout
     while fleet.loop.now() < deadline:
         document = batch_document(fleet, node_id, job_id, tenant)
         if document["status"] != "in_progress":
             return document
         gevent.sleep(0.5)
-    raise AssertionError(f"not ended in {patience} virtual seconds: {document}")
+    raise AssertionError(f"batch has not ended within {timeout} virtual seconds: {document}")
 
 
 def result_lines(fleet, document, *, node_id=None, tenant=None, kind="output_file_id"):
-    """Lines of an output or error file of a batch that has ended."""
+    """Return the parsed lines of the output or error file of a batch that has ended."""
     if document[kind] is None:
         return []
     node_id = node_id or next(iter(fleet.nodes))
@@ -100,7 +100,7 @@
 
 
 def run_batch(fleet, job_id, *, node_id=None, tenant=None):
-    """Wait for a batch; returns custom id to answer, each exactly once."""
+    """Wait until a batch is completed; returns the answers by custom id, one for each item."""
     document = wait_for_batch(fleet, job_id, node_id=node_id, tenant=tenant)
     assert document["status"] == "completed", document
     lines = result_lines(fleet, document, node_id=node_id, tenant=tenant)
@@ -110,12 +110,12 @@
 
 
 def answer_text(line):
-    """The text of one line of an output file."""
+    """Return the text of one line of an output file."""
     return line["response"]["body"]["choices"][0]["message"]["content"]
 
 
 def answer_tokens(answer):
-    """The tokens of a streamed answer; None when it is not whole."""
+    """Return the tokens of a streamed answer, or None if it is incomplete."""
     events = [event for event in answer.body.split(b"\n\n") if event]
     if not events or events[-1] != b"data: [DONE]":
         return None
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers see: errors with verdicts, limits, keys, deadlines, isolation of tenants."""
+"""Tests of the API: errors and verdicts, limits, idempotency keys, deadlines, tenant isolation."""
 
 import json
 import unittest
@@ -32,7 +32,7 @@
 
 
 class CallersTest(unittest.TestCase):
-    def session(self, function, shape=None):
+    def run_session(self, function, shape=None):
         def run(loop):
             fleet = VirtualFleet(loop, shape or FleetShape())
             fleet.start()
@@ -66,7 +66,7 @@
         def run(fleet):
             return [fleet.request("node-0-0", "POST", CHAT, body=body) for body in cases]
 
-        for answer, text in zip(self.session(run), cases.values(), strict=True):
+        for answer, text in zip(self.run_session(run), cases.values(), strict=True):
             with self.subTest(text):
                 self.assert_error(answer, 400, "not_run", text)
 
@@ -93,34 +93,34 @@
                 )
             return answers
 
-        for answer, text in zip(self.session(run), cases.values(), strict=True):
+        for answer, text in zip(self.run_session(run), cases.values(), strict=True):
             with self.subTest(text):
                 self.assert_error(answer, 400, "not_run", text)
 
     def test_malformed_headers_and_paths(self):
         def run(fleet):
-            def ask(path=CHAT, method="POST", **headers):
+            def send(path=CHAT, method="POST", **headers):
                 return fleet.request("node-0-0", method, path, document=chat(), headers=headers)
 
             return [
-                (ask(**{"X-Postvalve-Deadline": "soon"}), 400, "X-Postvalve-Deadline"),
-                (ask(**{"X-Postvalve-Deadline": "nan"}), 400, "X-Postvalve-Deadline"),
-                (ask(**{"X-Postvalve-Deadline": "-1"}), 400, "X-Postvalve-Deadline"),
-                (ask(**{"X-Postvalve-At-Most-Once": "maybe"}), 400, "At-Most-Once"),
-                (ask(**{"X-Postvalve-Workload": "nothing"}), 400, "no workload"),
-                (ask(**{"X-Postvalve-Workload": "check"}), 403, "not open to online"),
-                (ask(**{"Idempotency-Key": "k" * 300}), 400, "Idempotency-Key"),
-                (ask("/v1/nothing"), 404, "/v1/nothing"),
-                (ask(method="PUT"), 405, "PUT"),
-                (ask("/v1/batches?limit=0", "GET"), 400, "limit"),
-                (ask("/v1/batches?after=x", "GET"), 400, "after"),
+                (send(**{"X-Postvalve-Deadline": "soon"}), 400, "X-Postvalve-Deadline"),
+                (send(**{"X-Postvalve-Deadline": "nan"}), 400, "X-Postvalve-Deadline"),
+                (send(**{"X-Postvalve-Deadline": "-1"}), 400, "X-Postvalve-Deadline"),
+                (send(**{"X-Postvalve-At-Most-Once": "maybe"}), 400, "At-Most-Once"),
+                (send(**{"X-Postvalve-Workload": "nothing"}), 400, "no workload"),
+                (send(**{"X-Postvalve-Workload": "check"}), 403, "not open to online"),
+                (send(**{"Idempotency-Key": "k" * 300}), 400, "Idempotency-Key"),
+                (send("/v1/nothing"), 404, "/v1/nothing"),
+                (send(method="PUT"), 405, "PUT"),
+                (send("/v1/batches?limit=0", "GET"), 400, "limit"),
+                (send("/v1/batches?after=x", "GET"), 400, "after"),
             ]
 
-        for answer, status, text in self.session(run):
+        for answer, status, text in self.run_session(run):
             with self.subTest(text):
                 self.assert_error(answer, status, "not_run", text)
 
-    def test_unknown_model_and_too_large_a_body(self):
+    def test_unknown_model_and_oversized_body(self):
         def run(fleet):
             large = chat("x" * (17 * 1024 * 1024))
             return (
@@ -129,7 +129,7 @@
                 fleet.request("node-0-0", "POST", CHAT, document=chat()),
             )
 
-        unknown, large, after = self.session(run)
+        unknown, large, after = self.run_session(run)
         self.assert_error(unknown, 404, "not_run", "none")
         self.assert_error(large, 413, "not_run", "bytes")
         self.assertEqual(after.status, 200)
@@ -146,14 +146,14 @@
             attempts = sum(len(engine.attempts) for engine in fleet.engines.values())
             return first, again, other, tenant, attempts
 
-        first, again, other, tenant, attempts = self.session(run)
+        first, again, other, tenant, attempts = self.run_session(run)
         self.assertEqual(first.body, again.body)
         self.assertEqual(again.headers["X-Postvalve-Replayed"], "true")
         self.assert_error(other, 409, "not_run", "another request")
         self.assertEqual(tenant.status, 200)
         self.assertEqual(attempts, 2)
 
-    def test_stream_with_a_key_is_replayed_whole(self):
+    def test_stream_with_a_key_is_replayed_completely(self):
         def run(fleet):
             key = {"Idempotency-Key": "k2"}
             document = chat(stream=True)
@@ -161,11 +161,11 @@
             again = fleet.request("node-0-1", "POST", CHAT, document=document, headers=key)
             return first, again
 
-        first, again = self.session(run)
+        first, again = self.run_session(run)
         self.assertTrue(first.body.endswith(b"data: [DONE]\n\n"))
         self.assertEqual(first.body, again.body)
 
-    def test_key_is_free_again_after_a_refusal(self):
+    def test_key_can_be_used_again_after_a_refusal(self):
         def run(fleet):
             key = {"Idempotency-Key": "k3"}
             for engine in fleet.engines.values():
@@ -176,23 +176,23 @@
             again = fleet.request("node-0-0", "POST", CHAT, document=chat(), headers=key)
             return refused, again
 
-        refused, again = self.session(run)
+        refused, again = self.run_session(run)
         self.assertEqual(refused.document["error"]["verdict"], "not_run")
         self.assertEqual(again.status, 200)
 
-    def test_log_outage_spares_requests_without_a_key(self):
+    def test_log_outage_fails_only_requests_with_a_key(self):
         def run(fleet):
             fleet.log.model.faults.fault = LogFault.DOWN
             keyed = fleet.request(
                 "node-0-0", "POST", CHAT, document=chat(), headers={"Idempotency-Key": "k"}
             )
-            free = fleet.request("node-0-0", "POST", CHAT, document=chat())
-            return keyed, free
+            unkeyed = fleet.request("node-0-0", "POST", CHAT, document=chat())
+            return keyed, unkeyed
 
-        keyed, free = self.session(run)
+        keyed, unkeyed = self.run_session(run)
         self.assert_error(keyed, 503, "not_run", "log")
         self.assertIn("Retry-After", keyed.headers)
-        self.assertEqual(free.status, 200)
+        self.assertEqual(unkeyed.status, 200)
 
     def test_deadline_ends_a_request_that_an_engine_does_not_answer(self):
         def run(fleet):
@@ -204,7 +204,7 @@
             )
             return answer, fleet.loop.now() - before
 
-        answer, waited = self.session(run)
+        answer, waited = self.run_session(run)
         self.assert_error(answer, 504, "may_have_run", "deadline")
         self.assertAlmostEqual(waited, 2.0, delta=0.1)
 
@@ -220,7 +220,7 @@
             )
             return answer, fleet.loop.now() - before
 
-        answer, waited = self.session(run)
+        answer, waited = self.run_session(run)
         self.assertEqual(answer.status, 200)
         last = json.loads(answer.chunks[-1].removeprefix(b"data: "))
         self.assertEqual(last["error"]["code"], "deadline_exceeded")
@@ -231,33 +231,35 @@
             key = {"Idempotency-Key": "close-31"}
             content = batch_lines("m", 5)
             first = create_batch(fleet, "node-0-0", upload(fleet, "node-0-0", content), None, key)
-            # A resend uploads its file again, as a client that lost every answer does.
+            # A client that received no response repeats everything, the upload included.
             again = create_batch(fleet, "node-0-1", upload(fleet, "node-0-1", content), None, key)
             other_file = upload(fleet, "node-0-1", batch_lines("m", 6))
             other = create_batch(fleet, "node-0-1", other_file, None, key)
             answers = run_batch(fleet, first.document["id"])
-            late = create_batch(fleet, "node-0-1", upload(fleet, "node-0-1", content), None, key)
+            after_end = create_batch(
+                fleet, "node-0-1", upload(fleet, "node-0-1", content), None, key
+            )
             attempts = sum(len(engine.attempts) for engine in fleet.engines.values())
-            return first, again, other, late, answers, attempts
+            return first, again, other, after_end, answers, attempts
 
-        first, again, other, late, answers, attempts = self.session(run)
+        first, again, other, after_end, answers, attempts = self.run_session(run)
         self.assertEqual(first.document["id"], again.document["id"])
-        self.assertEqual(late.document["id"], first.document["id"])
-        self.assertEqual(late.document["status"], "completed")
+        self.assertEqual(after_end.document["id"], first.document["id"])
+        self.assertEqual(after_end.document["status"], "completed")
         self.assert_error(other, 409, "not_run", "another batch")
         self.assertEqual(len(answers), 5)
         self.assertEqual(attempts, 5)
 
-    def test_tenants_see_nothing_of_each_other(self):
+    def test_tenants_cannot_access_objects_of_others(self):
         def run(fleet):
             job_id = submit_batch(fleet, "node-0-0", 3)
-            ended = wait_for_batch(fleet, job_id)
+            document = wait_for_batch(fleet, job_id)
             paths = [
                 f"/v1/batches/{job_id}",
-                f"/v1/files/{ended['input_file_id']}",
-                f"/v1/files/{ended['input_file_id']}/content",
-                f"/v1/files/{ended['output_file_id']}",
-                f"/v1/files/{ended['output_file_id']}/content",
+                f"/v1/files/{document['input_file_id']}",
+                f"/v1/files/{document['input_file_id']}/content",
+                f"/v1/files/{document['output_file_id']}",
+                f"/v1/files/{document['output_file_id']}/content",
             ]
             answers = [fleet.request("node-0-0", "GET", path, tenant="beta") for path in paths]
             answers.append(
@@ -265,29 +267,29 @@
             )
             answers.append(
                 fleet.request(
-                    "node-0-0", "DELETE", f"/v1/files/{ended['input_file_id']}", tenant="beta"
+                    "node-0-0", "DELETE", f"/v1/files/{document['input_file_id']}", tenant="beta"
                 )
             )
-            answers.append(create_batch(fleet, "node-0-0", ended["input_file_id"], "beta"))
+            answers.append(create_batch(fleet, "node-0-0", document["input_file_id"], "beta"))
             lists = [
                 fleet.request("node-0-0", "GET", path, tenant="beta").document["data"]
                 for path in ("/v1/batches", "/v1/files")
             ]
             return answers, lists
 
-        answers, lists = self.session(run)
+        answers, lists = self.run_session(run)
         for answer in answers:
             self.assert_error(answer, 404, "not_run", "there is no")
         self.assertEqual(lists, [[], []])
 
-    def test_prefix_caches_of_tenants_are_apart(self):
+    def test_prefix_caches_of_tenants_are_isolated(self):
         def run(fleet):
             long = "word " * 2000
             for tenant in ("alpha", "beta"):
                 fleet.request("node-0-0", "POST", CHAT, document=chat(long), tenant=tenant)
             return [len(engine.model.cache) for engine in fleet.engines.values()]
 
-        cached = self.session(run, FleetShape(engines=1))
+        cached = self.run_session(run, FleetShape(engines=1))
         blocks = (len("user:" + "word " * 2000) + 255) // 256
         self.assertEqual(cached, [2 * blocks])
 
@@ -300,10 +302,10 @@
             ).document
             return jobs, first, rest
 
-        jobs, first, rest = self.session(run)
-        self.assertEqual([one["id"] for one in first["data"]], jobs[:1:-1])
+        jobs, first, rest = self.run_session(run)
+        self.assertEqual([job["id"] for job in first["data"]], jobs[:1:-1])
         self.assertTrue(first["has_more"])
-        self.assertEqual([one["id"] for one in rest["data"]], jobs[1::-1])
+        self.assertEqual([job["id"] for job in rest["data"]], jobs[1::-1])
         self.assertFalse(rest["has_more"])
 
     def test_a_deleted_file_is_hidden_and_its_batch_goes_on(self):
@@ -318,7 +320,7 @@
             ]
             return deleted, hidden, run_batch(fleet, job)
 
-        deleted, hidden, answers = self.session(run)
+        deleted, hidden, answers = self.run_session(run)
         self.assertTrue(deleted.document["deleted"])
         for answer in hidden:
             self.assertEqual(answer.status, 404)
@@ -335,7 +337,7 @@
             document = batch_document(fleet, "node-0-0", job_id)
             return cancelled, running, document, result_lines(fleet, document)
 
-        cancelled, running, document, lines = self.session(run)
+        cancelled, running, document, lines = self.run_session(run)
         self.assertEqual(cancelled.document["status"], "cancelled")
         self.assertEqual(running, [0, 0])
         self.assertEqual(len(lines), document["request_counts"]["completed"])
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions. `make golden` writes them anew."""
+"""Compares recorded sessions with golden files; `make golden` regenerates the files."""
 
 import unittest
 
@@ -47,14 +47,14 @@
     def show(self, recorder, job_id, node_id="node-0-0"):
         recorder.request(node_id, "GET", f"/v1/batches/{job_id}")
 
-    def test_batch_through_the_death_of_an_owner(self):
+    def test_batch_when_an_owner_dies(self):
         def session(fleet, recorder):
             job_id = self.submit(fleet, recorder, 6)
             gevent.sleep(0.02)
             owner = next(
                 node_id for node_id, node in fleet.nodes.items() if node.node.batch_in_progress
             )
-            recorder.note("operator", f"kills {owner}")
+            recorder.add_line("operator", f"kills {owner}")
             fleet.kill_node(owner)
             gevent.sleep(20)
             survivor = next(one for one in fleet.nodes if one != owner)
@@ -65,39 +65,39 @@
     def test_log_outage_with_lost_answers(self):
         def session(fleet, recorder):
             job_id = self.submit(fleet, recorder, 4, headers={"X-Postvalve-At-Most-Once": "true"})
-            recorder.note("platform", "the log loses its answers")
+            recorder.add_line("platform", "the log loses its answers")
             fleet.log.model.faults.fault = LogFault.LOSE_ANSWERS
             gevent.sleep(8)
-            recorder.note("platform", "the log is down")
+            recorder.add_line("platform", "the log is down")
             fleet.log.model.faults.fault = LogFault.DOWN
             recorder.request("node-0-0", "GET", f"/v1/batches/{job_id}")
             recorder.request("node-0-0", "POST", CHAT, document=chat())
             gevent.sleep(8)
-            recorder.note("platform", "the log is back")
+            recorder.add_line("platform", "the log is back")
             fleet.log.model.faults.fault = LogFault.NONE
             gevent.sleep(20)
             self.show(recorder, job_id)
 
         self.record("log_outage", session)
 
-    def test_lease_lapses_in_a_pause(self):
+    def test_lease_expires_while_its_holder_is_frozen(self):
         def session(fleet, recorder):
             job_id = self.submit(fleet, recorder, 40, max_tokens=20)
             gevent.sleep(0.3)
             holder = next(
                 one.node_id for one in reversed(fleet.events) if one.event.name == "JOB_LOADED"
             )
-            recorder.note("operator", f"freezes {holder}")
+            recorder.add_line("operator", f"freezes {holder}")
             fleet.freeze_node(holder)
             gevent.sleep(20)
-            recorder.note("operator", f"thaws {holder}")
+            recorder.add_line("operator", f"thaws {holder}")
             fleet.thaw_node(holder)
             gevent.sleep(5)
             self.show(recorder, job_id)
 
         self.record("lease_lapse", session)
 
-    def test_operators_race(self):
+    def test_concurrent_configuration_changes(self):
         def session(fleet, recorder):
             stores = [operator(fleet, name) for name in "ab"]
             base = stores[0].newest().number
@@ -105,9 +105,9 @@
             def publish(store, name):
                 try:
                     revision = store.publish(changed(store, name), base, name)
-                    recorder.note(f"operator {name}", f"published {revision}")
+                    recorder.add_line(f"operator {name}", f"published {revision}")
                 except RevisionConflictError as error:
-                    recorder.note(f"operator {name}", error.message)
+                    recorder.add_line(f"operator {name}", error.message)
 
             both = [
                 gevent.spawn(publish, store, name) for store, name in zip(stores, "ab", strict=True)
@@ -127,7 +127,7 @@
                 document=chat(stream=True, max_tokens=20),
             )
             gevent.sleep(0.05)
-            recorder.note("operator", "drains node-0-0")
+            recorder.add_line("operator", "drains node-0-0")
             fleet.drain_node("node-0-0")
             gevent.sleep(0.05)
             recorder.request("node-0-0", "POST", CHAT, document=chat("late"))
@@ -158,11 +158,11 @@
         def session(fleet, recorder):
             for engine in fleet.engines.values():
                 engine.faults.crossed_answers = 1
-            recorder.note("platform", "each engine answers once for another attempt")
+            recorder.add_line("platform", "each engine answers once for another attempt")
             recorder.request("node-0-0", "POST", CHAT, document=chat("crossed"))
             for engine in fleet.engines.values():
                 engine.faults.silent_attempts = 1
-            recorder.note("platform", "each engine is silent once")
+            recorder.add_line("platform", "each engine is silent once")
             recorder.request(
                 "node-0-0",
                 "POST",
--- a/tests/test_membership_and_stop.py
+++ b/tests/test_membership_and_stop.py
@@ -1,4 +1,4 @@
-"""Leaving machines, planned stops, and cuts between zones."""
+"""Tests of leaving machines, planned stops of nodes, and partitions between zones."""
 
 import unittest
 
@@ -14,8 +14,8 @@
 from tests.support import answer_tokens, submit_batch
 
 CHAT = "/v1/chat/completions"
-KNOWN_WITHIN = 5.0
-"""Seconds after which nobody gives new work to a machine that is leaving."""
+PROPAGATION_TIME = 5.0
+"""Seconds after which no node gives new work to a machine listed as leaving."""
 
 
 def chat(text="hi", **options):
@@ -24,7 +24,7 @@
 
 
 class FleetSessionCase(unittest.TestCase):
-    def session(self, function, **shape):
+    def run_session(self, function, **shape):
         def run(loop):
             fleet = VirtualFleet(loop, FleetShape(**{"zones": 2, "engines": 4, **shape}))
             fleet.start()
@@ -32,9 +32,9 @@
 
         return run_virtual(run)
 
-    def ask_everywhere(self, fleet, count, **options):
+    def request_from_all_nodes(self, fleet, count, **options):
         nodes = running_nodes(fleet)
-        asked = [
+        requests = [
             gevent.spawn(
                 fleet.request,
                 nodes[number % len(nodes)],
@@ -44,50 +44,52 @@
             )
             for number in range(count)
         ]
-        return [one.get() for one in asked]
+        return [request.get() for request in requests]
 
 
 class LeavingTest(FleetSessionCase):
-    def late_attempts(self, fleet, engine_id, since):
+    def attempts_after(self, fleet, engine_id, since):
         engine = fleet.engines[engine_id]
-        return [one for one in engine.attempts if one.submitted_at > since]
+        return [attempt for attempt in engine.attempts if attempt.submitted_at > since]
 
     def test_a_leaving_engine_gets_no_new_work(self):
         def run(fleet):
             submit_batch(fleet, "node-0-0", 3000, max_tokens=20)
             gevent.sleep(1)
             fleet.mark_leaving("engine-0")
-            known = fleet.loop.now() + fleet.shape.machine_lag + KNOWN_WITHIN
+            deadline = fleet.loop.now() + fleet.shape.machine_lag + PROPAGATION_TIME
             for _ in range(15):
                 gevent.sleep(1)
-                self.ask_everywhere(fleet, 12)
-            self.assertEqual(self.late_attempts(fleet, "engine-0", known), [])
-            self.assertGreater(len(self.late_attempts(fleet, "engine-1", known)), 0)
+                self.request_from_all_nodes(fleet, 12)
+            self.assertEqual(self.attempts_after(fleet, "engine-0", deadline), [])
+            self.assertGreater(len(self.attempts_after(fleet, "engine-1", deadline)), 0)
 
-        self.session(run)
+        self.run_session(run)
 
-    def test_leaving_is_sticky_though_the_list_goes_back(self):
+    def test_leaving_persists_when_the_machine_list_reverts(self):
         def run(fleet):
             fleet.mark_leaving("engine-0")
             gevent.sleep(5)
-            machines = {one.machine_id: one for one in fleet.machines.fetch()}
+            machines = {machine.machine_id: machine for machine in fleet.machines.fetch()}
             live = machines["engine-0"].model_copy(update={"state": MachineState.LIVE})
             fleet.machines.model.put(live, fleet.loop.now())
             gevent.sleep(5)
             since = fleet.loop.now()
-            self.ask_everywhere(fleet, 40)
-            self.assertEqual(self.late_attempts(fleet, "engine-0", since), [])
+            self.request_from_all_nodes(fleet, 40)
+            self.assertEqual(self.attempts_after(fleet, "engine-0", since), [])
 
-        self.session(run)
+        self.run_session(run)
 
-    def test_work_in_progress_on_a_leaving_engine_ends(self):
+    def test_work_in_progress_on_a_leaving_engine_finishes(self):
         def run(fleet):
-            asked = gevent.spawn(self.ask_everywhere, fleet, 40, stream=True, max_tokens=200)
+            requests = gevent.spawn(
+                self.request_from_all_nodes, fleet, 40, stream=True, max_tokens=200
+            )
             gevent.sleep(0.5)
             fleet.mark_leaving("engine-0")
-            return asked.get()
+            return requests.get()
 
-        for answer in self.session(run):
+        for answer in self.run_session(run):
             self.assertEqual(len(answer_tokens(answer)), 200)
 
     def test_an_old_message_does_not_bring_a_leaving_node_back(self):
@@ -106,15 +108,15 @@
             gevent.sleep(0.5)
             self.assertIs(view.get("node-0-0").state, NodeState.LEAVING)
             view.observe(old, fleet.loop.now())
-            # Not even a newer one of the same life that does not say it is leaving.
+            # A newer heartbeat of the same incarnation without `leaving` must not undo it either.
             old.sequence += 1000
             view.observe(old, fleet.loop.now())
             self.assertIs(view.get("node-0-0").state, NodeState.LEAVING)
             self.assertIsNotNone(node)
 
-        self.session(run)
+        self.run_session(run)
 
-    def test_a_node_that_hears_no_peer_still_heeds_the_list(self):
+    def test_an_isolated_node_still_follows_the_machine_list(self):
         def run(fleet):
             for other in list(fleet.nodes):
                 if other != "node-1-0":
@@ -123,13 +125,13 @@
                     )
             gevent.sleep(30)
             fleet.mark_leaving("engine-1")
-            known = fleet.loop.now() + fleet.shape.machine_lag + KNOWN_WITHIN
+            deadline = fleet.loop.now() + fleet.shape.machine_lag + PROPAGATION_TIME
             for _ in range(10):
                 gevent.sleep(1)
                 fleet.request("node-1-0", "POST", CHAT, document=chat())
-            self.assertEqual(self.late_attempts(fleet, "engine-1", known), [])
+            self.assertEqual(self.attempts_after(fleet, "engine-1", deadline), [])
 
-        self.session(run)
+        self.run_session(run)
 
 
 class PlannedStopTest(FleetSessionCase):
@@ -150,8 +152,10 @@
         for node_id in stopped:
             fleet.drain_node(node_id)
         gevent.sleep(0.1)
-        refused = [fleet.request(one, "POST", CHAT, document=chat("late")) for one in stopped]
-        answers = [one.get() for one in streams]
+        refused = [
+            fleet.request(node_id, "POST", CHAT, document=chat("late")) for node_id in stopped
+        ]
+        answers = [stream.get() for stream in streams]
         return job_id, answers, refused
 
     def check_stop(self, fleet, stopped, refused, answers):
@@ -161,8 +165,8 @@
             self.assertEqual(answer.document["error"]["verdict"], "not_run")
             self.assertEqual(answer.document["error"]["code"], "draining")
             self.assertIn("Retry-After", answer.headers)
-        ended = {one.node_id for one in fleet.events if one.event is Event.DRAIN_FINISHED}
-        self.assertEqual(ended, set(stopped))
+        drained = {event.node_id for event in fleet.events if event.event is Event.DRAIN_FINISHED}
+        self.assertEqual(drained, set(stopped))
 
     def test_one_node_stops(self):
         def run(fleet):
@@ -171,7 +175,7 @@
             self.check_stop(fleet, ["node-0-0"], refused, answers)
             check_job(self, fleet, job_id, 200)
 
-        self.session(run)
+        self.run_session(run)
 
     def test_two_nodes_of_a_zone_stop_at_once(self):
         def run(fleet):
@@ -181,24 +185,26 @@
             self.check_stop(fleet, stopped, refused, answers)
             check_job(self, fleet, job_id, 200)
 
-        self.session(run)
+        self.run_session(run)
 
     def test_a_node_stops_while_the_log_is_down(self):
         def run(fleet):
             fleet.log.model.faults.fault = LogFault.DOWN
             gevent.sleep(1)
-            asked = gevent.spawn(self.ask_everywhere, fleet, 20, stream=True, max_tokens=100)
+            requests = gevent.spawn(
+                self.request_from_all_nodes, fleet, 20, stream=True, max_tokens=100
+            )
             gevent.sleep(0.3)
             fleet.drain_node("node-0-0")
-            answers = asked.get()
+            answers = requests.get()
             gevent.sleep(30)
             self.check_stop(fleet, ["node-0-0"], [], answers)
 
-        self.session(run)
+        self.run_session(run)
 
     def test_health_and_readiness_differ_while_draining(self):
         def run(fleet):
-            asked = gevent.spawn(
+            requests = gevent.spawn(
                 fleet.request, "node-0-0", "POST", CHAT, document=chat(max_tokens=200)
             )
             gevent.sleep(0.5)
@@ -207,26 +213,26 @@
             answers = [
                 fleet.request("node-0-0", "GET", path).status for path in ("/healthz", "/readyz")
             ]
-            asked.get()
+            requests.get()
             return answers
 
-        self.assertEqual(self.session(run), [200, 503])
+        self.assertEqual(self.run_session(run), [200, 503])
 
 
 class PartitionTest(FleetSessionCase):
-    def test_zones_cut_from_each_other_both_serve(self):
+    def test_partitioned_zones_both_serve(self):
         def run(fleet):
             fleet.network.cut("zone-0", "zone-1")
             gevent.sleep(30)
-            answers = self.ask_everywhere(fleet, 40)
+            answers = self.request_from_all_nodes(fleet, 40)
             fleet.network.heal("zone-0", "zone-1")
             gevent.sleep(10)
-            return answers + self.ask_everywhere(fleet, 40)
+            return answers + self.request_from_all_nodes(fleet, 40)
 
-        for answer in self.session(run):
+        for answer in self.run_session(run):
             self.assertEqual(answer.status, 200)
 
-    def test_a_batch_survives_a_cut(self):
+    def test_a_batch_survives_a_partition(self):
         def run(fleet):
             job_id = submit_batch(fleet, "node-0-0", 500)
             gevent.sleep(0.2)
@@ -235,7 +241,7 @@
             fleet.network.heal("zone-0", "zone-1")
             check_job(self, fleet, job_id, 500)
 
-        self.session(run)
+        self.run_session(run)
 
 
 if __name__ == "__main__":
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -1,6 +1,7 @@
-"""All faults together and twice, in a randomized session.
+"""Randomized sessions in which faults of all kinds overlap.
 
-`python -m tests.test_mixed_faults SEED` replays the session of one seed.
+Two fault injectors run concurrently, so that any two faults may coincide. To replay the session of
+one seed, run `python -m tests.test_mixed_faults SEED`.
 """
 
 import random
@@ -32,33 +33,33 @@
 
 
 class MixedSession:
-    """One randomized session."""
+    """One randomized session: requests, batches and faults, then the checks."""
 
     def __init__(self, case, fleet, seed):
         self.case = case
         self.fleet = fleet
         self.random = random.Random(seed)
         self.jobs = []
-        self.not_run = []
-        self.once = []
-        self.answered = 0
-        self.frozen = set()
+        self.not_run_texts = []
+        self.at_most_once_texts = []
+        self.answer_count = 0
+        self.frozen_nodes = set()
 
     def run(self):
         greenlets = [
-            gevent.spawn(self.repeat, self.fault, 3.0),
-            gevent.spawn(self.repeat, self.fault, 5.0),
-            gevent.spawn(self.repeat, self.submit, 6.0),
-            gevent.spawn(self.repeat, self.ask, 0.4),
-            gevent.spawn(self.repeat, self.ask, 0.4),
+            gevent.spawn(self.run_repeatedly, self.inject_fault, 3.0),
+            gevent.spawn(self.run_repeatedly, self.inject_fault, 5.0),
+            gevent.spawn(self.run_repeatedly, self.submit_job, 6.0),
+            gevent.spawn(self.run_repeatedly, self.send_request, 0.4),
+            gevent.spawn(self.run_repeatedly, self.send_request, 0.4),
         ]
         gevent.joinall(greenlets)
         for greenlet in greenlets:
             greenlet.get()
-        self.heal()
+        self.recover()
         self.check()
 
-    def repeat(self, action, mean):
+    def run_repeatedly(self, action, mean):
         end = self.fleet.loop.now() + FAULT_SECONDS
         while self.fleet.loop.now() < end:
             gevent.sleep(self.random.expovariate(1 / mean))
@@ -66,25 +67,27 @@
 
     # Load
 
-    def any_node(self):
-        alive = [one for one in running_nodes(self.fleet) if one not in self.frozen]
+    def random_node(self):
+        alive = [
+            node_id for node_id in running_nodes(self.fleet) if node_id not in self.frozen_nodes
+        ]
         return self.random.choice(alive) if alive else None
 
-    def ask(self):
-        node_id = self.any_node()
+    def send_request(self):
+        node_id = self.random_node()
         if node_id is None:
             return
         text = f"q{self.random.getrandbits(40)}"
-        once = self.random.random() < 0.5
-        if once:
-            self.once.append(text)
+        at_most_once = self.random.random() < 0.5
+        if at_most_once:
+            self.at_most_once_texts.append(text)
         document = {
             "model": "m",
             "messages": [{"role": "user", "content": text}],
             "max_tokens": 6,
             "stream": self.random.random() < 0.5,
         }
-        headers = AT_MOST_ONCE if once else {}
+        headers = AT_MOST_ONCE if at_most_once else {}
         try:
             answer = self.fleet.request(
                 node_id,
@@ -100,9 +103,9 @@
     def check_answer(self, answer, text, streamed):
         if answer.status != 200:
             if answer.document["error"]["verdict"] == "not_run":
-                self.not_run.append(text)
+                self.not_run_texts.append(text)
             return
-        self.answered += 1
+        self.answer_count += 1
         if not streamed:
             content = answer.document["choices"][0]["message"]["content"]
             self.case.assertEqual(len(content.split()), 6)
@@ -115,24 +118,24 @@
             self.case.assertEqual(len(tokens), 6)
             self.case.assertEqual(tokens[0], expected_first_token(text))
 
-    def submit(self):
-        node_id = self.any_node()
+    def submit_job(self):
+        node_id = self.random_node()
         if node_id is None:
             return
         name = f"job{self.random.getrandbits(30)}"
         count = self.random.randint(1, 60)
-        once = self.random.random() < 0.5
-        headers = {"Idempotency-Key": name, **(AT_MOST_ONCE if once else {})}
+        at_most_once = self.random.random() < 0.5
+        headers = {"Idempotency-Key": name, **(AT_MOST_ONCE if at_most_once else {})}
         body, content_type = upload_form(batch_lines("m", count, name=name))
         for _ in range(60):
-            node_id = self.any_node()
-            job_id = node_id and self.try_submit(node_id, body, content_type, headers)
+            node_id = self.random_node()
+            job_id = node_id and self.try_submit_job(node_id, body, content_type, headers)
             if job_id:
-                self.jobs.append((job_id, name, count, once))
+                self.jobs.append((job_id, name, count, at_most_once))
                 return
             gevent.sleep(2)
 
-    def try_submit(self, node_id, body, content_type, headers):
+    def try_submit_job(self, node_id, body, content_type, headers):
         try:
             file = self.fleet.request(
                 node_id, "POST", "/v1/files", body=body, content_type=content_type
@@ -146,30 +149,30 @@
 
     # Faults
 
-    def fault(self):
+    def inject_fault(self):
         fault = self.random.choice(
             [
                 self.kill_node,
                 self.freeze_node,
-                self.cut_zones,
-                self.cut_log,
-                self.spoil_log,
+                self.partition_zones,
+                self.cut_log_from_zone,
+                self.disturb_log,
                 self.kill_engine,
-                self.spoil_engine,
+                self.disturb_engine,
                 self.drain_node,
             ]
         )
         fault()
 
     def kill_node(self):
-        node_id = self.any_node()
+        node_id = self.random_node()
         if node_id is not None:
             self.fleet.kill_node(node_id)
             gevent.sleep(self.random.uniform(0.1, 20))
             self.fleet.restart_node(node_id)
 
     def drain_node(self):
-        node_id = self.any_node()
+        node_id = self.random_node()
         if node_id is None:
             return
         place = self.fleet.nodes[node_id].place
@@ -180,27 +183,27 @@
             self.fleet.restart_node(node_id)
 
     def freeze_node(self):
-        node_id = self.any_node()
+        node_id = self.random_node()
         if node_id is not None:
             owner = self.fleet.nodes[node_id].place.owner
-            self.frozen.add(node_id)
+            self.frozen_nodes.add(node_id)
             self.fleet.loop.freeze(owner)
             gevent.sleep(self.random.uniform(0.1, 25))
             self.fleet.loop.thaw(owner)
-            self.frozen.discard(node_id)
+            self.frozen_nodes.discard(node_id)
 
-    def cut_zones(self):
+    def partition_zones(self):
         self.fleet.network.cut("zone-0", "zone-1")
         gevent.sleep(self.random.uniform(1, 15))
         self.fleet.network.heal("zone-0", "zone-1")
 
-    def cut_log(self):
+    def cut_log_from_zone(self):
         zone = self.random.choice(["zone-0", "zone-1"])
         self.fleet.log.model.faults.cut_zones.add(zone)
         gevent.sleep(self.random.uniform(1, 15))
         self.fleet.log.model.faults.cut_zones.discard(zone)
 
-    def spoil_log(self):
+    def disturb_log(self):
         faults = self.fleet.log.model.faults
         faults.fault = self.random.choice(list(LogFault))
         faults.delay = self.random.choice([0.3, 2.0, 7.0])
@@ -214,14 +217,14 @@
             gevent.sleep(self.random.uniform(0.1, 10))
             self.fleet.restart_engine(engine_id)
 
-    def spoil_engine(self):
+    def disturb_engine(self):
         faults = self.random.choice(list(self.fleet.engines.values())).faults
         faults.crossed_answers += self.random.randint(0, 2)
         faults.refusals += self.random.randint(0, 2)
         faults.silent_attempts += self.random.randint(0, 1)
         faults.cut_after_tokens.append(self.random.randint(1, 5))
 
-    def heal(self):
+    def recover(self):
         gevent.sleep(30)
         for engine in self.fleet.engines.values():
             engine.faults.silent_attempts = 0
@@ -230,13 +233,13 @@
     # Checks
 
     def check(self):
-        for job_id, name, count, once in self.jobs:
-            check_job(self.case, self.fleet, job_id, count, name=name, at_most_once=once)
+        for job_id, name, count, at_most_once in self.jobs:
+            check_job(self.case, self.fleet, job_id, count, name=name, at_most_once=at_most_once)
             views_agree(self.case, self.fleet, job_id)
         runs = engine_runs(self.fleet)
-        self.case.assertEqual([text for text in self.not_run if runs[text]], [])
-        self.case.assertEqual([text for text in self.once if runs[text] > 1], [])
-        self.case.assertGreater(self.answered, 0)
+        self.case.assertEqual([text for text in self.not_run_texts if runs[text]], [])
+        self.case.assertEqual([text for text in self.at_most_once_texts if runs[text] > 1], [])
+        self.case.assertGreater(self.answer_count, 0)
 
 
 class MixedFaultsTest(unittest.TestCase):
@@ -258,7 +261,10 @@
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        done = MixedFaultsTest().run_seed(int(sys.argv.pop()))
-        print(f"{len(done.jobs)} jobs, {done.answered} answers, {len(done.not_run)} not run")
+        session = MixedFaultsTest().run_seed(int(sys.argv.pop()))
+        print(
+            f"{len(session.jobs)} jobs, {session.answer_count} answers, "
+            f"{len(session.not_run_texts)} not run"
+        )
     else:
         unittest.main()
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes: all that are there are read, whatever one of them does."""
+"""Tests of datagrams between nodes: order, batched reads, and errors of the handler."""
 
 import unittest
 
@@ -15,22 +15,22 @@
         self.received = []
         self.address = f"127.0.0.1:{free_port()}"
         self.receiver = NetworkTransport(self.address, self.log)
-        self.receiver.serve(lambda message: message, self.take)
+        self.receiver.serve(lambda message: message, self.handle_datagram)
         self.addCleanup(self.receiver.stop)
         self.sender = NetworkTransport(f"127.0.0.1:{free_port()}", RecordingEventLog())
         self.sender.serve(lambda message: message, lambda data, sender: None)
         self.addCleanup(self.sender.stop)
 
-    def take(self, data, sender):
+    def handle_datagram(self, data, sender):
         if data == b"bad":
-            raise ValueError("a fault of the handler")
+            raise ValueError("error raised by the handler")
         self.received.append(data)
 
     def send(self, *payloads):
         for data in payloads:
             self.sender.send(self.address, data)
 
-    def test_datagrams_come_in_their_order(self):
+    def test_datagrams_arrive_in_order(self):
         sent = [str(number).encode() for number in range(50)]
         self.send(*sent)
         wait_until(lambda: len(self.received) == len(sent))
@@ -38,22 +38,22 @@
         self.send(b"later")
         wait_until(lambda: b"later" in self.received)
 
-    def test_a_fault_of_the_handler_ends_nothing(self):
+    def test_a_handler_error_does_not_end_the_receive_loop(self):
         self.send(b"one", b"bad", b"two")
         wait_until(lambda: self.received == [b"one", b"two"])
-        told = [event for event, _ in self.log.written]
-        self.assertEqual(told, [Event.PEER_MESSAGE_INVALID])
+        logged = [event for event, _ in self.log.written]
+        self.assertEqual(logged, [Event.PEER_MESSAGE_INVALID])
 
-    def test_datagrams_gather_for_as_long_as_is_asked_for(self):
-        asked = []
-        self.receiver.gather_time = lambda: asked.append(len(self.received)) or 0.3
+    def test_datagrams_gather_for_the_given_time(self):
+        calls = []
+        self.receiver.gather_time = lambda: calls.append(len(self.received)) or 0.3
         self.send(b"one")
-        wait_until(lambda: asked)
+        wait_until(lambda: calls)
         self.send(b"two", b"three")
-        wait_until(lambda: len(asked) == 2)
-        self.assertEqual(asked, [1, 3])
+        wait_until(lambda: len(calls) == 2)
+        self.assertEqual(calls, [1, 3])
 
-    def test_a_large_datagram_comes_whole(self):
+    def test_a_large_datagram_is_received_completely(self):
         self.send(b"x" * 60_000)
         wait_until(lambda: self.received == [b"x" * 60_000])
 
--- a/tests/test_virtual_fleet.py
+++ b/tests/test_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Whole nodes under virtual time."""
+"""Tests of complete nodes under virtual time."""
 
 import unittest
 
@@ -24,12 +24,12 @@
         for custom_id, text in results.items():
             self.assertTrue(text.startswith(expected_first_token(f"text of {custom_id}")))
 
-    def test_a_run_is_a_function_of_its_seed(self):
+    def test_runs_with_the_same_seed_are_identical(self):
         def session(loop):
             fleet = VirtualFleet(loop, FleetShape(zones=2, engines=3), seed=7)
             fleet.start()
             run_batch(fleet, submit_batch(fleet, "node-1-0", 20))
-            return [(one.at, one.node_id, one.event, one.fields) for one in fleet.events]
+            return [(event.at, event.node_id, event.event, event.fields) for event in fleet.events]
 
         self.assertEqual(run_virtual(session), run_virtual(session))
 
