--- a/postvalve/node/engine_registry.py
+++ b/postvalve/node/engine_registry.py
@@ -51,8 +51,9 @@
     load: EngineLoad
     failed_reads: int = 0
     disowned: bool = False
+    """Whether another node is the owner now; the entry stays while work is in progress."""
     changing: bool = False
-    """Whether models are about to be loaded or unloaded; the engine gets no new work then."""
+    """Whether models are being loaded or unloaded; the engine gets no new work meanwhile."""
 
     @property
     def usable(self) -> bool:
