--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -117,7 +117,7 @@
             for engine in fleet.engines.values():
                 engine.poison = "text of item-3"
             job_id = submit_batch(fleet, "node-0-0", 20)
-            document = wait_for_batch(fleet, job_id, patience=600.0)
+            document = wait_for_batch(fleet, job_id, timeout=600.0)
             self.assertEqual(document["request_counts"]["completed"], 19)
             [line] = result_lines(fleet, document, kind="error_file_id")
             self.assertEqual(line["custom_id"], "item-3")
