--- a/postvalve/node/configuration_service.py
+++ b/postvalve/node/configuration_service.py
@@ -1,6 +1,6 @@
 """Follows the configuration stream, and fetches newer revisions from peers.
 
-Peers matter while this node can't reach the log.
+Peers are the fallback while this node can't reach the log.
 """
 
 from __future__ import annotations
--- a/postvalve/node/http/operations.py
+++ b/postvalve/node/http/operations.py
@@ -57,6 +57,6 @@
         return Response(self._metrics.exposition(), content_type="text/plain; version=0.0.4")
 
     def status(self, request: Request) -> Response:
-        """Return the state of the node and of its peers, to an operator."""
+        """Return the state of the node and of its peers; requires an operator key."""
         authenticate_operator(request, self._configuration.current)
         return json_response(self._node.status_document())
