--- a/postvalve/events.py
+++ b/postvalve/events.py
@@ -9,9 +9,9 @@
 
 import structlog
 
-from postvalve.log_output import LineBudget, NonBlockingLines
+from postvalve.log_output import LineBudget, NonBlockingLineWriter
 
-TextOutput = TextIO | NonBlockingLines
+TextOutput = TextIO | NonBlockingLineWriter
 
 
 class Event(enum.Enum):
@@ -175,25 +175,25 @@
     """
 
     def __init__(
-        self, node_id: str, zone: str, lines: NonBlockingLines, budget: LineBudget
+        self, node_id: str, zone: str, lines: NonBlockingLineWriter, budget: LineBudget
     ) -> None:
         super().__init__(node_id, zone)
         self._lines = lines
         self._budget = budget
-        self._told = 0
+        self._reported_dropped = 0
 
     @property
     def dropped(self) -> int:
         """See `EventLog`."""
-        return self._budget.passed_over + self._lines.dropped
+        return self._budget.rejected + self._lines.dropped
 
     def emit(self, event: Event, **fields: Any) -> None:
         """See `EventLog`."""
         if event.level in ("debug", "info") and not self._budget.take():
             return
-        if self.dropped > self._told:
-            fields["left_out"] = self.dropped - self._told
-            self._told = self.dropped
+        if self.dropped > self._reported_dropped:
+            fields["left_out"] = self.dropped - self._reported_dropped
+            self._reported_dropped = self.dropped
         super().emit(event, **fields)
 
 
--- a/postvalve/exceptions.py
+++ b/postvalve/exceptions.py
@@ -133,11 +133,11 @@
     """This node can't tell whose API key it is: it may have missed that keys changed."""
 
 
-class StoreOutOfReachError(RefusedError):
+class StoreUnreachableError(RefusedError):
     """What was asked needs the store, and nothing of it was done."""
 
 
-class TimeOverError(RefusedError):
+class RequestExpiredError(RefusedError):
     """The time that a request has was over before it could run."""
 
 
@@ -186,7 +186,7 @@
         self.verdict = verdict
 
 
-class EngineCutError(AttemptError):
+class EngineDisconnectedError(AttemptError):
     """The engine's connection ended before its answer did: the engine itself may have ended."""
 
 
--- a/postvalve/gateway/engines/engine_connections.py
+++ b/postvalve/gateway/engines/engine_connections.py
@@ -19,9 +19,9 @@
 from postvalve.core.admission.connection_share import MAX_IDLE_CONNECTIONS
 from postvalve.core.routing.connect_timeout import ConnectTimeout
 from postvalve.core.serving.transfer_rate import MinTransferRate
-from postvalve.exceptions import AttemptError, EngineCutError, Verdict
+from postvalve.exceptions import AttemptError, EngineDisconnectedError, Verdict
 from postvalve.gateway.interfaces import Headers
-from postvalve.sockets import send_at_once
+from postvalve.sockets import disable_nagle
 
 CONNECT_TIMEOUT = 0.6
 """Seconds to open a connection to an engine."""
@@ -185,10 +185,10 @@
         try:
             self._parser.feed(data)
         except Exception as error:  # the parser raises whatever its callbacks raise
-            kind = AttemptError if data else EngineCutError
+            kind = AttemptError if data else EngineDisconnectedError
             raise kind(f"the engine failed: {error!r}", Verdict.MAY_HAVE_RUN) from error
         if not data and not self._parser.message_complete:
-            raise EngineCutError("the engine cut its answer", Verdict.MAY_HAVE_RUN)
+            raise EngineDisconnectedError("the engine cut its answer", Verdict.MAY_HAVE_RUN)
 
     def _receive_bytes(self, patience: float) -> bytes:
         """What comes next; nothing where the engine closed the connection."""
@@ -198,12 +198,14 @@
         except TimeoutError as error:
             raise AttemptError(f"the engine failed: {error!r}", Verdict.MAY_HAVE_RUN) from error
         except OSError as error:
-            kind = AttemptError if self.aborted else EngineCutError
+            kind = AttemptError if self.aborted else EngineDisconnectedError
             raise kind(f"the engine failed: {error!r}", Verdict.MAY_HAVE_RUN) from error
         if data:
             self.received = True
         elif not self._parser.headers_complete:
-            raise EngineCutError("the engine failed: closed before an answer", Verdict.MAY_HAVE_RUN)
+            raise EngineDisconnectedError(
+                "the engine failed: closed before an answer", Verdict.MAY_HAVE_RUN
+            )
         return data
 
     def abort(self) -> None:
@@ -270,7 +272,7 @@
             self._send(connection, request, deadline)
         except OSError as error:
             connection.close()
-            kind = AttemptError if isinstance(error, TimeoutError) else EngineCutError
+            kind = AttemptError if isinstance(error, TimeoutError) else EngineDisconnectedError
             raise kind(f"sending failed: {error!r}", Verdict.MAY_HAVE_RUN) from error
         return answer
 
@@ -307,7 +309,7 @@
             raise AttemptError("the deadline passed", Verdict.NOT_RUN)
         connection = gevent_socket.socket(sockets.AF_INET, sockets.SOCK_STREAM)
         try:
-            send_at_once(connection)
+            disable_nagle(connection)
             connection.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_USER_TIMEOUT, SEND_TIMEOUT_MS)
             connection.settimeout(patience)
             connection.connect((host, int(port)))
--- a/postvalve/gateway/engines/quarantine_guard.py
+++ b/postvalve/gateway/engines/quarantine_guard.py
@@ -9,7 +9,7 @@
 from postvalve.core.admission.request_identity import RequestIdentity
 from postvalve.core.membership.engine_life import EngineLife
 from postvalve.events import Event, EventLog
-from postvalve.exceptions import EngineCutError, PostvalveError, QuarantinedError, Verdict
+from postvalve.exceptions import EngineDisconnectedError, PostvalveError, QuarantinedError, Verdict
 
 
 class QuarantineGuard:
@@ -124,7 +124,7 @@
         """The run under way failed."""
         if error.verdict is Verdict.NOT_RUN:
             self._end_trial()
-        elif isinstance(error, EngineCutError) and self._just_began:
+        elif isinstance(error, EngineDisconnectedError) and self._just_began:
             self._note_end()
             self._end_trial()
         self.end()
--- a/postvalve/gateway/jobs/job_service.py
+++ b/postvalve/gateway/jobs/job_service.py
@@ -20,7 +20,7 @@
     RateLimitedError,
     RefusedError,
     RequestTooLargeError,
-    StoreOutOfReachError,
+    StoreUnreachableError,
     Verdict,
 )
 from postvalve.gateway.interfaces import (
@@ -186,7 +186,7 @@
         self._events.emit(
             Event.ROUTED_JOB_REFUSED, job=submission.job_id, reason=error.message, waiting=-1
         )
-        return StoreOutOfReachError("the store is out of reach", retry_after=STORE_RETRY_AFTER)
+        return StoreUnreachableError("the store is out of reach", retry_after=STORE_RETRY_AFTER)
 
     def _check_quota(self, submission: Submission) -> None:
         batch = submission.route.batch
--- a/postvalve/gateway/serving/caller_accounts.py
+++ b/postvalve/gateway/serving/caller_accounts.py
@@ -30,8 +30,8 @@
     PostvalveError,
     RateLimitedError,
     RefusedError,
-    StoreOutOfReachError,
-    TimeOverError,
+    RequestExpiredError,
+    StoreUnreachableError,
     Verdict,
 )
 from postvalve.gateway.serving.http_server import TruncatedAnswer
@@ -51,8 +51,8 @@
     RateLimitedError: End.OVER_LIMIT,
     LimitUnknownError: End.COUNT_UNKNOWN,
     DrainingError: End.NODE_LEAVING,
-    StoreOutOfReachError: End.STORE_AWAY,
-    TimeOverError: End.TIME_OVER,
+    StoreUnreachableError: End.STORE_AWAY,
+    RequestExpiredError: End.TIME_OVER,
     NotReadyError: End.REFUSED_ELSE,
     RefusedError: End.NO_ROOM,
     GivenUpError: End.GIVEN_UP,
--- a/postvalve/gateway/serving/http_server.py
+++ b/postvalve/gateway/serving/http_server.py
@@ -10,7 +10,7 @@
 from gevent.pool import Pool
 from gevent.pywsgi import WSGIServer
 
-from postvalve.wsgi_handler import SendAtOnceHandler
+from postvalve.wsgi_handler import NoDelayHandler
 
 MAX_CONNECTIONS = 3_000
 """Connections of clients that are open at once."""
@@ -35,7 +35,7 @@
     """Raised by an application to end an answer so that it looks cut."""
 
 
-class _Handler(SendAtOnceHandler):
+class _Handler(NoDelayHandler):
     """Passes targets and headers on as they came; tells when a client lags."""
 
     _head_limit: gevent.Timeout | None = None
--- a/postvalve/gateway/serving/routed_run.py
+++ b/postvalve/gateway/serving/routed_run.py
@@ -18,7 +18,7 @@
     GivenUpError,
     PostvalveError,
     RefusedError,
-    TimeOverError,
+    RequestExpiredError,
     Verdict,
 )
 from postvalve.gateway.engines.engine_connections import ConnectionPool, EngineAnswer, request_bytes
@@ -230,7 +230,7 @@
     def _given_up(self) -> PostvalveError:
         if self.may_have_run:
             return GivenUpError("the time is over")
-        return TimeOverError("the time is over", retry_after=OVERLOAD_RETRY_AFTER)
+        return RequestExpiredError("the time is over", retry_after=OVERLOAD_RETRY_AFTER)
 
     def _attempt(self) -> EngineAnswer:
         request = self._request
--- a/postvalve/node/peer_link.py
+++ b/postvalve/node/peer_link.py
@@ -32,7 +32,7 @@
 )
 from postvalve.messages.generated import peer
 from postvalve.node.passed_over import PassedOver
-from postvalve.sockets import end_when_silent, send_at_once
+from postvalve.sockets import disable_nagle, enable_keepalive
 
 CONNECT_TIMEOUT = 0.5
 """Seconds to open a connection to a peer."""
@@ -93,8 +93,8 @@
         self._server.stop(timeout=1)
 
     def _serve(self, connection: socket, address: object) -> None:
-        send_at_once(connection)
-        end_when_silent(connection)
+        disable_nagle(connection)
+        enable_keepalive(connection)
         write_lock = RLock()
         handlers = Pool(MAX_HANDLERS_PER_CONNECTION)
         try:
@@ -151,7 +151,7 @@
         host, _, port = address.rpartition(":")
         self._socket = create_connection((host, int(port)), timeout=CONNECT_TIMEOUT)
         self._socket.settimeout(None)
-        send_at_once(self._socket)
+        disable_nagle(self._socket)
         self._write_lock = RLock()
         self._waiting: dict[int, AsyncResult] = {}
         self._correlation_ids = itertools.count(1)
--- a/postvalve/node_process.py
+++ b/postvalve/node_process.py
@@ -13,7 +13,7 @@
 from postvalve.clock import SystemClock
 from postvalve.events import BoundedEventLog, Event, configure_logging
 from postvalve.gateway.gateway import Gateway
-from postvalve.log_output import LineBudget, NonBlockingLines
+from postvalve.log_output import LineBudget, NonBlockingLineWriter
 from postvalve.platform.adapter import gateway_platform
 from postvalve.platform.settings import load_settings, settings_path
 from postvalve.settings.validation import InvalidSettingsGroup
@@ -36,7 +36,7 @@
         return 0
     own = settings.gateway_settings()
     clock = SystemClock()
-    lines = NonBlockingLines(sys.stdout.fileno())
+    lines = NonBlockingLineWriter(sys.stdout.fileno())
     configure_logging(own.log_level, lines)
     events = BoundedEventLog(own.node_id, own.zone, lines, LineBudget(clock.monotonic))
     node = Gateway(own, gateway_platform(settings, clock), clock, events)
--- a/postvalve/platform/dialect.py
+++ b/postvalve/platform/dialect.py
@@ -13,32 +13,32 @@
 DEADLINE = "Deadline-Ms"
 EXPECT_INSTANCE = "Expect-Instance"
 NOT_EXECUTED = "Not-Executed"
-LAST_EVENT = "Last-Event-Id"
-PREFIX = "Prompt-Prefix"
-TOKENS = "Token-Count"
+LAST_EVENT_ID = "Last-Event-Id"
+PROMPT_PREFIX = "Prompt-Prefix"
+TOKEN_COUNT = "Token-Count"
 RETRY_AFTER = "Retry-After"
-ENCODING = "Content-Encoding"
+CONTENT_ENCODING = "Content-Encoding"
 ENGINE_LOAD = "Server-Load"
 API_KEY = "Api-Key"
 TENANT = "Tenant"
 CALLER_HEADERS = frozenset(("authorization", "proxy-authorization", "cookie", "x-api-key"))
 """Headers by which callers may name themselves where the configuration names no tenants."""
-MOST_REQUESTS = 1_000_000
+MAX_REQUESTS = 1_000_000
 """Requests and slots that an engine may tell of; more are taken for nonsense."""
-MOST_PERCENT = 100_000
+MAX_PACE_PERCENT = 100_000
 """The same for how long work takes there, where 100 is as usual."""
-MOST_TOLD = 80
+MAX_LOGGED_CHARACTERS = 80
 """Characters of a load that can't be read which are told of."""
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 """Of a number in a header: a longer one is taken for none, since sums with it may raise."""
 MISDIRECTED = 421
-IMPOSSIBLE = 422
+UNPROCESSABLE = 422
 
-_NOT_PASSED_ON = frozenset(
+_NOT_FORWARDED = frozenset(
     (
         "connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade",
         "proxy-connection", "content-length", "expect",
-        DEADLINE.lower(), EXPECT_INSTANCE.lower(), LAST_EVENT.lower(),
+        DEADLINE.lower(), EXPECT_INSTANCE.lower(), LAST_EVENT_ID.lower(),
         API_KEY.lower(), TENANT.lower(),
     )
 )  # fmt: skip
@@ -50,22 +50,22 @@
     def read_terms(self, headers: Headers) -> RequestTerms:
         """See `Dialect`."""
         named = {name.lower(): value for name, value in headers}
-        allowed = _number(named.get(DEADLINE.lower()))
-        key, shared, own = _prompt_parts(named.get(PREFIX.lower(), ""))
-        prompt, _, output = named.get(TOKENS.lower(), "").rpartition(",")
+        allowed = _parse_number(named.get(DEADLINE.lower()))
+        key, shared, own = _parse_prompt_parts(named.get(PROMPT_PREFIX.lower(), ""))
+        prompt, _, output = named.get(TOKEN_COUNT.lower(), "").rpartition(",")
         return RequestTerms(
             request_id=named.get(REQUEST_ID.lower(), ""),
             allowed=allowed / 1000 if allowed is not None else None,
-            last_event_id=_number(named.get(LAST_EVENT.lower())),
+            last_event_id=_parse_number(named.get(LAST_EVENT_ID.lower())),
             prefix_key=key,
             shared_tokens=shared,
-            own_tokens=own or max(0, (_number(prompt) or 0) - shared),
-            output_tokens=_number(output) or 0,
+            own_tokens=own or max(0, (_parse_number(prompt) or 0) - shared),
+            output_tokens=_parse_number(output) or 0,
         )
 
     def api_key(self, headers: Headers) -> str | None:
         """See `Dialect`."""
-        keys = [value for name, value in headers if _plain(name) == API_KEY.lower()]
+        keys = [value for name, value in headers if _normalize_name(name) == API_KEY.lower()]
         if len(keys) > 1:
             raise AuthenticationError("more than one API key")
         return keys[0] if keys else None
@@ -79,22 +79,28 @@
         last_event_id: int | None,
     ) -> list[tuple[str, str]]:
         """See `Dialect`."""
-        sent = [(name, value) for name, value in headers if _plain(name) not in _NOT_PASSED_ON]
+        sent = [
+            (name, value) for name, value in headers if _normalize_name(name) not in _NOT_FORWARDED
+        ]
         sent.append((EXPECT_INSTANCE, engine_id))
         if tenant:
             sent.append((TENANT, tenant))
         if allowed is not None:
             sent.append((DEADLINE, str(max(1, int(allowed * 1000)))))
         if last_event_id is not None:
-            sent.append((LAST_EVENT, str(last_event_id)))
+            sent.append((LAST_EVENT_ID, str(last_event_id)))
         return sent
 
     def identify(
         self, tenant: str, host: str, method: str, target: str, body: bytes, headers: Headers
     ) -> RequestIdentity:
         """See `Dialect`."""
-        fresh = (*_NOT_PASSED_ON, REQUEST_ID.lower(), "host")
-        kept = [(_plain(name), value) for name, value in headers if _plain(name) not in fresh]
+        fresh = (*_NOT_FORWARDED, REQUEST_ID.lower(), "host")
+        kept = [
+            (_normalize_name(name), value)
+            for name, value in headers
+            if _normalize_name(name) not in fresh
+        ]
         claimed = sorted(one for one in kept if one[0] in CALLER_HEADERS)
         caller = tenant or (repr(claimed) if claimed else "")
         return identify(caller, host, method, target, body, kept)
@@ -102,7 +108,7 @@
     def item_headers(self, headers: Headers, item_id: str, host: str) -> list[tuple[str, str]]:
         """See `Dialect`."""
         own = (REQUEST_ID.lower(), "host")
-        kept = [(name, value) for name, value in headers if _plain(name) not in own]
+        kept = [(name, value) for name, value in headers if _normalize_name(name) not in own]
         return [("Host", host), (REQUEST_ID, item_id), *kept]
 
     def judge(self, request_id: str, status: int, headers: Headers) -> Judgement:
@@ -113,29 +119,29 @@
             return Judgement.REPLACED
         if NOT_EXECUTED.lower() in named and answered in (None, request_id):
             return Judgement.REFUSED
-        if answered != request_id or ENCODING.lower() in named:
+        if answered != request_id or CONTENT_ENCODING.lower() in named:
             return Judgement.FOREIGN
-        if status == IMPOSSIBLE:
+        if status == UNPROCESSABLE:
             return Judgement.HOPELESS
         return Judgement.ACCEPTED if 200 <= status < 300 else Judgement.FAILED
 
     def engine_load(self, headers: Headers, now: float) -> EngineLoad | None:
         """See `Dialect`."""
-        told = [value for name, value in headers if _plain(name) == ENGINE_LOAD.lower()]
+        told = [value for name, value in headers if _normalize_name(name) == ENGINE_LOAD.lower()]
         if not told:
             return None
-        numbers = [_number(figure) for figure in ",".join(told).split(",")]
+        numbers = [_parse_number(figure) for figure in ",".join(told).split(",")]
         match numbers:
             case [int(running), int(waiting), int(slots)]:
                 percent = None
             case [int(running), int(waiting), int(slots), int(percent)]:
                 pass
             case _:
-                raise EngineLoadError(",".join(told)[:MOST_TOLD])
-        if max(running, waiting, slots) > MOST_REQUESTS or not slots:
-            raise EngineLoadError(",".join(told)[:MOST_TOLD])
-        if percent is not None and not 0 < percent <= MOST_PERCENT:
-            raise EngineLoadError(",".join(told)[:MOST_TOLD])
+                raise EngineLoadError(",".join(told)[:MAX_LOGGED_CHARACTERS])
+        if max(running, waiting, slots) > MAX_REQUESTS or not slots:
+            raise EngineLoadError(",".join(told)[:MAX_LOGGED_CHARACTERS])
+        if percent is not None and not 0 < percent <= MAX_PACE_PERCENT:
+            raise EngineLoadError(",".join(told)[:MAX_LOGGED_CHARACTERS])
         pace = percent / 100 if percent is not None else None
         return EngineLoad(now, running, waiting, slots, pace)
 
@@ -144,26 +150,28 @@
         return [(RETRY_AFTER, f"{seconds:.3f}")]
 
 
-def without_caller(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+def strip_caller_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
     """Headers less those that say who asks, which are this system's own to set."""
-    return [one for one in headers if _plain(one[0]) not in (API_KEY.lower(), TENANT.lower())]
+    return [
+        one for one in headers if _normalize_name(one[0]) not in (API_KEY.lower(), TENANT.lower())
+    ]
 
 
-def _plain(name: str) -> str:
+def _normalize_name(name: str) -> str:
     """A header's name as engines may read it: some pass over blanks around it."""
     return name.strip().lower()
 
 
-def _number(text: str | None) -> int | None:
+def _parse_number(text: str | None) -> int | None:
     """A whole number; None where it is none, or has more than `MOST_DIGITS`."""
     stripped = (text or "").strip()
-    if len(stripped) > MOST_DIGITS or not (stripped.isascii() and stripped.isdigit()):
+    if len(stripped) > MAX_DIGITS or not (stripped.isascii() and stripped.isdigit()):
         return None
     return int(stripped)
 
 
-def _prompt_parts(text: str) -> tuple[str, int, int]:
+def _parse_prompt_parts(text: str) -> tuple[str, int, int]:
     """Key and tokens of the shared parts, and tokens of the last part, the request's own."""
     parts = [part.strip().partition(":") for part in text.split(",") if part.strip()]
-    tokens = [_number(size) or 0 for _, _, size in parts]
+    tokens = [_parse_number(size) or 0 for _, _, size in parts]
     return ",".join(name for name, _, _ in parts[:-1]), sum(tokens[:-1]), sum(tokens[-1:])
--- a/postvalve/platform/fleet.py
+++ b/postvalve/platform/fleet.py
@@ -166,12 +166,12 @@
         raise InvalidSettingsGroup("the configuration cannot be read", [mistake]) from None
     source = check_document(_Configuration, parsed, CONFIGURATION_KEY)
     try:
-        return _routed(source)
+        return _to_routed_configuration(source)
     except ValidationError as error:
         raise invalid_document(error, CONFIGURATION_KEY) from None
 
 
-def _routed(source: _Configuration) -> RoutedConfiguration:
+def _to_routed_configuration(source: _Configuration) -> RoutedConfiguration:
     limits = source.limits
     return RoutedConfiguration(
         revision=source.version,
--- a/postvalve/platform/lots.py
+++ b/postvalve/platform/lots.py
@@ -13,21 +13,21 @@
 from postvalve.exceptions import InvalidRequestError, MethodNotAllowedError
 from postvalve.gateway.jobs.job_service import JobService, ResultPage, Submission, SubmittedItem
 from postvalve.gateway.serving.http_calls import HttpCall, HttpReply
-from postvalve.platform.dialect import REQUEST_ID, PlatformDialect, without_caller
+from postvalve.platform.dialect import REQUEST_ID, PlatformDialect, strip_caller_headers
 from postvalve.settings.routes import RouteSpec
 
 JOBS_PATH = "/api/lots/"
 ITEMS_PATH = "/api/items/"
-POSITION = "watchAfter"
-ITEM = "id"
-WAIT = "Wait-Ms"
-MAX_ID = 100
+POSITION_PARAMETER = "watchAfter"
+ITEM_PARAMETER = "id"
+WAIT_HEADER = "Wait-Ms"
+MAX_JOB_ID_LENGTH = 100
 """Characters of a job's id: with tenant and nonce it becomes a key of the store, of 255 bytes."""
 MAX_WAIT_MS = 1_000
 MAX_PAGE_BYTES = 900_000
-STATE_DONE = "completed"
-STATE_DEAD = "dead_letter"
-OPAQUE = "application/octet-stream"
+STATE_COMPLETED = "completed"
+STATE_DEAD_LETTER = "dead_letter"
+BINARY_CONTENT_TYPE = "application/octet-stream"
 
 
 class _Item(BaseModel):
@@ -66,39 +66,43 @@
             return HttpReply(200, b"{}")
         if call.method != "GET":
             raise MethodNotAllowedError(f"{call.method} is not allowed here")
-        wait = min(_whole(call.header(WAIT)), MAX_WAIT_MS)
-        page = self._jobs.results(job_id, _whole(_query(call, POSITION)), wait / 1000)
-        return HttpReply(200, _page_document(page, _whole(_query(call, POSITION))))
+        wait = min(_parse_number(call.header(WAIT_HEADER)), MAX_WAIT_MS)
+        page = self._jobs.results(
+            job_id, _parse_number(_query_value(call, POSITION_PARAMETER)), wait / 1000
+        )
+        return HttpReply(
+            200, _page_document(page, _parse_number(_query_value(call, POSITION_PARAMETER)))
+        )
 
     def _body(self, call: HttpCall, caller: Caller) -> HttpReply:
         job_id = job_id_of(caller, unquote(call.path.removeprefix(ITEMS_PATH)))
-        body = self._jobs.body(job_id, _query(call, ITEM) or "")
-        return HttpReply(200, body, content_type=OPAQUE)
+        body = self._jobs.body(job_id, _query_value(call, ITEM_PARAMETER) or "")
+        return HttpReply(200, body, content_type=BINARY_CONTENT_TYPE)
 
     def submit(self, call: HttpCall, route: RouteSpec, caller: Caller) -> HttpReply:
         """See `JobCalls`."""
         sent_id = call.header(REQUEST_ID)
         if call.method != "POST" or not sent_id:
             raise InvalidRequestError("a job is a POST with an id")
-        if len(sent_id) > MAX_ID:
-            raise InvalidRequestError(f"a job's id has {MAX_ID} characters at the most")
+        if len(sent_id) > MAX_JOB_ID_LENGTH:
+            raise InvalidRequestError(f"a job's id has {MAX_JOB_ID_LENGTH} characters at the most")
         self._jobs.submit(
             Submission(
                 job_id_of(caller, sent_id),
                 call.host,
                 route,
                 route.targets[0].service,
-                _items(call.body),
+                _parse_items(call.body),
                 caller.name,
             )
         )
         return HttpReply(202, b"{}")
 
 
-def _items(body: bytes) -> tuple[SubmittedItem, ...]:
+def _parse_items(body: bytes) -> tuple[SubmittedItem, ...]:
     try:
         job = _Job.model_validate_json(body)
-        return tuple(_submitted(item) for item in job.items)
+        return tuple(_to_submitted_item(item) for item in job.items)
     except ValidationError as error:
         raise InvalidRequestError(
             f"the job can't be read: {error.error_count()} mistakes"
@@ -107,8 +111,8 @@
         raise InvalidRequestError(f"an item's body is no base64: {error}") from None
 
 
-def _submitted(item: _Item) -> SubmittedItem:
-    headers = without_caller(item.headers.items())
+def _to_submitted_item(item: _Item) -> SubmittedItem:
+    headers = strip_caller_headers(item.headers.items())
     terms = PlatformDialect().read_terms(headers)
     return SubmittedItem(
         item_id=item.id,
@@ -129,16 +133,16 @@
         size += len(text) + 100
         if results and size > MAX_PAGE_BYTES:
             break
-        state = STATE_DONE if result.completed else STATE_DEAD
+        state = STATE_COMPLETED if result.completed else STATE_DEAD_LETTER
         results.append({"id": result.item_id, "state": state, "text": text})
     document = {"total": page.total, "nextToken": position + len(results), "results": results}
     return json.dumps(document).encode("utf-8")
 
 
-def _query(call: HttpCall, name: str) -> str | None:
+def _query_value(call: HttpCall, name: str) -> str | None:
     values = parse_qs(call.query).get(name)
     return values[0] if values else None
 
 
-def _whole(text: str | None) -> int:
+def _parse_number(text: str | None) -> int:
     return int(text) if text and text.isdigit() else 0
--- a/postvalve/platform/store.py
+++ b/postvalve/platform/store.py
@@ -34,31 +34,31 @@
 """The same while the store answers quickly: a lost answer is noticed sooner."""
 QUICK_LATENCY = 0.06
 """Smoothed seconds to an answer up to which the store counts as quick."""
-FIRST_LATENCY = 0.1
+INITIAL_LATENCY = 0.1
 """Seconds that the first answer is expected to take."""
 LATENCY_WEIGHT = 0.2
 """Weight of a new answer in that."""
 CONNECTIONS = 6
 """Connections for each kind of call; the library repeats a broken GET up to so many times."""
-NOT_DONE = frozenset((400, 403, 404, 413, 429, 503, 507))
+NO_EFFECT_STATUSES = frozenset((400, 403, 404, 413, 429, 503, 507))
 """Statuses that say that a call did nothing."""
 _LENGTH = struct.Struct("!I")
 _OFFSETS = struct.Struct("!QQ")
 
 
-class AnswerPatience:
+class AnswerTimeout:
     """How long an answer of the store is waited for, by how quickly it answers lately."""
 
     def __init__(self) -> None:
         # A store that all nodes ask at once, after they all started, answers slowly.
-        self._latency = FIRST_LATENCY
+        self._latency = INITIAL_LATENCY
 
     def seconds(self, wait: float) -> float:
         """For a call that the store may hold for `wait` seconds."""
         quick = self._latency <= QUICK_LATENCY
         return wait + (QUICK_ANSWER_TIMEOUT if quick else ANSWER_TIMEOUT)
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """A call took so long, beyond the time for which it was held."""
         self._latency += LATENCY_WEIGHT * (seconds - self._latency)
 
@@ -71,7 +71,7 @@
         self._clock = clock
         self._host, self._port = host, int(port)
         self._clients: dict[float, HTTPClient] = {}
-        self._patience = AnswerPatience()
+        self._answer_timeout = AnswerTimeout()
 
     def _client(self, timeout: float) -> HTTPClient:
         return HTTPClient(
@@ -84,7 +84,7 @@
 
     def timeout(self, wait: float) -> float:
         """Seconds after which a call that may be held for `wait` seconds is given up."""
-        return self._patience.seconds(wait)
+        return self._answer_timeout.seconds(wait)
 
     def _client_for(self, wait: float) -> HTTPClient:
         timeout = self.timeout(wait)
@@ -103,7 +103,7 @@
         status, content = self._call(0.0, "POST", APPEND_PATH, query, body)
         if status == 412:
             raise PositionTakenError(int(json.loads(content)["end"]))
-        self._require(status, content)
+        self._raise_for_status(status, content)
         return int(json.loads(content)["offset"])
 
     def read(self, topic: str, part: int, offset: int, wait: float, limit: int) -> TopicSlice:
@@ -120,7 +120,7 @@
         status, content = self._call(wait, "GET", READ_PATH, query, b"")
         if status == 410:
             raise HistoryGoneError("history dropped")
-        self._require(status, content)
+        self._raise_for_status(status, content)
         found = _decode_slice(content, offset)
         held = not found.records and self._clock.steady() - started >= wait
         return replace(found, held=wait) if held else found
@@ -131,7 +131,7 @@
         if after:
             query["watchAfter"] = after
         status, content = self._call(0.0, "GET", NEWEST_PATH, query, b"")
-        self._require(status, content)
+        self._raise_for_status(status, content)
         document = json.loads(content)
         records = tuple(
             KeyedRecord(one["key"], base64.b64decode(one["value"]), int(one["offset"]))
@@ -156,21 +156,21 @@
             raise StoreUnavailableError(f"store: {error!r}", Verdict.NOT_RUN) from error
         except Exception as error:  # sockets, parser and pool raise unrelated types
             if isinstance(error, TimeoutError):
-                self._patience.note(self._clock.steady() - started - wait)
+                self._answer_timeout.record(self._clock.steady() - started - wait)
                 # Connections that rest may have fallen silent like this one: none is used again.
                 self._clients = {}
             raise StoreUnavailableError(f"store: {error!r}", Verdict.MAY_HAVE_RUN) from error
         elapsed = self._clock.steady() - started
         if elapsed >= wait:
             # A waiting read that is answered sooner says nothing of how quickly that was.
-            self._patience.note(elapsed - wait)
+            self._answer_timeout.record(elapsed - wait)
         return response.status_code, content
 
     @staticmethod
-    def _require(status: int, content: bytes) -> None:
+    def _raise_for_status(status: int, content: bytes) -> None:
         if status == 200:
             return
-        verdict = Verdict.NOT_RUN if status in NOT_DONE else Verdict.MAY_HAVE_RUN
+        verdict = Verdict.NOT_RUN if status in NO_EFFECT_STATUSES else Verdict.MAY_HAVE_RUN
         raise StoreUnavailableError(f"store answered {status}: {content[:120]!r}", verdict)
 
 
--- a/postvalve/services/engine.py
+++ b/postvalve/services/engine.py
@@ -96,7 +96,7 @@
         """
         ...
 
-    def whole(self) -> bytes:
+    def read_body(self) -> bytes:
         """Read a whole answer that is not streamed.
 
         Raises:
@@ -170,7 +170,7 @@
                 self._read_rest()
                 return
 
-    def whole(self) -> bytes:
+    def read_body(self) -> bytes:
         """See `EngineStream`."""
         content = self._read_rest()
         if not self._response.message_complete:
--- a/postvalve/sockets.py
+++ b/postvalve/sockets.py
@@ -5,15 +5,15 @@
 import socket
 from typing import Any
 
-PROBE_AFTER = 30
+KEEPALIVE_IDLE = 30
 """Seconds without a byte after which a connection is probed."""
-PROBE_INTERVAL = 10
+KEEPALIVE_INTERVAL = 10
 """Seconds between probes."""
-PROBES = 3
+KEEPALIVE_PROBES = 3
 """Unanswered probes after which a connection ends."""
 
 
-def send_at_once(connection: Any) -> None:
+def disable_nagle(connection: Any) -> None:
     """Turn Nagle's algorithm off.
 
     A token that waits for the acknowledgement of the one before it comes up to 40 ms late,
@@ -22,12 +22,12 @@
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def end_when_silent(connection: Any) -> None:
+def enable_keepalive(connection: Any) -> None:
     """Let a connection whose other end is gone without a word end within a minute.
 
     For a server that waits for requests: who calls has a time of its own for each reply.
     """
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
--- a/postvalve/wsgi_handler.py
+++ b/postvalve/wsgi_handler.py
@@ -6,10 +6,10 @@
 
 from gevent.pywsgi import WSGIHandler
 
-from postvalve.sockets import send_at_once
+from postvalve.sockets import disable_nagle
 
 
-class SendAtOnceHandler(WSGIHandler):
+class NoDelayHandler(WSGIHandler):
     """Sends each piece of an answer at once, and ends connections that stay silent.
 
     Its server has `idle_timeout`, in seconds.
@@ -20,7 +20,7 @@
     def __init__(self, connection: Any, address: Any, server: Any, rfile: Any = None) -> None:
         # Covers idle keep-alive, slow headers, slow bodies and clients that don't read.
         connection.settimeout(server.idle_timeout)
-        send_at_once(connection)
+        disable_nagle(connection)
         super().__init__(connection, address, server, rfile)
 
     def _sendall(self, data: bytes | memoryview) -> None:
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -12,7 +12,7 @@
 )
 
 
-def engine_runs(fleet):
+def count_engine_starts(fleet):
     """How often each message was started at an engine, resumed streams not counted."""
     runs = Counter()
     for engine in fleet.engines.values():
@@ -38,7 +38,7 @@
     for line in failed:
         case.assertEqual(line["error"]["code"], "may_have_run")
     if at_most_once:
-        runs = engine_runs(fleet)
+        runs = count_engine_starts(fleet)
         own = f"text of {name}-"
         twice = {text: times for text, times in runs.items() if times > 1 and own in text}
         case.assertEqual(twice, {})
@@ -58,7 +58,7 @@
     ]
 
 
-def views_agree(case, fleet, job_id):
+def check_views_agree(case, fleet, job_id):
     """Every running node shows the same state of a job."""
     documents = [batch_document(fleet, node_id, job_id) for node_id in running_nodes(fleet)]
     case.assertEqual(len({json.dumps(one, sort_keys=True) for one in documents}), 1)
--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -13,7 +13,7 @@
 from postvalve.emulator.virtual_time import run_virtual
 from postvalve.events import Event
 from postvalve.messages.generated import peer
-from tests.checks import check_job, engine_runs, running_nodes, views_agree
+from tests.checks import check_job, check_views_agree, count_engine_starts, running_nodes
 from tests.support import (
     batch_lines,
     create_batch,
@@ -172,7 +172,7 @@
             self.assertEqual({one.status for one in answers}, {200})
             self.assertEqual(len({one.document["id"] for one in answers}), 1)
             check_job(self, fleet, answers[0].document["id"], 30)
-            self.assertEqual(set(engine_runs(fleet).values()), {1})
+            self.assertEqual(set(count_engine_starts(fleet).values()), {1})
 
         self.session(run)
 
@@ -268,7 +268,7 @@
             self.assertNotEqual(self.holder_of(fleet, job_id), holder)
             fleet.thaw_node(holder)
             check_job(self, fleet, job_id, 600)
-            views_agree(self, fleet, job_id)
+            check_views_agree(self, fleet, job_id)
 
         self.session(run)
 
@@ -298,7 +298,7 @@
         self.assertEqual(answer.status, 200)
         self.assertIn(answer.document["status"], ("cancelled", "completed"))
         gevent.sleep(5)
-        document = views_agree(self, fleet, job_id)
+        document = check_views_agree(self, fleet, job_id)
         self.assertEqual(document["status"], answer.document["status"])
         running = [engine.model.load().running for engine in fleet.engines.values()]
         self.assertEqual(running, [0] * len(running))
@@ -386,9 +386,9 @@
             gevent.sleep(0.3)
             fleet.log.model.faults.fault = LogFault.DOWN
             gevent.sleep(60)
-            before = sum(engine_runs(fleet).values())
+            before = sum(count_engine_starts(fleet).values())
             gevent.sleep(60)
-            self.assertEqual(sum(engine_runs(fleet).values()), before)
+            self.assertEqual(sum(count_engine_starts(fleet).values()), before)
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 300, at_most_once=True)
 
--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -30,8 +30,8 @@
     QuarantinedError,
     RateLimitedError,
     RefusedError,
-    StoreOutOfReachError,
-    TimeOverError,
+    RequestExpiredError,
+    StoreUnreachableError,
     Verdict,
 )
 from postvalve.gateway.metrics import GatewayMetrics
@@ -66,8 +66,8 @@
             (RefusedError("x"), End.NO_ROOM),
             (DrainingError("x"), End.NODE_LEAVING),
             (NotReadyError("x"), End.REFUSED_ELSE),
-            (StoreOutOfReachError("x"), End.STORE_AWAY),
-            (TimeOverError("x"), End.TIME_OVER),
+            (StoreUnreachableError("x"), End.STORE_AWAY),
+            (RequestExpiredError("x"), End.TIME_OVER),
             (GivenUpError("x"), End.GIVEN_UP),
             (AttemptError("x", Verdict.MAY_HAVE_RUN), End.FAILED),
             (QuarantinedError(1.0), End.FAILED),
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -11,7 +11,7 @@
     def handler(self, connection):
         with mock.patch.object(server.WSGIHandler, "__init__", return_value=None):
             owner = mock.Mock(idle_timeout=7.0)
-            handler = server.SendAtOnceHandler(connection, ("127.0.0.1", 1), owner)
+            handler = server.NoDelayHandler(connection, ("127.0.0.1", 1), owner)
         handler.socket = connection
         handler.response_length = 0
         handler.code = 200
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,7 +10,7 @@
 from postvalve.emulator.virtual_time import run_virtual
 from postvalve.exceptions import RateLimitedError
 from postvalve.settings.fleet import FleetConfiguration, LimitSpec
-from tests.checks import engine_runs
+from tests.checks import count_engine_starts
 from tests.test_configuration import operator
 
 CHAT = "/v1/chat/completions"
@@ -92,7 +92,7 @@
                     greenlets.append(gevent.spawn(ask, "beta", number))
                 gevent.sleep(0.002)
             gevent.joinall(greenlets)
-            return answers, engine_runs(fleet)
+            return answers, count_engine_starts(fleet)
 
         answers, runs = run_virtual(run)
         self.assertEqual({one.status for one in answers["beta"]}, {200})
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -7,7 +7,7 @@
 import structlog
 
 from postvalve.events import BoundedEventLog, Event, configure_logging
-from postvalve.log_output import MAX_WAITING_BYTES, LineBudget, NonBlockingLines
+from postvalve.log_output import MAX_BUFFERED_BYTES, LineBudget, NonBlockingLineWriter
 
 
 class LineBudgetTest(unittest.TestCase):
@@ -17,7 +17,7 @@
         self.assertEqual([budget.take() for _ in range(4)], [True, True, True, False])
         now[0] = 1.0
         self.assertEqual([budget.take() for _ in range(3)], [True, True, False])
-        self.assertEqual(budget.passed_over, 2)
+        self.assertEqual(budget.rejected, 2)
 
 
 class PipeCase(unittest.TestCase):
@@ -25,10 +25,10 @@
         self.reader, writer = os.pipe()
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, writer)
-        self.lines = NonBlockingLines(writer)
+        self.lines = NonBlockingLineWriter(writer)
 
 
-class NonBlockingLinesTest(PipeCase):
+class NonBlockingLineWriterTest(PipeCase):
     def test_a_reader_that_does_not_read_blocks_nothing(self):
         line = "x" * 999 + "\n"
         for _ in range(2000):
@@ -44,7 +44,7 @@
                 break
             self.lines.flush()
         self.assertEqual(read, (2000 - self.lines.dropped) * 1000)
-        self.assertGreater(read, MAX_WAITING_BYTES - 1000)
+        self.assertGreater(read, MAX_BUFFERED_BYTES - 1000)
 
 
 class BoundedEventLogTest(PipeCase):
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -21,7 +21,7 @@
     SECOND_ADMISSION_TIMEOUT,
     AdmissionClient,
 )
-from tests.checks import check_job, engine_runs
+from tests.checks import check_job, count_engine_starts
 from tests.support import answer_tokens, expected_start, submit_batch
 
 CHAT = "/v1/chat/completions"
@@ -142,7 +142,7 @@
         def run(fleet):
             fault(fleet)
             answer = self.ask(fleet, headers=headers, **options)
-            return answer, engine_runs(fleet)["hi"]
+            return answer, count_engine_starts(fleet)["hi"]
 
         return self.session(run)
 
@@ -354,7 +354,7 @@
                 asked.append(gevent.spawn(self.timed, fleet, number, f"node-0-{number % 2}"))
                 gevent.sleep(0.002)
             answers = [one.get() for one in asked]
-            return answers, fleet.loop.now() - started, sum(engine_runs(fleet).values())
+            return answers, fleet.loop.now() - started, sum(count_engine_starts(fleet).values())
 
         parameters = EngineParameters(slots=4)
         answers, _, runs = self.session(run, parameters=parameters)
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -17,7 +17,7 @@
 from postvalve.platform.store import (
     ANSWER_TIMEOUT,
     QUICK_ANSWER_TIMEOUT,
-    AnswerPatience,
+    AnswerTimeout,
     PlatformStore,
 )
 from tests.gateway_support import STREAM_PATH, GatewayFleet, RecordingEventLog
@@ -27,11 +27,11 @@
 from tests.waiting import wait_until
 
 
-class AnswerPatienceTest(unittest.TestCase):
+class AnswerTimeoutTest(unittest.TestCase):
     def patience(self, *latencies):
-        patience = AnswerPatience()
+        patience = AnswerTimeout()
         for seconds in latencies:
-            patience.note(seconds)
+            patience.record(seconds)
         return patience
 
     def test_a_store_that_is_quick_is_given_up_soon_by_waiting_reads_too(self):
