--- a/postvalve/messages/__init__.py
+++ b/postvalve/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between nodes and in the log, and their framing."""
+"""Typed messages exchanged between nodes and stored in the log, and their encoding in frames."""
--- a/postvalve/messages/framing.py
+++ b/postvalve/messages/framing.py
@@ -1,6 +1,6 @@
-"""Frames between nodes: a fixed header, then one encoded message.
+"""Frames of the protocol between nodes: a fixed header followed by one encoded message.
 
-Header, big endian: length of the message (u32), kind (u8), correlation id (u64).
+The header is big-endian: length of the message (u32), kind (u8), correlation id (u64).
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedReport:
-    """A load report in its own layout (`core/membership/load_report`), straight after the header.
+    """A load report in its own binary layout, which `core/membership/load_report` defines.
 
-    A node of a large zone reads some hundred a second, and the codec took 8 us to unwrap one field
-    of bytes: a third of what reading a report took in a profile.
+    It follows the header directly instead of being a field of a protobuf message: a node of a large
+    zone reads about a hundred reports a second, and in a profile the codec took 8 us to unwrap one
+    bytes field, a third of the time to read a report.
     """
 
     data: bytes
@@ -31,7 +32,7 @@
 
 
 Message = betterproto.Message | PackedReport
-"""What a frame holds."""
+"""A message that a frame can contain."""
 
 _MESSAGE_KINDS: tuple[type[Message], ...] = (
     peer.Acknowledgement,
@@ -63,17 +64,18 @@
     gateway.LineState,
     gateway.LineGrant,
 )
-"""Their positions are on the wire: new ones go to the end, and none is taken out."""
+"""Message types by kind. The index is the kind on the wire, so new types are appended at the end
+and none is removed."""
 _KIND_OF_TYPE = {message_type: kind for kind, message_type in enumerate(_MESSAGE_KINDS)}
 _REPORT_KIND = _KIND_OF_TYPE[PackedReport]
 
 
 class FrameError(ValueError):
-    """Bytes from a peer that are no frame."""
+    """Bytes received from a peer are not a valid frame."""
 
 
 class UnknownKindError(FrameError):
-    """A frame whose kind only another build knows; what follows it can be read."""
+    """A frame is of a kind that this build does not know; the frames after it can still be read."""
 
     def __init__(self, header: FrameHeader) -> None:
         super().__init__(f"frame of unknown kind {header.kind}")
@@ -82,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameHeader:
-    """The fixed part of a frame."""
+    """Decoded header of a frame."""
 
     length: int
     kind: int
@@ -90,22 +92,22 @@
 
 
 def encode_frame(message: Message, correlation_id: int) -> bytes:
-    """Encode one message with its header."""
+    """Encode a message as a frame."""
     body = bytes(message)
     return HEADER.pack(len(body), _KIND_OF_TYPE[type(message)], correlation_id) + body
 
 
 def decode_header(data: bytes) -> FrameHeader:
-    """Read a header.
+    """Decode the header of a frame.
 
     Raises:
-        FrameError: when it is short, or too long a frame.
+        FrameError: The header is truncated, or announces a frame longer than `MAX_FRAME_BYTES`.
     """
     if len(data) != HEADER.size:
-        raise FrameError("frame header is short")
+        raise FrameError(f"frame header truncated: got {len(data)} of {HEADER.size} bytes")
     header = FrameHeader(*HEADER.unpack(data))
     if header.length > MAX_FRAME_BYTES:
-        raise FrameError(f"frame of {header.length} bytes is over {MAX_FRAME_BYTES}")
+        raise FrameError(f"frame of {header.length} bytes exceeds {MAX_FRAME_BYTES} bytes")
     return header
 
 
@@ -113,25 +115,25 @@
     """Decode the message that follows a header.
 
     Raises:
-        UnknownKindError: when this build doesn't know the kind.
-        FrameError: when the bytes are no such message.
+        UnknownKindError: This build does not know the kind.
+        FrameError: The bytes are not a valid message of the kind.
     """
     if len(body) != header.length:
-        raise FrameError("frame is cut")
+        raise FrameError(f"frame body has {len(body)} bytes instead of {header.length}")
     if header.kind >= len(_MESSAGE_KINDS):
         raise UnknownKindError(header)
     kind = _MESSAGE_KINDS[header.kind]
     if issubclass(kind, PackedReport):
-        raise FrameError("load reports travel as datagrams")
+        raise FrameError("load report received outside a datagram")
     return parse_message(kind, body)
 
 
 def decode_datagram(data: bytes) -> Message:
-    """Decode a datagram, which is one whole frame.
+    """Decode a datagram, which contains exactly one frame.
 
     Raises:
-        UnknownKindError: when this build doesn't know its kind.
-        FrameError: when it is not.
+        UnknownKindError: This build does not know the kind of the frame.
+        FrameError: The datagram is not exactly one valid frame.
     """
     header = decode_header(data[: HEADER.size])
     body = data[HEADER.size :]
@@ -141,12 +143,12 @@
 
 
 def parse_message(message_type: type[betterproto.Message], data: bytes) -> betterproto.Message:
-    """Parse one message from untrusted bytes.
+    """Parse a message of the given type from untrusted bytes.
 
     Raises:
-        FrameError: when the bytes are no such message.
+        FrameError: The bytes are not a valid message of this type.
     """
     try:
         return message_type().parse(data)
-    except Exception as error:  # the codec raises whatever its inner calls raise
-        raise FrameError(f"no valid {message_type.__name__}: {error!r}") from error
+    except Exception as error:  # betterproto lets exceptions of its internal calls through
+        raise FrameError(f"invalid {message_type.__name__}: {error!r}") from error
--- a/postvalve/messages/records_codec.py
+++ b/postvalve/messages/records_codec.py
@@ -1,7 +1,7 @@
-"""Records of the log: an envelope with an id, a kind and an encoded message.
+"""Encoding of log records: an envelope with an id, a kind and an encoded message.
 
-Kinds are numbers in the log; a kind that this version does not know is kept as None, so
-that records of later versions are passed over alike by all readers.
+The kind is stored as a number. A record of a kind that this version does not know is parsed with
+body None, so that all readers skip records of later versions in the same way.
 """
 
 from __future__ import annotations
@@ -41,11 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record as readers see it."""
+    """A decoded log record."""
 
     record_id: str
-    """Repeats of one append carry the same id."""
+    """Unique id, the same in all repetitions of one append."""
     body: betterproto.Message | None
+    """The message, or None if this version does not know its kind."""
 
 
 def encode_record(record: Record) -> bytes:
@@ -63,12 +64,12 @@
     """Parse the payload of a log entry.
 
     Raises:
-        FrameError: when the bytes are no record.
+        FrameError: The bytes are not a valid record.
     """
     try:
         envelope = records.Envelope().parse(payload)
         message_type = _KINDS.get(envelope.kind)
         body = message_type().parse(envelope.body) if message_type else None
         return Record(envelope.record_id, body)
-    except Exception as error:  # the codec raises whatever its inner calls raise
-        raise FrameError(f"no valid record: {error!r}") from error
+    except Exception as error:  # betterproto lets exceptions of its internal calls through
+        raise FrameError(f"invalid record: {error!r}") from error
--- a/postvalve/platform/__init__.py
+++ b/postvalve/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Translates between postvalve and its users' platform; decides nothing.
+"""Adapter to the platform on which the users run postvalve.
 
-Names, paths, headers and fields of that platform stand here and nowhere else.
+It only translates and makes no decisions. The names, paths, headers and fields of that platform
+occur in this package and nowhere else.
 """
--- a/postvalve/platform/adapter.py
+++ b/postvalve/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Builds the product's view of the platform from its settings file."""
+"""Assembles the adapter's parts for the gateway from the platform's settings file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def gateway_platform(settings: PlatformSettings, clock: Clock) -> GatewayPlatform:
-    """Everything that the gateway needs of the platform."""
+    """Return the platform's implementations of the gateway's interfaces."""
     return GatewayPlatform(
         topics=PlatformStore(settings.platform.address, clock),
         dialect=PlatformDialect(),
--- a/postvalve/platform/dialect.py
+++ b/postvalve/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's clients and engines."""
+"""HTTP headers that the platform's clients and engines use."""
 
 from __future__ import annotations
 
@@ -22,17 +22,21 @@
 API_KEY = "Api-Key"
 TENANT = "Tenant"
 CALLER_HEADERS = frozenset(("authorization", "proxy-authorization", "cookie", "x-api-key"))
-"""Headers by which callers may name themselves where the configuration names no tenants."""
+"""Headers that identify the caller if the configuration defines no tenants."""
 MAX_REQUESTS = 1_000_000
-"""Requests and slots that an engine may tell of; more are taken for nonsense."""
+"""Maximum number of requests or slots in an engine's load header; a header with more is invalid."""
 MAX_PACE_PERCENT = 100_000
-"""The same for how long work takes there, where 100 is as usual."""
+"""Maximum pace in an engine's load header, in per cent, where 100 means that work takes as long as
+usual; a header with more is invalid."""
 MAX_LOGGED_CHARACTERS = 80
-"""Characters of a load that can't be read which are told of."""
+"""Number of characters of an invalid load header that are quoted in the log."""
 MAX_DIGITS = 18
-"""Of a number in a header: a longer one is taken for none, since sums with it may raise."""
+"""Maximum number of digits of a number in a header. A longer number counts as missing, since
+arithmetic with it may raise an exception."""
 MISDIRECTED = 421
+"""HTTP status of an engine whose id differs from the one expected."""
 UNPROCESSABLE = 422
+"""HTTP status of an engine that cannot serve the request; no other engine could either."""
 
 _NOT_FORWARDED = frozenset(
     (
@@ -45,18 +49,18 @@
 
 
 class PlatformDialect:
-    """See `Dialect`."""
+    """Implementation of `Dialect` for the platform's headers."""
 
     def read_terms(self, headers: Headers) -> RequestTerms:
         """See `Dialect`."""
-        named = {name.lower(): value for name, value in headers}
-        allowed = _parse_number(named.get(DEADLINE.lower()))
-        key, shared, own = _parse_prompt_parts(named.get(PROMPT_PREFIX.lower(), ""))
-        prompt, _, output = named.get(TOKEN_COUNT.lower(), "").rpartition(",")
+        by_name = {name.lower(): value for name, value in headers}
+        allowed = _parse_number(by_name.get(DEADLINE.lower()))
+        key, shared, own = _parse_prompt_parts(by_name.get(PROMPT_PREFIX.lower(), ""))
+        prompt, _, output = by_name.get(TOKEN_COUNT.lower(), "").rpartition(",")
         return RequestTerms(
-            request_id=named.get(REQUEST_ID.lower(), ""),
+            request_id=by_name.get(REQUEST_ID.lower(), ""),
             allowed=allowed / 1000 if allowed is not None else None,
-            last_event_id=_parse_number(named.get(LAST_EVENT_ID.lower())),
+            last_event_id=_parse_number(by_name.get(LAST_EVENT_ID.lower())),
             prefix_key=key,
             shared_tokens=shared,
             own_tokens=own or max(0, (_parse_number(prompt) or 0) - shared),
@@ -95,31 +99,31 @@
         self, tenant: str, host: str, method: str, target: str, body: bytes, headers: Headers
     ) -> RequestIdentity:
         """See `Dialect`."""
-        fresh = (*_NOT_FORWARDED, REQUEST_ID.lower(), "host")
+        excluded = (*_NOT_FORWARDED, REQUEST_ID.lower(), "host")
         kept = [
             (_normalize_name(name), value)
             for name, value in headers
-            if _normalize_name(name) not in fresh
+            if _normalize_name(name) not in excluded
         ]
-        claimed = sorted(one for one in kept if one[0] in CALLER_HEADERS)
-        caller = tenant or (repr(claimed) if claimed else "")
+        credentials = sorted(header for header in kept if header[0] in CALLER_HEADERS)
+        caller = tenant or (repr(credentials) if credentials else "")
         return identify(caller, host, method, target, body, kept)
 
     def item_headers(self, headers: Headers, item_id: str, host: str) -> list[tuple[str, str]]:
         """See `Dialect`."""
-        own = (REQUEST_ID.lower(), "host")
-        kept = [(name, value) for name, value in headers if _normalize_name(name) not in own]
+        replaced = (REQUEST_ID.lower(), "host")
+        kept = [(name, value) for name, value in headers if _normalize_name(name) not in replaced]
         return [("Host", host), (REQUEST_ID, item_id), *kept]
 
     def judge(self, request_id: str, status: int, headers: Headers) -> Judgement:
         """See `Dialect`."""
-        named = {name.lower(): value for name, value in headers}
-        answered = named.get(REQUEST_ID.lower())
+        by_name = {name.lower(): value for name, value in headers}
+        answered_id = by_name.get(REQUEST_ID.lower())
         if status == MISDIRECTED:
             return Judgement.REPLACED
-        if NOT_EXECUTED.lower() in named and answered in (None, request_id):
+        if NOT_EXECUTED.lower() in by_name and answered_id in (None, request_id):
             return Judgement.REFUSED
-        if answered != request_id or CONTENT_ENCODING.lower() in named:
+        if answered_id != request_id or CONTENT_ENCODING.lower() in by_name:
             return Judgement.FOREIGN
         if status == UNPROCESSABLE:
             return Judgement.HOPELESS
@@ -127,21 +131,21 @@
 
     def engine_load(self, headers: Headers, now: float) -> EngineLoad | None:
         """See `Dialect`."""
-        told = [value for name, value in headers if _normalize_name(name) == ENGINE_LOAD.lower()]
-        if not told:
+        values = [value for name, value in headers if _normalize_name(name) == ENGINE_LOAD.lower()]
+        if not values:
             return None
-        numbers = [_parse_number(figure) for figure in ",".join(told).split(",")]
+        numbers = [_parse_number(field) for field in ",".join(values).split(",")]
         match numbers:
             case [int(running), int(waiting), int(slots)]:
                 percent = None
             case [int(running), int(waiting), int(slots), int(percent)]:
                 pass
             case _:
-                raise EngineLoadError(",".join(told)[:MAX_LOGGED_CHARACTERS])
+                raise EngineLoadError(",".join(values)[:MAX_LOGGED_CHARACTERS])
         if max(running, waiting, slots) > MAX_REQUESTS or not slots:
-            raise EngineLoadError(",".join(told)[:MAX_LOGGED_CHARACTERS])
+            raise EngineLoadError(",".join(values)[:MAX_LOGGED_CHARACTERS])
         if percent is not None and not 0 < percent <= MAX_PACE_PERCENT:
-            raise EngineLoadError(",".join(told)[:MAX_LOGGED_CHARACTERS])
+            raise EngineLoadError(",".join(values)[:MAX_LOGGED_CHARACTERS])
         pace = percent / 100 if percent is not None else None
         return EngineLoad(now, running, waiting, slots, pace)
 
@@ -151,19 +155,24 @@
 
 
 def strip_caller_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Headers less those that say who asks, which are this system's own to set."""
+    """Return the headers without API key and tenant, which only postvalve itself may set."""
     return [
-        one for one in headers if _normalize_name(one[0]) not in (API_KEY.lower(), TENANT.lower())
+        header
+        for header in headers
+        if _normalize_name(header[0]) not in (API_KEY.lower(), TENANT.lower())
     ]
 
 
 def _normalize_name(name: str) -> str:
-    """A header's name as engines may read it: some pass over blanks around it."""
+    """Return a header name in lower case and without surrounding white space.
+
+    Some engines ignore such white space, so a name that has it must be treated like one without.
+    """
     return name.strip().lower()
 
 
 def _parse_number(text: str | None) -> int | None:
-    """A whole number; None where it is none, or has more than `MOST_DIGITS`."""
+    """Parse a whole number; return None if there is none or it has more than `MAX_DIGITS`."""
     stripped = (text or "").strip()
     if len(stripped) > MAX_DIGITS or not (stripped.isascii() and stripped.isdigit()):
         return None
@@ -171,7 +180,13 @@
 
 
 def _parse_prompt_parts(text: str) -> tuple[str, int, int]:
-    """Key and tokens of the shared parts, and tokens of the last part, the request's own."""
+    """Parse a list of `NAME:TOKENS`, the parts of a prompt.
+
+    All parts but the last are shared with other requests; the last is the request's own.
+
+    Returns:
+        A key of the shared parts, their number of tokens, and that of the last part.
+    """
     parts = [part.strip().partition(":") for part in text.split(",") if part.strip()]
     tokens = [_parse_number(size) or 0 for _, _, size in parts]
     return ",".join(name for name, _, _ in parts[:-1]), sum(tokens[:-1]), sum(tokens[-1:])
