--- a/postvalve/platform/fleet.py
+++ b/postvalve/platform/fleet.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the list of engines, as the platform's store holds them."""
+"""Parsers for the operator's configuration and the engine directory in the platform's store."""
 
 from __future__ import annotations
 
@@ -36,11 +36,13 @@
 KIND_SAFE = "safe"
 STATE_READY = "ready"
 MAX_SLOTS = 65_535
-"""Slots of one engine; load reports count up to so many requests at one."""
+"""Maximum number of slots of an engine: load reports count no more requests than this at one
+engine."""
 MAX_WARM_IN_MS = 3_600_000.0
-"""Milliseconds for which an engine may say that it stays slow from its start: an hour."""
+"""Maximum remaining warm-up time in an engine's entry, in milliseconds (one hour)."""
 MAX_BORN_MS = 2**53
-"""Unix milliseconds: what every JSON library reads exactly."""
+"""Maximum start time in an engine's entry, in Unix milliseconds. Every JSON library can represent
+integers up to this one exactly."""
 
 
 class _Model(BaseModel):
@@ -71,10 +73,10 @@
     maxQueuedTokens: int = 0  # noqa: N815
 
     def to_route(self) -> RouteSpec:
-        """The product's route."""
+        """Convert to a postvalve route."""
         targets = tuple(
-            WeightedService(service=one.service, weight=one.weight)
-            for one in self.trafficSplit or ()
+            WeightedService(service=split.service, weight=split.weight)
+            for split in self.trafficSplit or ()
         )
         if not targets and self.service is not None:
             targets = (WeightedService(service=self.service),)
@@ -128,7 +130,7 @@
     burst: float | None = None
 
     def to_tenant(self) -> RoutedTenant:
-        """The product's tenant, which knows its keys by their digests."""
+        """Convert to a postvalve tenant, which holds only digests of its keys."""
         return RoutedTenant(
             name=self.name,
             key_digests=tuple(dict.fromkeys(map(key_digest, self.apiKeys))),
@@ -154,16 +156,16 @@
 
 
 def parse_configuration(document: bytes) -> RoutedConfiguration:
-    """Read the operator's document.
+    """Parse the operator's configuration document.
 
     Raises:
-        InvalidSettingsGroup: with every mistake and its place.
+        InvalidSettingsGroup: The document is invalid; contains one error for each problem.
     """
     try:
         parsed: Any = json.loads(document)
     except ValueError as error:
-        mistake = SettingsError(CONFIGURATION_KEY, str(error))
-        raise InvalidSettingsGroup("the configuration cannot be read", [mistake]) from None
+        problem = SettingsError(CONFIGURATION_KEY, str(error))
+        raise InvalidSettingsGroup("the configuration is not valid JSON", [problem]) from None
     source = check_document(_Configuration, parsed, CONFIGURATION_KEY)
     try:
         return _to_routed_configuration(source)
@@ -178,12 +180,12 @@
         routes=tuple(route.to_route() for route in source.routes),
         services=tuple(
             ServiceSpec(
-                name=one.name,
-                max_connections=one.maxConnections,
-                slots=one.engine.slots,
-                memory_tokens=one.engine.kvTokens,
+                name=service.name,
+                max_connections=service.maxConnections,
+                slots=service.engine.slots,
+                memory_tokens=service.engine.kvTokens,
             )
-            for one in source.services
+            for service in source.services
         ),
         limits=EdgeLimits(
             header_bytes=limits.maxHeaderBytes,
@@ -201,13 +203,16 @@
     host, _, port = text.rpartition(":")
     IPv4Address(host)
     if not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65_536):
-        raise ValueError(f"no port: {port[:20]!r}")
+        raise ValueError(f"invalid port {port[:20]!r}")
     return text
 
 
 class _Entry(BaseModel):
-    """What an engine says of itself: another writer's entry may lie among them, so each field
-    must be there and of its type, but for `born`, which older engines leave out."""
+    """Entry that an engine publishes about itself in the directory.
+
+    Other programs may write to the same topic, so every field is required and its type checked
+    strictly. Only `born` is optional, since older engines do not publish it.
+    """
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
 
@@ -219,13 +224,13 @@
     version: str
     sequence: int = Field(ge=0)
     warm_in_ms: float = Field(ge=0, le=MAX_WARM_IN_MS, alias="coldRemainingMs")
-    """How much longer it stays slow from its start."""
+    """Remaining time, in milliseconds, in which the engine is still slow after its start."""
     born: int = Field(0, ge=0, le=MAX_BORN_MS)
-    """Unix milliseconds of its start."""
+    """Start of the engine, in Unix milliseconds; 0 if it was not published."""
 
 
 def parse_engine(record: KeyedRecord) -> EngineEntry | None:
-    """Read one entry of the list of engines; None when it can't be read."""
+    """Parse an entry of the engine directory; return None if it is invalid."""
     if not record.key or SEPARATOR in record.key:
         return None
     try:
--- a/postvalve/platform/lots.py
+++ b/postvalve/platform/lots.py
@@ -1,4 +1,4 @@
-"""The platform's calls about batch jobs."""
+"""The platform's HTTP calls for batch jobs, which it calls lots."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 ITEM_PARAMETER = "id"
 WAIT_HEADER = "Wait-Ms"
 MAX_JOB_ID_LENGTH = 100
-"""Characters of a job's id: with tenant and nonce it becomes a key of the store, of 255 bytes."""
+"""Maximum length of a job's id, in characters. Together with the tenant and a nonce, the id becomes
+a key of the store, which has 255 bytes at most."""
 MAX_WAIT_MS = 1_000
 MAX_PAGE_BYTES = 900_000
 STATE_COMPLETED = "completed"
@@ -47,7 +48,7 @@
 
 
 class PlatformJobCalls:
-    """See `JobCalls`."""
+    """Implementation of `JobCalls` for the platform's paths and documents."""
 
     def __init__(self, jobs: JobService) -> None:
         self._jobs = jobs
@@ -130,7 +131,7 @@
     size = 0
     for result in page.results:
         text = result.text.decode("utf-8", "surrogateescape")
-        size += len(text) + 100
+        size += len(text) + 100  # allowance for id, state and JSON syntax
         if results and size > MAX_PAGE_BYTES:
             break
         state = STATE_COMPLETED if result.completed else STATE_DEAD_LETTER
--- a/postvalve/platform/settings.py
+++ b/postvalve/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: one process of a role on one machine."""
+"""The settings file that the platform writes for each process on a machine."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 SETTINGS_VARIABLE = "POSTVALVE_CONFIG"
 DRAIN_NOTICE = 2.6
-"""Seconds until the platform has seen twice, once a second, that a node is not ready."""
+"""Seconds until the platform, which checks readiness once a second, has seen twice that a node is
+not ready."""
 METRICS_PORT_OFFSET = 1
-"""The peers' port range has the peers' port first, then that of the metrics."""
+"""Offset of the metrics port in the process's port range, whose first port is the peers' port."""
 
 
 class _Model(BaseModel):
@@ -55,7 +56,7 @@
 
 
 class PlatformSettings(_Model):
-    """The fields of the settings file that postvalve uses; others are passed over."""
+    """Fields of the settings file that postvalve uses; all others are ignored."""
 
     node: str = Field(min_length=1)
     zone: str = Field(min_length=1)
@@ -67,7 +68,7 @@
     platform: _Store
 
     def gateway_settings(self) -> GatewaySettings:
-        """The product's settings."""
+        """Convert to the settings of a gateway process."""
         return GatewaySettings(
             node_id=self.node,
             zone=self.zone,
@@ -90,27 +91,28 @@
 
 
 def settings_path() -> Path:
-    """Where the platform put the settings file.
+    """Return the path of the settings file, from the environment.
 
     Raises:
-        InvalidSettingsGroup: the platform did not say.
+        InvalidSettingsGroup: The environment variable is not set.
     """
     text = os.environ.get(SETTINGS_VARIABLE, "")
     if not text:
-        mistake = SettingsError(SETTINGS_VARIABLE, "is not set")
-        raise InvalidSettingsGroup("no settings file", [mistake])
+        problem = SettingsError(SETTINGS_VARIABLE, "is not set")
+        raise InvalidSettingsGroup("no settings file given", [problem])
     return Path(text)
 
 
 def load_settings(path: Path) -> PlatformSettings:
-    """Read the settings file, which the template gives as JSON.
+    """Load the settings file, which the platform renders as JSON from a template.
 
     Raises:
-        InvalidSettingsGroup: with every mistake and its place.
+        InvalidSettingsGroup: The file is unreadable or invalid; contains one error for each
+            problem.
     """
     try:
         document: Any = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        mistake = SettingsError(str(path), str(error))
-        raise InvalidSettingsGroup(f"{path} cannot be read", [mistake]) from None
+        problem = SettingsError(str(path), str(error))
+        raise InvalidSettingsGroup(f"{path} cannot be read", [problem]) from None
     return check_document(PlatformSettings, document, str(path))
--- a/postvalve/platform/store.py
+++ b/postvalve/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: keyed topics over HTTP."""
+"""HTTP client of the platform's store, which holds keyed topics."""
 
 from __future__ import annotations
 
@@ -29,42 +29,44 @@
 CONNECT_TIMEOUT = 0.6
 """Seconds to open a connection to the store."""
 ANSWER_TIMEOUT = 1.5
-"""Seconds until a call counts as unanswered, beyond the time that it may wait."""
+"""Time-out of a call in seconds, in addition to the time for which the store may hold the call."""
 QUICK_ANSWER_TIMEOUT = 0.4
-"""The same while the store answers quickly: a lost answer is noticed sooner."""
+"""The same while the store answers quickly, so that a lost answer is noticed sooner."""
 QUICK_LATENCY = 0.06
-"""Smoothed seconds to an answer up to which the store counts as quick."""
+"""Smoothed latency, in seconds, up to which the store counts as quick."""
 INITIAL_LATENCY = 0.1
-"""Seconds that the first answer is expected to take."""
+"""Smoothed latency, in seconds, that is assumed before the first answer."""
 LATENCY_WEIGHT = 0.2
-"""Weight of a new answer in that."""
+"""Weight of a new answer in the smoothed latency (exponential moving average)."""
 CONNECTIONS = 6
-"""Connections for each kind of call; the library repeats a broken GET up to so many times."""
+"""Connections per time-out. Also the number of times that the HTTP library may repeat a GET on a
+broken connection."""
 NO_EFFECT_STATUSES = frozenset((400, 403, 404, 413, 429, 503, 507))
-"""Statuses that say that a call did nothing."""
+"""HTTP statuses which mean that the call had no effect."""
 _LENGTH = struct.Struct("!I")
 _OFFSETS = struct.Struct("!QQ")
 
 
 class AnswerTimeout:
-    """How long an answer of the store is waited for, by how quickly it answers lately."""
+    """Adaptive time-out of calls, from the store's recent latency."""
 
     def __init__(self) -> None:
-        # A store that all nodes ask at once, after they all started, answers slowly.
+        # The store does not count as quick at first: when all nodes have just started, they all
+        # call it at once and it answers slowly.
         self._latency = INITIAL_LATENCY
 
     def seconds(self, wait: float) -> float:
-        """For a call that the store may hold for `wait` seconds."""
+        """Return the time-out of a call that the store may hold for `wait` seconds."""
         quick = self._latency <= QUICK_LATENCY
         return wait + (QUICK_ANSWER_TIMEOUT if quick else ANSWER_TIMEOUT)
 
     def record(self, seconds: float) -> None:
-        """A call took so long, beyond the time for which it was held."""
+        """Record the latency of a call, without the time for which the store held it."""
         self._latency += LATENCY_WEIGHT * (seconds - self._latency)
 
 
 class PlatformStore:
-    """Keyed topics of the platform's store."""
+    """Implementation of `KeyedTopics` on the platform's store."""
 
     def __init__(self, address: str, clock: Clock) -> None:
         host, _, port = address.rpartition(":")
@@ -83,7 +85,7 @@
         )
 
     def timeout(self, wait: float) -> float:
-        """Seconds after which a call that may be held for `wait` seconds is given up."""
+        """Return the time-out in seconds of a call that the store may hold for `wait` seconds."""
         return self._answer_timeout.seconds(wait)
 
     def _client_for(self, wait: float) -> HTTPClient:
@@ -119,11 +121,11 @@
         started = self._clock.steady()
         status, content = self._call(wait, "GET", READ_PATH, query, b"")
         if status == 410:
-            raise HistoryGoneError("history dropped")
+            raise HistoryGoneError("the requested records were dropped from the topic's history")
         self._raise_for_status(status, content)
-        found = _decode_slice(content, offset)
-        held = not found.records and self._clock.steady() - started >= wait
-        return replace(found, held=wait) if held else found
+        part_read = _decode_slice(content, offset)
+        held = not part_read.records and self._clock.steady() - started >= wait
+        return replace(part_read, held=wait) if held else part_read
 
     def newest(self, topic: str, part: int, after: str = "") -> tuple[TopicSlice, bool]:
         """See `KeyedTopics`."""
@@ -134,8 +136,8 @@
         self._raise_for_status(status, content)
         document = json.loads(content)
         records = tuple(
-            KeyedRecord(one["key"], base64.b64decode(one["value"]), int(one["offset"]))
-            for one in document["items"]
+            KeyedRecord(item["key"], base64.b64decode(item["value"]), int(item["offset"]))
+            for item in document["items"]
         )
         end = int(document["end"])
         return TopicSlice(records, end, end), bool(document["more"])
@@ -151,18 +153,19 @@
             with response:
                 content = response.read()
             if not response.message_complete:
-                raise OSError("the answer was cut")
+                raise OSError("response truncated")
         except ConnectionRefusedError as error:
             raise StoreUnavailableError(f"store: {error!r}", Verdict.NOT_RUN) from error
         except Exception as error:  # sockets, parser and pool raise unrelated types
             if isinstance(error, TimeoutError):
                 self._answer_timeout.record(self._clock.steady() - started - wait)
-                # Connections that rest may have fallen silent like this one: none is used again.
+                # Idle connections may be dead as well, so no connection is reused.
                 self._clients = {}
             raise StoreUnavailableError(f"store: {error!r}", Verdict.MAY_HAVE_RUN) from error
         elapsed = self._clock.steady() - started
         if elapsed >= wait:
-            # A waiting read that is answered sooner says nothing of how quickly that was.
+            # For a read that was answered before its wait was over, it is unknown how much of the
+            # time the store held it, so it gives no latency sample.
             self._answer_timeout.record(elapsed - wait)
         return response.status_code, content
 
--- a/postvalve/services/__init__.py
+++ b/postvalve/services/__init__.py
@@ -1,1 +1,2 @@
-"""Clients of log, machine list and engines that speak the protocol of our own emulators."""
+"""Clients of the log, the machine list and the engines, in the protocol that postvalve's emulators
+implement."""
--- a/postvalve/services/engine.py
+++ b/postvalve/services/engine.py
@@ -1,7 +1,7 @@
-"""Adapter to one model engine: open a stream, cancel an attempt, read the load.
+"""Client of a model engine: starts and cancels attempts, reads the load, orders model changes.
 
-Every failure says whether the request may have run. Online and batch work use
-connections of their own, so that neither waits for the other.
+Every failure has a verdict on whether the request may have run. Online and batch requests use
+separate connection pools, so that neither waits for the other.
 """
 
 from __future__ import annotations
@@ -31,36 +31,36 @@
 MODEL_VERSION_HEADER = "X-Model-Version"
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds to open a connection to an engine."""
+"""Time-out of connection set-up to an engine, in seconds."""
 TOKEN_TIMEOUT = 30.0
-"""Seconds of silence on a stream until the engine counts as failed."""
+"""Seconds without a byte on a stream after which the engine counts as failed."""
 CONTROL_TIMEOUT = 2.0
-"""Seconds until a load read, an order or a cancel counts as unanswered."""
+"""Time-out of a load read, an order or a cancellation, in seconds."""
 CONNECTIONS = 512
-"""Connections to one engine for each kind of work."""
+"""Maximum number of connections to one engine per traffic class."""
 READ_BLOCK = 16 * 1024
-"""Bytes asked of a socket at once."""
+"""Maximum number of bytes per read from a socket."""
 
 EVENT_END = b"\n\n"
-"""Ends one server-sent event."""
+"""Terminator of a server-sent event."""
 DONE_EVENT = b"data: [DONE]\n\n"
-"""The event that ends a whole stream."""
+"""Last event of a complete stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineAttempt:
-    """One attempt to run a request at an engine."""
+    """An attempt to run a request at an engine."""
 
     attempt_id: str
     request_id: str
     body: bytes
     priority: int
-    """0 runs first."""
+    """Priority at the engine; 0 is the most urgent."""
     cache_salt: str
     resume_offset: int = 0
 
     def headers(self) -> dict[str, str]:
-        """The attempt as headers."""
+        """Return the HTTP headers of the attempt."""
         return {
             "Content-Type": "application/json",
             ATTEMPT_HEADER: self.attempt_id,
@@ -73,87 +73,88 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """An engine's report of its load, which lags."""
+    """Load that an engine reports, which lags behind its actual load."""
 
     running: int
     waiting: int
     slots: int
     models: dict[str, str]
-    """Model name to version."""
+    """Version of each loaded model, by model name."""
 
 
 class EngineStream(Protocol):
-    """The answer to one attempt, as it comes."""
+    """The response to an attempt, read while the engine generates it."""
 
     model_version: str
-    """Version of the model that answers."""
+    """Version of the model that generates the response."""
 
     def events(self) -> Iterator[bytes]:
-        """Yield server-sent events as bytes, the last one included.
+        """Yield server-sent events as bytes, including the final one.
 
         Raises:
-            AttemptError: with MAY_HAVE_RUN when the stream ends before its last event.
+            AttemptError: The stream ended before its final event (verdict MAY_HAVE_RUN).
         """
         ...
 
     def read_body(self) -> bytes:
-        """Read a whole answer that is not streamed.
+        """Read the complete body of a response that is not streamed.
 
         Raises:
-            AttemptError: with MAY_HAVE_RUN when it is cut.
+            AttemptError: The body was truncated (verdict MAY_HAVE_RUN).
         """
         ...
 
     def abort(self) -> None:
-        """Close the connection under a greenlet that reads from it, whose read then fails."""
+        """Close the connection, so that a read in progress in another greenlet fails."""
         ...
 
     def close(self) -> None:
-        """End the attempt when its answer was not read to the end."""
+        """Release the connection, and end the attempt if its response was not read completely."""
         ...
 
 
 class Engine(Protocol):
-    """What postvalve needs of one engine."""
+    """Interface of a model engine."""
 
     address: str
 
     def open(self, attempt: EngineAttempt, *, batch: bool) -> EngineStream:
-        """Start an attempt and return its stream once the engine answers.
+        """Start an attempt and return its stream once the engine responds.
 
         Raises:
-            AttemptError: with the verdict.
-            EngineRejectedError: the engine finds the request invalid.
+            AttemptError: The attempt failed; the verdict says whether it may have run.
+            EngineRejectedError: The engine considers the request invalid.
         """
         ...
 
     def cancel(self, attempt_id: str) -> None:
-        """Ask the engine to stop an attempt; a lost request is made good by closing its stream.
+        """Ask the engine to stop an attempt; if this call fails, closing the stream does the same.
 
         Raises:
-            PlatformError: when the engine did not answer as it should.
+            PlatformError: The engine did not respond or refused.
         """
         ...
 
     def order(self, action: str, model: str, version: str, fencing_token: int) -> None:
-        """Order to load or unload a model; the load report tells when it is done.
+        """Order the engine to load or unload a model; the load report shows when it is done.
 
         Raises:
-            PlatformError: refused, as an older fencing token is, or not answered.
+            PlatformError: The engine did not respond or refused, as it does when it has seen a
+                newer fencing token.
         """
         ...
 
     def load(self) -> EngineLoad:
-        """Read the load report.
+        """Read the engine's load report.
 
         Raises:
-            PlatformError: when the engine did not answer as it should.
+            PlatformError: The engine did not respond or its report is malformed.
         """
         ...
 
 
 class HttpEngineStream:
-    """The answer to one attempt, as it comes."""
+    """Implementation of `EngineStream` on an HTTP response."""
 
     def __init__(self, response: HTTPSocketPoolResponse) -> None:
         self._response = response
@@ -196,12 +197,12 @@
             connection.close()
 
     def close(self) -> None:
-        """See `EngineStream`. The connection is used again when the answer was read whole."""
+        """See `EngineStream`. The connection is reused if the response was read completely."""
         self._response.release()
 
 
 class HttpEngine:
-    """One engine over HTTP."""
+    """HTTP client of a model engine."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -276,7 +277,7 @@
                 models={str(name): str(value) for name, value in document["models"].items()},
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise PlatformError(f"load report is malformed: {error!r}") from error
+            raise PlatformError(f"malformed load report: {error!r}") from error
 
     def _control_call(self, method: str, path: str, body: bytes) -> Any:
         try:
--- a/postvalve/services/log.py
+++ b/postvalve/services/log.py
@@ -1,7 +1,8 @@
-"""The platform's append-only log, behind one typed interface.
+"""Client of the platform's append-only log.
 
-The log gives streams by name, offsets from 0 in append order, and nothing conditional.
-An append whose answer is lost may have taken effect; readers drop repeats by record id.
+The log has named streams whose records are numbered from 0 in append order, and no conditional
+operations. An append whose response is lost may have taken effect, so it is repeated, and readers
+drop duplicates by record id.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 MAX_RECORD_BYTES = 8 * 1024 * 1024
 DEFAULT_READ_BYTES = 4 * 1024 * 1024
 CONNECT_TIMEOUT = 2.0
-"""Seconds to open a connection to the log."""
+"""Time-out of connection set-up to the log, in seconds."""
 ANSWER_TIMEOUT = 5.0
-"""Seconds until an append or a read without wait counts as unanswered."""
+"""Time-out of an append or read in seconds, in addition to the time that a read may wait."""
 ZONE_HEADER = "X-Zone"
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One record of a stream."""
+    """A record of a stream with its offset."""
 
     offset: int
     payload: bytes
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogSlice:
-    """Records in offset order, and where the stream ended when they were read."""
+    """Records in offset order, and the end of the stream when they were read."""
 
     entries: tuple[LogEntry, ...]
     next_offset: int
@@ -45,34 +46,35 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether nothing was left to read."""
+        """Whether the slice reaches the end of the stream."""
         return self.next_offset >= self.end_offset
 
 
 class LogService(Protocol):
-    """What postvalve needs of a log."""
+    """Interface of a log."""
 
     def append(self, stream: str, payload: bytes) -> int:
         """Append a record and return its offset.
 
         Raises:
-            LogUnavailableError: with NOT_RUN when the record surely was not appended.
+            LogUnavailableError: The append failed. The verdict is NOT_RUN only if the record was
+                certainly not appended.
         """
         ...
 
     def read(
         self, stream: str, offset: int, *, wait: float = 0.0, limit: int = DEFAULT_READ_BYTES
     ) -> LogSlice:
-        """Read from `offset`, at most about `limit` bytes; wait up to `wait` seconds for one.
+        """Read about `limit` bytes of records from `offset`; wait up to `wait` seconds for a record.
 
         Raises:
-            LogUnavailableError: when the log did not answer.
+            LogUnavailableError: The log did not answer.
         """
         ...
 
 
 def read_all(log: LogService, stream: str, offset: int = 0) -> Iterable[LogEntry]:
-    """Yield every record from `offset` to the end of the stream as it was at the last read."""
+    """Yield all records from `offset` up to the end that the last read has seen."""
     while True:
         part = log.read(stream, offset)
         yield from part.entries
@@ -82,7 +84,7 @@
 
 
 class HttpLog:
-    """The log over HTTP. Appends, reads and long polls use connections of their own."""
+    """HTTP client of the log, with separate connection pools for appends, reads and long polls."""
 
     def __init__(self, url: str, zone: str, *, concurrency: int = 64) -> None:
         self._url = URL(url)
@@ -103,7 +105,7 @@
     def append(self, stream: str, payload: bytes) -> int:
         """See `LogService`."""
         if len(payload) > MAX_RECORD_BYTES:
-            raise ValueError(f"record of {len(payload)} bytes is over {MAX_RECORD_BYTES}")
+            raise ValueError(f"record of {len(payload)} bytes exceeds {MAX_RECORD_BYTES} bytes")
         path = f"/streams/{quote(stream, safe='')}/records"
         answer = self._call(self._append_client, "POST", path, payload)
         return int(answer["offset"])
--- a/postvalve/services/machines.py
+++ b/postvalve/services/machines.py
@@ -1,4 +1,4 @@
-"""The platform's list of machines. It lags, so postvalve takes it as a hint only."""
+"""Client of the platform's machine list, which lags and is therefore used only as a hint."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from postvalve.states import MachineKind, MachineState
 
 ANSWER_TIMEOUT = 3.0
-"""Seconds until a read of the list counts as unanswered."""
+"""Time-out of a read of the list, in seconds."""
 
 
 class Machine(BaseModel):
-    """One machine, as the platform lists it.
+    """A machine of the platform's list.
 
-    `address` is IP:port, of the peer interface for a node and of HTTP for an engine.
+    `address` is IP:PORT: the peer interface of a node, or the HTTP interface of an engine.
     """
 
     model_config = ConfigDict(frozen=True)
@@ -33,23 +33,23 @@
 
 
 MACHINE_LIST = TypeAdapter(list[Machine])
-"""Reads and writes the list as JSON."""
+"""Validates and serializes the list as JSON."""
 
 
 class MachineList(Protocol):
-    """What postvalve needs of the machine list."""
+    """Interface of the machine list."""
 
     def fetch(self) -> list[Machine]:
-        """Read the whole list.
+        """Fetch the complete list.
 
         Raises:
-            PlatformError: when it did not answer.
+            PlatformError: The list could not be fetched or is malformed.
         """
         ...
 
 
 class HttpMachineList:
-    """The list over HTTP."""
+    """HTTP client of the machine list."""
 
     def __init__(self, url: str) -> None:
         parsed = URL(url)
@@ -68,6 +68,6 @@
                 content = response.read()
             return MACHINE_LIST.validate_python(json.loads(content))
         except (ValidationError, ValueError) as error:
-            raise PlatformError(f"machine list is malformed: {error}") from error
+            raise PlatformError(f"malformed machine list: {error}") from error
         except Exception as error:  # sockets, parser and pool raise unrelated types
             raise PlatformError(f"machine list: {error!r}") from error
