--- a/postvalve/services/log.py
+++ b/postvalve/services/log.py
@@ -65,7 +65,7 @@
     def read(
         self, stream: str, offset: int, *, wait: float = 0.0, limit: int = DEFAULT_READ_BYTES
     ) -> LogSlice:
-        """Read about `limit` bytes of records from `offset`; wait up to `wait` seconds for a record.
+        """Read records from `offset`, about `limit` bytes; wait up to `wait` seconds for the first.
 
         Raises:
             LogUnavailableError: The log did not answer.
--- a/postvalve/settings/__init__.py
+++ b/postvalve/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Checked settings: a process, and the configuration that operators publish for the fleet."""
+"""Validated settings of a process, and the configurations that operators publish for a fleet."""
--- a/postvalve/settings/fleet.py
+++ b/postvalve/settings/fleet.py
@@ -1,8 +1,8 @@
-"""The fleet's configuration, as operators publish it.
+"""Schema of the fleet configuration that operators publish.
 
-Everything is covered by selectors over labels; no machine is addressed singly.
-Where several rules cover the same thing, the highest `precedence` wins, then the
-first in the document.
+Rules apply to objects by label selectors; none addresses a single machine. If several rules match
+the same object, the one with the highest `precedence` applies, and among equals the first in the
+document.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 SelectorText = Annotated[str, AfterValidator(_check_selector)]
-"""A selector; the empty one covers everything."""
+"""A label selector; the empty selector matches everything."""
 
 Labels = dict[Name, Name]
-"""Labels by which selectors find an object."""
+"""Labels of an object, which selectors match."""
 
 
 class TenantSpec(StrictModel):
-    """One tenant. Keys are held as SHA-256 digests only."""
+    """A tenant, with SHA-256 digests of its API keys; the keys themselves are not stored."""
 
     name: Name
     labels: Labels = {}
@@ -48,32 +48,32 @@
 
 
 class OperatorSpec(StrictModel):
-    """Somebody who may read the state of nodes."""
+    """An operator, who may read the state of nodes."""
 
     name: Name
     api_key_sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
 
 class DrainSpec(StrictModel):
-    """Machines, nodes and engines alike, that take no new work."""
+    """Machines (nodes or engines) that accept no new work."""
 
     name: Name
     machines: Annotated[str, AfterValidator(_check_nonempty_selector)]
 
 
 class WorkloadSpec(StrictModel):
-    """A kind of work, and the class it runs in. Callers name it; operators decide its class."""
+    """A kind of work, which requests name and whose traffic class operators decide."""
 
     name: Name
     labels: Labels = {}
     traffic_class: TrafficClass
     rank: int = Field(0, ge=0, le=15, description="order among batch workloads, 0 first")
     tenants: SelectorText = Field("", description="tenants that may use it")
-    default: bool = Field(False, description="taken when a caller names none")
+    default: bool = Field(False, description="used for requests that name no workload")
 
 
 class ModelSpec(StrictModel):
-    """A model that callers may name."""
+    """A model that requests may name."""
 
     name: Name
     labels: Labels = {}
@@ -82,7 +82,7 @@
 
 
 class PoolSpec(StrictModel):
-    """Engines, found by selector, and what they serve."""
+    """Engines that a selector matches, and the models and tenants that they serve."""
 
     name: Name
     engines: SelectorText = ""
@@ -93,13 +93,13 @@
         32, ge=0, description="online requests that may wait inside one engine"
     )
     batch_slots_beside_online: int | None = Field(
-        None, ge=0, description="batch items beside online work on one engine; None: no bound"
+        None, ge=0, description="batch items beside online work on one engine; None: no limit"
     )
     online_headroom_slots: int = Field(2, ge=0, description="engine slots kept free of batch")
 
 
 class PlacementSpec(StrictModel):
-    """What engines hold, found by selector, and how a change of it is rolled out."""
+    """Models that the engines a selector matches load, and how a change is rolled out."""
 
     name: Name
     engines: SelectorText = ""
@@ -109,7 +109,7 @@
 
 
 class LimitSpec(StrictModel):
-    """Limits of each tenant and workload covered; every tenant has its own bucket."""
+    """Limits of matching tenants and workloads; each tenant has a token bucket of its own."""
 
     name: Name
     tenants: SelectorText = ""
@@ -121,7 +121,7 @@
 
 
 class FleetConfiguration(StrictModel):
-    """One revision of the whole configuration."""
+    """A complete revision of the fleet configuration."""
 
     tenants: list[TenantSpec] = []
     workloads: list[WorkloadSpec] = []
@@ -134,12 +134,12 @@
 
     @model_validator(mode="after")
     def _check_references(self) -> Self:
-        mistakes = [*self._repeated_names(), *self._unknown_models(), *self._shared_keys()]
-        if mistakes:
-            raise ValueError("; ".join(mistakes))
+        problems = [*self._duplicate_names(), *self._unknown_models(), *self._shared_keys()]
+        if problems:
+            raise ValueError("; ".join(problems))
         return self
 
-    def _repeated_names(self) -> Iterable[str]:
+    def _duplicate_names(self) -> Iterable[str]:
         for kind in type(self).model_fields:
             seen: set[str] = set()
             for item in getattr(self, kind):
@@ -153,7 +153,7 @@
             for rule in rules:
                 for model in rule.models:
                     if model.partition(":")[0] not in known:
-                        yield f"{kind}.{rule.name}.models: no model is named {model!r}"
+                        yield f"{kind}.{rule.name}.models: unknown model {model!r}"
 
     def _shared_keys(self) -> Iterable[str]:
         holder: dict[str, str] = {}
@@ -164,16 +164,16 @@
 
     @cached_property
     def tenant_by_key_digest(self) -> dict[str, TenantSpec]:
-        """SHA-256 hex digest of an API key to its tenant."""
+        """Tenant of each API key, by the key's SHA-256 hex digest."""
         return {digest: tenant for tenant in self.tenants for digest in tenant.api_key_sha256}
 
     @cached_property
     def model_by_name(self) -> dict[str, ModelSpec]:
-        """Model name to its specification."""
+        """Specification of each model, by name."""
         return {model.name: model for model in self.models}
 
     def serves(self, name: str) -> bool:
-        """Whether callers may name this model, or adapter as MODEL:ADAPTER."""
+        """Return whether requests may name this model, or this adapter as MODEL:ADAPTER."""
         model_name, separator, adapter = name.partition(":")
         model = self.model_by_name.get(model_name)
         if model is None:
@@ -182,7 +182,7 @@
 
     @cached_property
     def served_names(self) -> list[str]:
-        """Every model, and every adapter as MODEL:ADAPTER."""
+        """Names that requests may use: each model, and each adapter as MODEL:ADAPTER."""
         names: list[str] = []
         for model in self.models:
             names.append(model.name)
@@ -191,19 +191,23 @@
 
     @cached_property
     def workload_by_name(self) -> dict[str, WorkloadSpec]:
-        """Workload name to its specification."""
+        """Specification of each workload, by name."""
         return {workload.name: workload for workload in self.workloads}
 
 
 def parse_fleet_configuration(document: bytes, origin: str) -> FleetConfiguration:
-    """Read a configuration from JSON.
+    """Parse a fleet configuration from JSON.
+
+    Args:
+        document: The JSON text.
+        origin: File name or other source, named in each error.
 
     Raises:
-        InvalidSettingsGroup: with every mistake and its place.
+        InvalidSettingsGroup: The document is invalid; contains one error for each problem.
     """
     try:
         parsed: Any = json.loads(document)
     except (UnicodeDecodeError, json.JSONDecodeError, RecursionError) as error:
-        mistake = SettingsError(origin, f"is not JSON: {error}")
-        raise InvalidSettingsGroup(f"{origin} cannot be read", [mistake]) from None
+        problem = SettingsError(origin, f"is not valid JSON: {error}")
+        raise InvalidSettingsGroup(f"{origin} cannot be read", [problem]) from None
     return check_document(FleetConfiguration, parsed, origin)
--- a/postvalve/settings/routes.py
+++ b/postvalve/settings/routes.py
@@ -1,7 +1,7 @@
-"""Configuration of routed traffic: which request goes to which service, and on what terms.
+"""Configuration of routed traffic: which requests go to which service, and on what terms.
 
-Routed requests pass through a node unchanged. Operators describe routes and services; the
-source of a configuration (a platform's operator, a file) is an adapter's matter.
+Routed requests pass through a node unchanged. Operators define routes and services; an adapter
+reads the configuration from its source (a platform's store, a file).
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 
 
 class RepeatPolicy(enum.StrEnum):
-    """What may be done with a request that may have run."""
+    """Whether and how a request that may have run may be repeated."""
 
     SAFE = "safe"
-    """It may run again from its start."""
+    """It may be run again from the start."""
     ONCE = "once"
-    """It runs at most once."""
+    """It must run at most once."""
     RESUMABLE = "resume"
-    """Its stream may go on at another engine after the last whole event."""
+    """Its stream may be resumed at another engine after the last complete event."""
 
 
 class WeightedService(StrictModel):
-    """A service that takes a share of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
-    weight: float = Field(1.0, ge=0, description="share, against the sum of all weights")
+    weight: float = Field(1.0, ge=0, description="share, relative to the sum of all weights")
 
 
 class BatchTerms(StrictModel):
-    """Terms of a route that takes batch jobs."""
+    """Terms of a route that accepts batch jobs."""
 
-    run_target: float = Field(gt=0, description="seconds from sending until all items are due")
-    keep: float = Field(gt=0, description="seconds from sending until items may be given up")
-    max_queued_tokens: int = Field(0, ge=0, description="tokens waiting at once; 0: no bound")
+    run_target: float = Field(gt=0, description="seconds from submission until all items are due")
+    keep: float = Field(gt=0, description="seconds from submission until items may be abandoned")
+    max_queued_tokens: int = Field(0, ge=0, description="tokens queued at once; 0: no limit")
 
 
 class RouteSpec(StrictModel):
-    """One route: requests of a host below a path."""
+    """A route, which matches requests by host and path prefix."""
 
     name: str
     host: str
@@ -52,61 +52,63 @@
     timeout: float = Field(gt=0, description="seconds a request may be held")
     target_latency: float = Field(1.0, gt=0, description="seconds to an answer or first event")
     pause_aim: float | None = Field(
-        None, gt=0, description="seconds between events that callers bear; none: no bound"
+        None, gt=0, description="target for the seconds between two events; none: no target"
     )
-    max_attempts: int = Field(1, ge=1, description="engines that one request may go to")
+    max_attempts: int = Field(1, ge=1, description="engines at which a request may be tried")
     priority: int = Field(0, ge=0, description="0 is the most urgent")
     batch: BatchTerms | None = None
     anonymous: bool = Field(False, description="whether requests need no API key")
 
 
 class RoutedTenant(StrictModel):
-    """Somebody who sends requests. Keys are held as SHA-256 digests only."""
+    """A tenant, with SHA-256 digests of its API keys; the keys themselves are not stored."""
 
     name: str = Field(pattern=r"^[!-~]{1,64}$", description="visible ASCII: it becomes a header")
     key_digests: tuple[str, ...] = ()
-    priority: int | None = Field(None, ge=0, description="0 is the most urgent; before a route's")
+    priority: int | None = Field(
+        None, ge=0, description="0 is the most urgent; overrides the route's priority"
+    )
     rate: float = Field(0.0, ge=0, description="requests a second over all nodes; 0: no limit")
     burst: float = Field(0.0, ge=0, description="requests on top of the rate")
 
 
 class ServiceSpec(StrictModel):
-    """Engines that serve the same requests."""
+    """A service: a group of engines that serve the same requests."""
 
     name: str
-    max_connections: int = Field(0, ge=0, description="connections of one engine; 0: no bound")
+    max_connections: int = Field(0, ge=0, description="connections to one engine; 0: no limit")
     slots: int = Field(1, ge=1, description="requests that an engine runs at once")
-    memory_tokens: int = Field(0, ge=0, description="tokens that an engine holds; 0: no bound")
+    memory_tokens: int = Field(0, ge=0, description="tokens that an engine holds; 0: no limit")
 
 
 class EdgeLimits(StrictModel):
-    """What clients may send and how long they may take."""
+    """Limits on the size and duration of clients' requests."""
 
     header_bytes: int = Field(16_384, gt=0, description="bytes of a request's headers")
     body_bytes: int = Field(4 * 1024 * 1024, gt=0, description="bytes of a request's body")
-    header_timeout: float = Field(3.0, gt=0, description="seconds until a head is whole")
-    idle_timeout: float = Field(15.0, gt=0, description="seconds a connection may rest")
+    header_timeout: float = Field(3.0, gt=0, description="seconds until all headers are received")
+    idle_timeout: float = Field(15.0, gt=0, description="seconds a connection may be idle")
 
 
 class RoutedConfiguration(StrictModel):
-    """One revision, whole."""
+    """A complete revision of the configuration of routed traffic."""
 
     revision: int
     routes: tuple[RouteSpec, ...] = ()
     services: tuple[ServiceSpec, ...] = ()
     limits: EdgeLimits = EdgeLimits()
     tenants: tuple[RoutedTenant, ...] | None = Field(
-        None, description="who may send requests; left out: anybody, without a key"
+        None, description="who may send requests; if absent, anyone may, without a key"
     )
 
     @model_validator(mode="after")
     def _check_tenants(self) -> Self:
-        """A name or key that stands twice would leave open whose request it is."""
+        """Reject duplicate names and keys, which would make the tenant of a request ambiguous."""
         tenants = self.tenants or ()
-        names = [one.name for one in tenants]
-        digests = [digest for one in tenants for digest in one.key_digests]
+        names = [tenant.name for tenant in tenants]
+        digests = [digest for tenant in tenants for digest in tenant.key_digests]
         if len(set(names)) < len(names):
             raise ValueError("two tenants have the same name")
         if len(set(digests)) < len(digests):
-            raise ValueError("an API key stands twice")
+            raise ValueError("an API key is listed twice")
         return self
--- a/postvalve/settings/selectors.py
+++ b/postvalve/settings/selectors.py
@@ -1,8 +1,8 @@
-"""Selectors over labels, in equality and set form.
+"""Label selectors with equality-based and set-based requirements.
 
-Grammar: requirements joined by commas; all must hold. A requirement is one of
-`key=value`, `key!=value`, `key in (a, b)`, `key notin (a, b)`, `key` (exists), `!key`.
-The empty selector matches everything.
+A selector is a comma-separated list of requirements, all of which must be met. A requirement is one
+of `key=value`, `key!=value`, `key in (a, b)`, `key notin (a, b)`, `key` (the label exists) and
+`!key` (it does not). The empty selector matches everything.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Operator(enum.Enum):
-    """How a requirement compares a label."""
+    """Comparison that a requirement makes with a label."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One condition on one label."""
+    """A condition on one label."""
 
     key: str
     operator: Operator
     values: frozenset[str] = frozenset()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Whether `labels` meet this condition."""
+        """Return whether `labels` meet this requirement."""
         value = labels.get(self.key)
         if self.operator is Operator.IN:
             return value in self.values
@@ -52,21 +52,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """A conjunction of requirements."""
+    """A conjunction of requirements, with the text that it was parsed from."""
 
     text: str
     requirements: tuple[Requirement, ...]
 
     def matches(self, labels: Mapping[str, str]) -> bool:
-        """Whether `labels` meet every requirement."""
+        """Return whether `labels` meet every requirement."""
         return all(requirement.matches(labels) for requirement in self.requirements)
 
 
 def parse_selector(text: str) -> Selector:
-    """Parse the textual form.
+    """Parse a selector from its text.
 
     Raises:
-        ValueError: names the requirement that can't be read.
+        ValueError: A requirement is malformed; the message quotes it.
     """
     if not text.strip():
         return Selector("", ())
--- a/postvalve/settings/validation.py
+++ b/postvalve/settings/validation.py
@@ -1,4 +1,4 @@
-"""Turns pydantic's findings into one exception group with every mistake and its place."""
+"""Validation of settings documents, with all errors of a document in one exception group."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class InvalidSettingsGroup(ExceptionGroup[SettingsError]):
-    """All mistakes of one document."""
+    """All errors of a settings document."""
 
 
 def check_document(model: type[ModelType], document: Any, origin: str) -> ModelType:
     """Validate a parsed document.
 
     Args:
-        model: The schema.
-        document: Nested dicts and lists, as read from TOML or JSON.
-        origin: File name or other source, named in each mistake.
+        model: Schema of the document.
+        document: Nested dicts and lists, as parsed from TOML or JSON.
+        origin: File name or other source, named in each error.
 
     Raises:
-        InvalidSettingsGroup: with one `SettingsError` for each mistake.
+        InvalidSettingsGroup: The document is invalid; contains a `SettingsError` for each problem.
     """
     try:
         return model.model_validate(document)
@@ -33,13 +33,14 @@
 
 
 def invalid_document(error: ValidationError, origin: str) -> InvalidSettingsGroup:
-    """All mistakes that a model has found, each with its place."""
-    mistakes = [
-        SettingsError(_place(origin, finding["loc"]), finding["msg"]) for finding in error.errors()
+    """Convert a pydantic error to an exception group with a `SettingsError` for each problem."""
+    problems = [
+        SettingsError(_format_place(origin, detail["loc"]), detail["msg"])
+        for detail in error.errors()
     ]
-    return InvalidSettingsGroup(f"{origin} has {len(mistakes)} mistake(s)", mistakes)
+    return InvalidSettingsGroup(f"{origin} has {len(problems)} error(s)", problems)
 
 
-def _place(origin: str, location: tuple[int | str, ...]) -> str:
+def _format_place(origin: str, location: tuple[int | str, ...]) -> str:
     path = ".".join(str(part) for part in location)
     return f"{origin}: {path}" if path else origin
