--- a/postvalve/settings/fleet.py
+++ b/postvalve/settings/fleet.py
@@ -144,7 +144,7 @@
             seen: set[str] = set()
             for item in getattr(self, kind):
                 if item.name in seen:
-                    yield f"{kind}: the name {item.name!r} stands twice"
+                    yield f"{kind}: duplicate name {item.name!r}"
                 seen.add(item.name)
 
     def _unknown_models(self) -> Iterable[str]:
