--- a/tests/checks.py
+++ b/tests/checks.py
@@ -1,4 +1,4 @@
-"""What must hold at the end of a session, whatever happened in it."""
+"""Invariants that tests check at the end of a session, whatever faults occurred in it."""
 
 import json
 from collections import Counter
@@ -13,7 +13,7 @@
 
 
 def count_engine_starts(fleet):
-    """How often each message was started at an engine, resumed streams not counted."""
+    """Return how often each message was started at an engine, not counting resumed streams."""
     runs = Counter()
     for engine in fleet.engines.values():
         for attempt in engine.attempts:
@@ -23,7 +23,10 @@
 
 
 def check_job(case, fleet, job_id, count, *, name="item", tenant=None, at_most_once=False):
-    """Every item ended exactly once, with its own whole answer, on every running node."""
+    """Check that every item of a job ended exactly once, with its own complete answer.
+
+    The job is followed at the first running node and its results are read at the last one.
+    """
     document = wait_for_batch(fleet, job_id, tenant=tenant, node_id=running_nodes(fleet)[0])
     case.assertEqual(document["status"], "completed")
     node_id = running_nodes(fleet)[-1]
@@ -39,9 +42,9 @@
         case.assertEqual(line["error"]["code"], "may_have_run")
     if at_most_once:
         runs = count_engine_starts(fleet)
-        own = f"text of {name}-"
-        twice = {text: times for text, times in runs.items() if times > 1 and own in text}
-        case.assertEqual(twice, {})
+        prefix = f"text of {name}-"
+        repeated = {text: times for text, times in runs.items() if times > 1 and prefix in text}
+        case.assertEqual(repeated, {})
         for line in answered:
             case.assertEqual(runs[f"text of {line['custom_id']}"], 1)
     else:
@@ -50,7 +53,7 @@
 
 
 def running_nodes(fleet):
-    """Ids of the nodes that answer."""
+    """Return the ids of the nodes that are neither killed nor draining."""
     return [
         node_id
         for node_id, node in fleet.nodes.items()
@@ -59,7 +62,7 @@
 
 
 def check_views_agree(case, fleet, job_id):
-    """Every running node shows the same state of a job."""
+    """Check that all running nodes return the same document of a job, and return it."""
     documents = [batch_document(fleet, node_id, job_id) for node_id in running_nodes(fleet)]
-    case.assertEqual(len({json.dumps(one, sort_keys=True) for one in documents}), 1)
+    case.assertEqual(len({json.dumps(document, sort_keys=True) for document in documents}), 1)
     return documents[0]
--- a/tests/test_documented_settings.py
+++ b/tests/test_documented_settings.py
@@ -1,4 +1,4 @@
-"""docs/OPERATORS.md documents every setting with its default."""
+"""Checks that docs/OPERATORS.md documents every setting with its default."""
 
 import unittest
 from pathlib import Path
--- a/tests/test_engine_events.py
+++ b/tests/test_engine_events.py
@@ -1,4 +1,4 @@
-"""Whatever an engine sends, joining its events gives an answer or a typed failure."""
+"""Tests that any bytes from engines and peers are parsed or raise the documented exception."""
 
 import json
 import unittest
@@ -32,7 +32,7 @@
 
 class EngineEventsTest(unittest.TestCase):
     @settings(derandomize=True, max_examples=300)
-    @given(st.lists(st.binary(max_size=30) | JSON.map(lambda one: json.dumps(one).encode())))
+    @given(st.lists(st.binary(max_size=30) | JSON.map(lambda value: json.dumps(value).encode())))
     def test_any_events(self, bodies):
         events = [b"data: " + body + b"\n\n" for body in bodies]
         try:
@@ -40,7 +40,7 @@
         except AttemptError as error:
             self.assertIs(error.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_a_stream_without_its_end_is_a_failure(self):
+    def test_a_stream_without_its_final_event_is_a_failure(self):
         with self.assertRaises(AttemptError):
             join_events([b"data: {}\n\n"])
 
@@ -65,14 +65,14 @@
             return
 
     @given(st.binary(max_size=40))
-    def test_a_packed_report_comes_back_as_it_was(self, data):
+    def test_a_packed_report_survives_a_round_trip(self, data):
         frame = encode_frame(PackedReport(data), 0)
         self.assertEqual(decode_datagram(frame), PackedReport(data))
-        for cut in (frame[:-1], frame + b"x"):
+        for invalid in (frame[:-1], frame + b"x"):
             with self.assertRaises(FrameError):
-                decode_datagram(cut)
+                decode_datagram(invalid)
 
-    def test_a_packed_report_is_no_request(self):
+    def test_a_packed_report_is_rejected_outside_a_datagram(self):
         frame = encode_frame(PackedReport(b"r"), 0)
         with self.assertRaises(FrameError):
             decode_body(decode_header(frame[: HEADER.size]), frame[HEADER.size :])
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""docs/EVENTS.md and the code hold the same events."""
+"""Checks that docs/EVENTS.md and the code have the same log events."""
 
 import re
 import unittest
@@ -11,12 +11,12 @@
 
 
 class CatalogueTest(unittest.TestCase):
-    def test_code_and_catalogue_are_the_same(self):
+    def test_catalogue_matches_the_code(self):
         rows = ROW.findall(CATALOGUE.read_text(encoding="utf-8"))
-        listed = {int(number): (level, text) for number, level, text in rows}
-        coded = {event.number: (event.level, event.text) for event in Event}
-        self.assertEqual(listed, coded)
-        self.assertEqual(len(rows), len(coded))
+        documented = {int(number): (level, text) for number, level, text in rows}
+        defined = {event.number: (event.level, event.text) for event in Event}
+        self.assertEqual(documented, defined)
+        self.assertEqual(len(rows), len(defined))
 
     def test_every_event_is_emitted_somewhere(self):
         package = CATALOGUE.parent.parent / "postvalve"
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""Log lines never block, are bounded, and say how many were left out."""
+"""Tests of log output: it never blocks, its rate is limited, and dropped lines are counted."""
 
 import json
 import os
@@ -29,7 +29,7 @@
 
 
 class NonBlockingLineWriterTest(PipeCase):
-    def test_a_reader_that_does_not_read_blocks_nothing(self):
+    def test_slow_reader_does_not_block_writes(self):
         line = "x" * 999 + "\n"
         for _ in range(2000):
             self.lines.write(line)
@@ -53,13 +53,13 @@
         configure_logging("info", self.lines)
         self.addCleanup(structlog.reset_defaults)
 
-    def test_failures_are_never_left_out_and_gaps_are_counted(self):
+    def test_failures_are_always_written_and_dropped_lines_counted(self):
         log = BoundedEventLog("n", "z", self.lines, LineBudget(lambda: 0.0, rate=0.0, burst=1.0))
         for _ in range(3):
             log.emit(Event.NODE_STARTED)
         log.emit(Event.ROUTED_REQUEST_FAILED, request="r")
         written = [json.loads(line) for line in os.read(self.reader, 65536).splitlines()]
-        self.assertEqual([one["number"] for one in written], [100, 213])
+        self.assertEqual([line["number"] for line in written], [100, 213])
         self.assertEqual(written[1]["left_out"], 2)
         self.assertEqual(log.dropped, 2)
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: settings, configuration, headers, store calls."""
+"""Tests of the adapter to the users' platform: settings, configuration, headers, store calls."""
 
 import base64
 import contextlib
@@ -54,33 +54,33 @@
         path.write_text(document if isinstance(document, str) else json.dumps(document))
         return path
 
-    def test_fields_become_the_products_settings(self):
-        own = load_settings(self.path(SETTINGS)).gateway_settings()
+    def test_fields_are_converted_to_gateway_settings(self):
+        loaded = load_settings(self.path(SETTINGS)).gateway_settings()
         self.assertEqual(
-            (own.node_id, own.zone, own.peer_listen), ("front-a-1", "a", "127.0.0.1:3")
+            (loaded.node_id, loaded.zone, loaded.peer_listen), ("front-a-1", "a", "127.0.0.1:3")
         )
-        self.assertEqual((own.grace, own.read_patience, own.body_partitions), (5, 0.7, 6))
-
-    def test_what_is_held_for_slow_clients_follows_the_machine(self):
-        machine = {**SETTINGS, "limits": {"memoryMb": 160, "cpuShare": 0.5}}
-        own = load_settings(self.path(machine)).gateway_settings()
-        self.assertEqual(own.slow_client_bytes, 10_000_000)
-        own = load_settings(self.path(SETTINGS)).gateway_settings()
-        self.assertEqual(own.slow_client_bytes, 16_000_000)
+        self.assertEqual((loaded.grace, loaded.read_patience, loaded.body_partitions), (5, 0.7, 6))
+
+    def test_slow_client_memory_follows_the_memory_limit(self):
+        limited = {**SETTINGS, "limits": {"memoryMb": 160, "cpuShare": 0.5}}
+        loaded = load_settings(self.path(limited)).gateway_settings()
+        self.assertEqual(loaded.slow_client_bytes, 10_000_000)
+        loaded = load_settings(self.path(SETTINGS)).gateway_settings()
+        self.assertEqual(loaded.slow_client_bytes, 16_000_000)
         with self.assertRaises(InvalidSettingsGroup) as caught:
             load_settings(self.path({**SETTINGS, "limits": {"memoryMb": 0}}))
         self.assertIn("limits.memoryMb", str(caught.exception.exceptions))
 
-    def test_every_mistake_is_named_at_once(self):
-        broken = {**SETTINGS, "zone": "", "portRange": ["x", 2], "platform": {}}
-        path = self.path(broken)
+    def test_all_errors_are_reported_at_once(self):
+        invalid = {**SETTINGS, "zone": "", "portRange": ["x", 2], "platform": {}}
+        path = self.path(invalid)
         output = io.StringIO()
         with contextlib.redirect_stderr(output):
             self.assertEqual(node_process.run(path), 2)
         for place in ("zone", "portRange.0", "platform.address"):
             self.assertIn(f"{path}: {place}: ", output.getvalue())
 
-    def test_files_that_can_not_be_read(self):
+    def test_unreadable_files(self):
         for path in (self.path("no json"), Path("/nonexistent/file")):
             with self.assertRaises(InvalidSettingsGroup):
                 load_settings(path)
@@ -99,7 +99,7 @@
     def route(self, **changes):
         return parse_configuration(document(**changes)).routes[0]
 
-    def test_kinds_say_what_may_repeat(self):
+    def test_route_kind_determines_repeat_policy(self):
         self.assertIs(self.route().repeat, RepeatPolicy.SAFE)
         self.assertIs(self.route(kind="unsafe").repeat, RepeatPolicy.ONCE)
         self.assertIs(self.route(kind="stream").repeat, RepeatPolicy.ONCE)
@@ -109,17 +109,17 @@
         split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
         route = self.route(service=None, trafficSplit=split)
         self.assertEqual(
-            [(one.service, one.weight) for one in route.targets], [("a", 90), ("b", 10)]
+            [(target.service, target.weight) for target in route.targets], [("a", 90), ("b", 10)]
         )
         route = self.route(kind="batch", runAimMs=20000, keepS=60, maxQueuedTokens=5)
         self.assertEqual((route.batch.run_target, route.batch.max_queued_tokens), (20, 5))
 
-    def test_every_mistake_is_named(self):
+    def test_all_errors_are_reported(self):
         with self.assertRaises(InvalidSettingsGroup) as caught:
             parse_configuration(b'{"version": "x", "routes": [{}]}')
         self.assertGreater(len(caught.exception.exceptions), 3)
 
-    def test_engines(self):
+    def test_engine_entries(self):
         entry = {"service": "s", "address": "127.0.0.1:1", "zone": "a", "slots": 4, "sequence": 9}
         entry |= {"version": "v1", "coldRemainingMs": 0}
         ready = {"state": "ready"}
@@ -136,7 +136,7 @@
 class DialectTest(unittest.TestCase):
     dialect = PlatformDialect()
 
-    def test_terms(self):
+    def test_request_terms(self):
         terms = self.dialect.read_terms(
             [
                 ("request-id", "r"),
@@ -150,8 +150,8 @@
         self.assertEqual((terms.prefix_key, terms.shared_tokens), ("5c1e,91bd", 1210))
         self.assertEqual(terms.own_tokens, 250)
         self.assertEqual(terms.output_tokens, 80)
-        for nonsense in ("\u00b2", "\u0663", "9" * 5_000, "9" * 400):
-            self.assertIsNone(self.dialect.read_terms([("Deadline-Ms", nonsense)]).allowed)
+        for invalid in ("\u00b2", "\u0663", "9" * 5_000, "9" * 400):
+            self.assertIsNone(self.dialect.read_terms([("Deadline-Ms", invalid)]).allowed)
         empty = self.dialect.read_terms([])
         self.assertEqual((empty.request_id, empty.allowed, empty.shared_tokens), ("", None, 0))
 
@@ -201,12 +201,12 @@
 
 
 class StartTest(unittest.TestCase):
-    def test_changed_settings_end_no_process_that_starts(self):
+    def test_sighup_is_ignored_during_start_up(self):
         self.assertEqual(subprocess.run([sys.executable, "-c", START], check=False).returncode, 7)
 
 
 class StoreTest(unittest.TestCase):
-    """Against a stand-in that answers as the pages of the platform say."""
+    """Calls to an HTTP server that answers as the platform's documentation specifies."""
 
     def setUp(self):
         self.answer = ("200 OK", b"{}")
@@ -243,11 +243,11 @@
         self.answer = ("200 OK", bytes(15) + b"\x01" + b"\x00\x00\x00\x03\x01ab")
         self.assertEqual(self.store.read("t", 0, 0, 0.04, 100).held, 0.0)
 
-    def test_append_failures_say_whether_it_was_done(self):
+    def test_failed_appends_have_a_verdict(self):
         self.answer = ("412 -", b'{"end": 9}')
-        with self.assertRaises(PositionTakenError) as taken:
+        with self.assertRaises(PositionTakenError) as caught:
             self.store.append("jobs", 0, [], at=3)
-        self.assertEqual(taken.exception.end_offset, 9)
+        self.assertEqual(caught.exception.end_offset, 9)
         for status, verdict in (
             ("503 -", Verdict.NOT_RUN),
             ("429 -", Verdict.NOT_RUN),
@@ -283,7 +283,7 @@
         self.assertEqual((part.end_offset, more), (6, True))
         self.assertEqual(self.calls[0][2]["watchAfter"], ["after"])
 
-    def test_nobody_answers(self):
+    def test_refused_connection(self):
         self.server.stop()
         with self.assertRaises(StoreUnavailableError) as failed:
             self.store.append("jobs", 0, [])
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Names of the users' platform stand in its adapter and nowhere else."""
+"""Checks that names of the users' platform occur only in its adapter."""
 
 import unittest
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 
 class PlatformNamesTest(unittest.TestCase):
-    def test_names_stand_in_the_adapter_only(self):
+    def test_names_occur_in_the_adapter_only(self):
         found = []
         for path in sorted(PACKAGE.rglob("*.py")):
             if ADAPTER in path.parents:
--- a/tests/test_selectors.py
+++ b/tests/test_selectors.py
@@ -1,4 +1,4 @@
-"""Selectors over labels."""
+"""Tests of label selectors."""
 
 import contextlib
 import unittest
@@ -28,13 +28,13 @@
             with self.subTest(text):
                 self.assertIs(parse_selector(text).matches(labels), expected)
 
-    def test_mistakes_name_the_requirement(self):
+    def test_malformed_requirements_are_rejected(self):
         for text in ("zone in a", "=a", "zone in (a,)", "a b", "zone=a,,", "zone in ((a))"):
             with self.subTest(text), self.assertRaisesRegex(ValueError, "cannot read"):
                 parse_selector(text)
 
     @given(st.text(max_size=40))
-    def test_any_text_parses_or_is_refused(self, text):
+    def test_any_text_parses_or_is_rejected(self, text):
         with contextlib.suppress(ValueError):
             parse_selector(text).matches({"a": "b"})
 
--- a/tests/version_samples.py
+++ b/tests/version_samples.py
@@ -1,9 +1,9 @@
-"""Messages between nodes and records in the store, as the build that runs makes and reads them.
+"""Samples of messages between nodes and of stored records, written and read by the running build.
 
-Run as a program in another build's tree it tells what that build makes and reads; so it imports
-nothing of the tests, and from the product only what builds have had since the first landing that
-matters. Every message of a known kind is filled by the numbers of its fields, so a field that only
-a later build has changes nothing of the others.
+As a program, it can also be run in the tree of another build, and prints what that build writes and
+reads. It therefore imports nothing from the tests, and from postvalve only names that exist in all
+builds since the oldest supported one. The fields of each message are filled with values derived
+from their numbers, so that a field that only a later build has changes no other field.
 """
 
 import dataclasses
@@ -32,17 +32,18 @@
 from postvalve.platform.fleet import parse_configuration
 from postvalve.platform.settings import load_settings
 
-LATER_PARTS = {1: (0xFFFF_FFFF).to_bytes(4, "big"), 2: b"clock", 200: b"of a later build"}
-"""Parts beyond the layout: known ones, and one that no build has."""
+SAMPLE_EXTENSIONS = {1: (0xFFFF_FFFF).to_bytes(4, "big"), 2: b"clock", 200: b"of a later build"}
+"""Extensions after the fixed layout: known ones, and one that no build knows."""
 
 
 def plain(value):
-    """A value as JSON holds it."""
+    """Convert a value to types that JSON can represent."""
     if dataclasses.is_dataclass(value):
         fields = dataclasses.fields(value)
         return {one.name: plain(getattr(value, one.name)) for one in fields}
     if hasattr(value, "model_dump"):
-        # Settings: field by field, so that one that only a later build has changes no other.
+        # Settings are converted field by field, so that a field that only a later build has
+        # changes no other field.
         return plain(value.model_dump())
     if isinstance(value, enum.Enum):
         return value.value
@@ -58,7 +59,7 @@
 
 
 def filled(message_type):
-    """A message with a value in each field."""
+    """Return a message with a value in each field."""
     message = message_type()
     for one in dataclasses.fields(message_type):
         meta = betterproto.FieldMetadata.get(one)
@@ -86,7 +87,7 @@
 
 
 def kinds():
-    """Types of the frames, by name."""
+    """Return the message types that frames can contain, by name."""
     return {one.__name__: one for one in framing._MESSAGE_KINDS}
 
 
@@ -101,26 +102,26 @@
 def read_frame(data):
     header = framing.decode_header(data[: framing.HEADER.size])
     message = framing.decode_datagram(data)
-    told = {"kind": header.kind, "type": type(message).__name__}
+    content = {"kind": header.kind, "type": type(message).__name__}
     if isinstance(message, framing.PackedReport):
-        return told | {"report": plain(unpack_report(message.data))}
+        return content | {"report": plain(unpack_report(message.data))}
     if isinstance(message, gateway.ZoneDigest):
         digest = zone_digests.unpack_digest(message.packed)
-        return told | {"relayed": message.relayed, "digest": plain(digest)}
-    return told | {"message": plain(message)}
+        return content | {"relayed": message.relayed, "digest": plain(digest)}
+    return content | {"message": plain(message)}
 
 
-def with_later_parts(message_type):
-    """Parts beyond the layout, where the build has them."""
+def with_extensions(message_type):
+    """Return extensions as keyword arguments, or none if the build does not support them."""
     names = {one.name for one in dataclasses.fields(message_type)}
-    return {"extensions": LATER_PARTS} if "extensions" in names else {}
+    return {"extensions": SAMPLE_EXTENSIONS} if "extensions" in names else {}
 
 
 def make_report():
     return LoadReport(
         "node-1", 1_700, 41, "127.0.0.1:9", "zone-a", True, b"use" * 4, 1_230, 9,
         [RunningItem("job-1", 3), RunningItem("job-2", 0)], b"running", True, b"waiting",
-        DirectoryState(77, 120), **with_later_parts(LoadReport),
+        DirectoryState(77, 120), **with_extensions(LoadReport),
     ).pack()  # fmt: skip
 
 
@@ -132,7 +133,7 @@
     return zone_digests.ZoneDigest(
         "zone-a", "node-1", "127.0.0.1:9", 1_700, 5, 9, b"use" * 4, b"running", b"waiting", 2,
         zone_digests.members_version(members), members, [RunningItem("job-1", 3)],
-        **with_later_parts(zone_digests.ZoneDigest),
+        **with_extensions(zone_digests.ZoneDigest),
     ).pack()  # fmt: skip
 
 
@@ -140,7 +141,7 @@
 
 
 def make_jobs():
-    """A topic of jobs: key and value of each record."""
+    """Return a topic of jobs, as key and value of each record."""
     accepted = filled(gateway.JobAccepted)
     accepted.job_id, accepted.claim_id, accepted.form = "job-1", "c1", JOB_FORM
     accepted.items = pack_items([ItemSpec("a", 10, 4, 6, 1, 200), ItemSpec("b", 11, 5, 6, 1, 210)])
@@ -184,7 +185,7 @@
 
 
 def make_configuration():
-    """As the operator writes it; a later one has more fields than this build knows."""
+    """Return an operator's configuration with fields that this build does not know."""
     common = {"host": "h", "service": "m", "timeoutMs": 5_000, "maxAttempts": 3, "later": {"x": 1}}
     routes = [
         {"name": "s", "pathPrefix": "/s/", "kind": "stream", "resumable": True, **common},
@@ -213,11 +214,11 @@
 }
 
 
-# Settings, and what all nodes must work out alike
+# Settings, and values that nodes must agree on
 
 
 def make_settings():
-    """A settings file that has more than this build knows."""
+    """Return a settings file with fields that this build does not know."""
     document = {
         "node": "n", "zone": "z", "ip": "127.0.0.1", "portRange": [9, 10], "later": {"x": 1},
         "listen": {"front": "127.0.0.1:1", "ready": "127.0.0.1:2", "later": "127.0.0.1:3"},
@@ -235,7 +236,7 @@
 
 
 def agreements():
-    """What nodes of both builds must work out alike, of values that both can have."""
+    """Return results that nodes of both builds must compute alike, from inputs both support."""
     nodes = [f"node-{number}" for number in range(7)]
     members = (zone_digests.ZoneMember("node-1", 1_700, "127.0.0.1:9", True, False, True),)
     return {
@@ -247,7 +248,7 @@
 
 
 def _agreed_by_name():
-    """What came later than the first landing that matters: left out where it is missing."""
+    """Return the agreements that came after the oldest supported build; empty in builds without."""
     try:
         from postvalve.core.admission.engine_use import engine_hash
         from postvalve.core.admission.request_identity import identify
@@ -274,7 +275,7 @@
 
 
 def write_all(folder):
-    """Write everything that this build can make."""
+    """Write a file for each sample that the running build can create."""
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     for name, kind in kinds().items():
@@ -286,18 +287,18 @@
 
 
 def read_all(folder):
-    """What this build reads in each file; an error's name where it can't."""
+    """Return what the running build reads from each file, or the name of the exception raised."""
     readers = {name: read for name, (_, read) in RECORDS.items()} | {"settings": read_settings}
-    told = {}
+    contents = {}
     for path in sorted(Path(folder).iterdir()):
         try:
             if path.suffix == ".frame":
-                told[path.name] = read_frame(path.read_bytes())
+                contents[path.name] = read_frame(path.read_bytes())
             elif path.suffix == ".records":
-                told[path.name] = readers[path.stem](unpack_records(path.read_bytes()))
-        except Exception as exc:  # what the other build raises is what is asked for
-            told[path.name] = {"error": type(exc).__name__}
-    return told
+                contents[path.name] = readers[path.stem](unpack_records(path.read_bytes()))
+        except Exception as exc:  # any exception of the other build is part of the result
+            contents[path.name] = {"error": type(exc).__name__}
+    return contents
 
 
 def main():
