--- a/postvalve/events.py
+++ b/postvalve/events.py
@@ -127,7 +127,7 @@
     ROUTED_ITEM_FAILED = (515, "warning", "attempt of a batch item failed")
     ROUTED_ITEM_ENDED = (516, "info", "batch item ended")
     ROUTED_ITEM_PREEMPTED = (517, "info", "batch item preempted")
-    ITEM_TOLD_TO_GIVE_WAY = (521, "info", "node requested to preempt a batch item")
+    ITEM_TOLD_TO_GIVE_WAY = (521, "info", "node asked to preempt a batch item")
     ITEM_STARTED = (525, "info", "batch item started")
     ITEM_ORDER = (526, "info", "scheduling order of batch items changed")
     ROUTED_JOB_ENDED = (518, "info", "batch job ended")
@@ -152,12 +152,12 @@
     STORE_WAS_AWAY = (
         617,
         "warning",
-        "engine directory readable again; no known node could read it",
+        "engine directory readable again after no known node could read it",
     )
     DIRECTORY_BEHIND = (
         618,
         "warning",
-        "peer had newer directory records; read beside the pending read",
+        "peer had newer directory records; extra read performed",
     )
     LOG_RECORD_INVALID = (601, "error", "invalid log record skipped")
     FEATURES_CHANGED = (
--- a/postvalve/log_output.py
+++ b/postvalve/log_output.py
@@ -26,20 +26,20 @@
         self._now = now
         self._rate = rate
         self._burst = burst
-        self._left = burst
-        self._at = now()
+        self._tokens = burst
+        self._refilled_at = now()
         self.rejected = 0
         """Number of lines that were not written because the bucket was empty."""
 
     def take(self) -> bool:
         """Take a token for a line and return whether there was one; count the line if not."""
         now = self._now()
-        self._left = min(self._burst, self._left + (now - self._at) * self._rate)
-        self._at = now
-        if self._left < 1.0:
+        self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             self.rejected += 1
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
--- a/postvalve/node_process.py
+++ b/postvalve/node_process.py
@@ -41,12 +41,14 @@
     if check:
         print("the settings are valid")
         return 0
-    own = settings.gateway_settings()
+    gateway_settings = settings.gateway_settings()
     clock = SystemClock()
     lines = NonBlockingLineWriter(sys.stdout.fileno())
-    configure_logging(own.log_level, lines)
-    events = BoundedEventLog(own.node_id, own.zone, lines, LineBudget(clock.monotonic))
-    node = Gateway(own, gateway_platform(settings, clock), clock, events)
+    configure_logging(gateway_settings.log_level, lines)
+    events = BoundedEventLog(
+        gateway_settings.node_id, gateway_settings.zone, lines, LineBudget(clock.monotonic)
+    )
+    node = Gateway(gateway_settings, gateway_platform(settings, clock), clock, events)
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, node.request_drain)
     # Settings are not reloaded while the process runs, but SIGHUP must not terminate it.
--- a/postvalve/platform/dialect.py
+++ b/postvalve/platform/dialect.py
@@ -155,7 +155,7 @@
 
 
 def strip_caller_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers without API key and tenant, which only postvalve itself may set."""
+    """Return the headers without API key and tenant: only postvalve may state who the caller is."""
     return [
         header
         for header in headers
--- a/postvalve/platform/store.py
+++ b/postvalve/platform/store.py
@@ -27,7 +27,7 @@
 READ_PATH = "/api/log-read"
 NEWEST_PATH = "/api/log-newest"
 CONNECT_TIMEOUT = 0.6
-"""Seconds to open a connection to the store."""
+"""Time-out of connection set-up to the store, in seconds."""
 ANSWER_TIMEOUT = 1.5
 """Time-out of a call in seconds, in addition to the time for which the store may hold the call."""
 QUICK_ANSWER_TIMEOUT = 0.4
@@ -39,8 +39,8 @@
 LATENCY_WEIGHT = 0.2
 """Weight of a new answer in the smoothed latency (exponential moving average)."""
 CONNECTIONS = 6
-"""Connections per time-out. Also the number of times that the HTTP library may repeat a GET on a
-broken connection."""
+"""Maximum number of connections for each time-out in use. The HTTP library may also repeat a GET as
+many times when connections break."""
 NO_EFFECT_STATUSES = frozenset((400, 403, 404, 413, 429, 503, 507))
 """HTTP statuses which mean that the call had no effect."""
 _LENGTH = struct.Struct("!I")
@@ -123,9 +123,9 @@
         if status == 410:
             raise HistoryGoneError("the requested records were dropped from the topic's history")
         self._raise_for_status(status, content)
-        part_read = _decode_slice(content, offset)
-        held = not part_read.records and self._clock.steady() - started >= wait
-        return replace(part_read, held=wait) if held else part_read
+        topic_slice = _decode_slice(content, offset)
+        held = not topic_slice.records and self._clock.steady() - started >= wait
+        return replace(topic_slice, held=wait) if held else topic_slice
 
     def newest(self, topic: str, part: int, after: str = "") -> tuple[TopicSlice, bool]:
         """See `KeyedTopics`."""
--- a/postvalve/services/engine.py
+++ b/postvalve/services/engine.py
@@ -182,13 +182,13 @@
         try:
             return self._response.readline(EVENT_END)
         except Exception as error:  # sockets, parser and pool raise unrelated types
-            raise _cut(error) from error
+            raise _connection_error(error) from error
 
     def _read_rest(self) -> bytes:
         try:
             return self._response.read()
         except Exception as error:  # sockets, parser and pool raise unrelated types
-            raise _cut(error) from error
+            raise _connection_error(error) from error
 
     def abort(self) -> None:
         """See `EngineStream`."""
@@ -240,7 +240,7 @@
         except ConnectionRefusedError as error:
             raise AttemptError("the engine refused the connection", Verdict.NOT_RUN) from error
         except Exception as error:  # sockets, parser and pool raise unrelated types
-            raise _cut(error) from error
+            raise _connection_error(error) from error
 
     def _raise_refusal(self, response: HTTPSocketPoolResponse) -> None:
         with response:
@@ -291,7 +291,7 @@
         return document
 
 
-def _cut(error: Exception) -> AttemptError:
+def _connection_error(error: Exception) -> AttemptError:
     return AttemptError(f"the connection to the engine failed: {error!r}", Verdict.MAY_HAVE_RUN)
 
 
--- a/postvalve/services/log.py
+++ b/postvalve/services/log.py
@@ -118,14 +118,14 @@
             f"/streams/{quote(stream, safe='')}/records"
             f"?offset={offset}&limit={limit}&wait={wait:.3f}"
         )
-        answer = self._call(self._reader(wait), "GET", path, b"")
+        answer = self._call(self._read_client_for(wait), "GET", path, b"")
         entries = tuple(
             LogEntry(offset + index, base64.b64decode(payload))
             for index, payload in enumerate(answer["records"])
         )
         return LogSlice(entries, offset + len(entries), int(answer["end"]))
 
-    def _reader(self, wait: float) -> HTTPClient:
+    def _read_client_for(self, wait: float) -> HTTPClient:
         if wait <= 0:
             return self._read_client
         if wait not in self._poll_clients:
--- a/tests/version_samples.py
+++ b/tests/version_samples.py
@@ -263,7 +263,7 @@
     }
 
 
-# The whole set
+# All samples
 
 
 def pack_records(records):
