--- a/postvalve/node/batch/holder.py
+++ b/postvalve/node/batch/holder.py
@@ -71,7 +71,7 @@
         self._closing: set[str] = set()
         self.committer = ResultCommitter(context.writer, context.events, self._results_committed)
         self.leases = ShardLeases(context, membership, self)
-        membership.listen(self._node_state_changed)
+        membership.add_listener(self._node_state_changed)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start the background tasks that maintain leases and commit results."""
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -91,11 +91,11 @@
         self._backoff_until: dict[str, float] = {}
         self._reports = ItemReports(context, membership, holder)
         self._draining = False
-        registry.on_preemption(self.preempt)
+        registry.add_preemption_listener(self.preempt)
 
     def start(self, tasks: BackgroundTasks) -> None:
         """Start to pull items, at intervals and whenever new work is announced."""
-        self._membership.on_work(self.pull_all)
+        self._membership.add_work_listener(self.pull_all)
         tasks.every(self._settings.timing.pull_interval, self.pull_all)
 
     @property
@@ -114,7 +114,7 @@
             if pull.engine_id not in self._pulling:
                 self._pulling.add(pull.engine_id)
                 gevent.spawn(self._confirm_received, pull)
-        for engine in self._registry.owned():
+        for engine in self._registry.usable_engines():
             self._schedule_fill(engine)
         self._return_unowned_items()
 
@@ -164,19 +164,19 @@
 
     def _resume_paused(self, engine: OwnedEngine) -> None:
         paused = self._paused.get(engine.machine.machine_id, [])
-        while paused and engine.slots.batch_room(self._clock.monotonic()) > 0:
+        while paused and engine.slots.batch_capacity(self._clock.monotonic()) > 0:
             self._start_item(engine, paused.pop(0))
 
     def _return_unowned_items(self) -> None:
         """Return the paused items of engines that this node no longer owns to their holders."""
-        owned = {engine.machine.machine_id for engine in self._registry.owned()}
+        owned = {engine.machine.machine_id for engine in self._registry.usable_engines()}
         for engine_id in [engine_id for engine_id in self._paused if engine_id not in owned]:
             for item in self._paused.pop(engine_id):
                 self._send_report(item, _interrupted_outcome(item), 0, b"")
 
     def _pull(self, engine: OwnedEngine) -> bool:
         """Start items of the first holder that has some, and return whether there were any."""
-        room = engine.slots.batch_room(self._clock.monotonic())
+        room = engine.slots.batch_capacity(self._clock.monotonic())
         if room < 1:
             return False
         engine_id = engine.machine.machine_id
@@ -328,7 +328,7 @@
     def preempt(self, engine_id: str, attempt_ids: tuple[str, ...]) -> None:
         """Abort attempts that lost their slots to online work, and pause their items."""
         connection = None
-        for engine in self._registry.owned():
+        for engine in self._registry.usable_engines():
             if engine.machine.machine_id == engine_id:
                 connection = engine.connection
         for attempt_id in attempt_ids:
--- a/postvalve/node/batch/shard_leases.py
+++ b/postvalve/node/batch/shard_leases.py
@@ -134,7 +134,7 @@
     def _is_view_complete(self) -> bool:
         # A node that has just started and has heard from no other node would be the preferred
         # holder of every shard, and would claim them all.
-        if self._view_complete or self._membership.heard_all_listed():
+        if self._view_complete or self._membership.all_listed_nodes_known():
             self._view_complete = True
         timing = self._settings.timing
         timeout = timing.machine_list_interval + timing.dead_after + timing.digest_interval
--- a/postvalve/node/http/chat.py
+++ b/postvalve/node/http/chat.py
@@ -64,7 +64,7 @@
                 content_type="text/event-stream",
                 direct_passthrough=True,
             )
-        return Response(answer.whole(), headers=headers, content_type="application/json")
+        return Response(answer.read_body(), headers=headers, content_type="application/json")
 
     def _complete_idempotent(
         self, online: OnlineRequest, key: str, headers: dict[str, str]
--- a/postvalve/node/http/server.py
+++ b/postvalve/node/http/server.py
@@ -8,11 +8,11 @@
 
 from postvalve.node.http.application import NodeApplication
 from postvalve.settings.process import HttpSettings
-from postvalve.wsgi_handler import SendAtOnceHandler
+from postvalve.wsgi_handler import NoDelayHandler
 
 
 class _Server(WSGIServer):
-    handler_class = SendAtOnceHandler
+    handler_class = NoDelayHandler
 
     def __init__(self, listen: str, application: NodeApplication, http: HttpSettings) -> None:
         host, _, port = listen.rpartition(":")
--- a/postvalve/node/membership_service.py
+++ b/postvalve/node/membership_service.py
@@ -25,7 +25,7 @@
 from postvalve.messages.generated import peer
 from postvalve.node.background import BackgroundTasks
 from postvalve.node.context import NodeContext
-from postvalve.node.passed_over import PassedOver
+from postvalve.node.unknown_messages import UnknownMessageCounter
 from postvalve.services.machines import Machine
 from postvalve.states import MachineKind, MachineState, NodeState
 
@@ -47,7 +47,7 @@
         self._settings = context.settings
         self._clock = context.clock
         self._events = context.events
-        self._passed_over = PassedOver(context.events)
+        self._passed_over = UnknownMessageCounter(context.events)
         self._metrics = context.metrics
         self._machine_list = context.machine_list
         self._transport = context.transport
@@ -221,7 +221,7 @@
             message = decode_datagram(data)
             self._handle_message(message)
         except UnknownKindError as unknown:
-            self._passed_over.note(unknown.header.kind, address, self._clock.monotonic())
+            self._passed_over.record(unknown.header.kind, address, self._clock.monotonic())
         except FrameError as error:
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=address, error=str(error))
 
--- a/postvalve/node/online/run.py
+++ b/postvalve/node/online/run.py
@@ -141,7 +141,7 @@
         while True:
             assert self._stream is not None
             try:
-                content = self._stream.whole()
+                content = self._stream.read_body()
                 self._observer.record_first_token(self._request)
                 self.finish("completed")
                 return content
--- a/postvalve/node/peer_link.py
+++ b/postvalve/node/peer_link.py
@@ -31,8 +31,8 @@
     encode_frame,
 )
 from postvalve.messages.generated import peer
-from postvalve.node.passed_over import PassedOver
-from postvalve.sockets import end_when_silent, send_at_once
+from postvalve.node.unknown_messages import UnknownMessageCounter
+from postvalve.sockets import disable_nagle, enable_keepalive
 
 CONNECT_TIMEOUT = 0.5
 """Time-out, in seconds, of connecting to a peer."""
@@ -81,7 +81,7 @@
         host, _, port = listen.rpartition(":")
         self._handler = handler
         self._events = events
-        self._passed_over = PassedOver(events)
+        self._passed_over = UnknownMessageCounter(events)
         self._server = StreamServer((host, int(port)), self._serve)
 
     def start(self) -> None:
@@ -93,8 +93,8 @@
         self._server.stop(timeout=1)
 
     def _serve(self, connection: socket, address: object) -> None:
-        send_at_once(connection)
-        end_when_silent(connection)
+        disable_nagle(connection)
+        enable_keepalive(connection)
         write_lock = RLock()
         handlers = Pool(MAX_HANDLERS_PER_CONNECTION)
         try:
@@ -121,7 +121,7 @@
             try:
                 return read_frame(connection)
             except UnknownKindError as unknown:
-                self._passed_over.note(unknown.header.kind, str(address), time.monotonic())
+                self._passed_over.record(unknown.header.kind, str(address), time.monotonic())
                 data = encode_frame(peer.Acknowledgement(), unknown.header.correlation_id)
                 with write_lock:
                     connection.sendall(data)
@@ -155,7 +155,7 @@
         host, _, port = address.rpartition(":")
         self._socket = create_connection((host, int(port)), timeout=CONNECT_TIMEOUT)
         self._socket.settimeout(None)
-        send_at_once(self._socket)
+        disable_nagle(self._socket)
         self._write_lock = RLock()
         self._pending: dict[int, AsyncResult] = {}
         self._correlation_ids = itertools.count(1)
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -6,7 +6,7 @@
 from tests.support import (
     answer_text,
     batch_document,
-    expected_start,
+    expected_first_token,
     result_lines,
     wait_for_batch,
 )
@@ -36,7 +36,7 @@
     case.assertEqual(ids, sorted(f"{name}-{number}" for number in range(count)))
     for line in answered:
         text = answer_text(line)
-        case.assertTrue(text.startswith(expected_start(f"text of {line['custom_id']}")))
+        case.assertTrue(text.startswith(expected_first_token(f"text of {line['custom_id']}")))
         case.assertEqual(len(text.split()), 6)
     for line in failed:
         case.assertEqual(line["error"]["code"], "may_have_run")
--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -13,7 +13,7 @@
 from postvalve.emulator.virtual_time import run_virtual
 from postvalve.events import Event
 from postvalve.messages.generated import peer
-from tests.checks import check_job, engine_runs, running_nodes, views_agree
+from tests.checks import check_job, check_views_agree, count_engine_starts, running_nodes
 from tests.support import (
     batch_lines,
     create_batch,
@@ -119,7 +119,7 @@
             for engine in fleet.engines.values():
                 engine.poison = "text of item-3"
             job_id = submit_batch(fleet, "node-0-0", 20)
-            document = wait_for_batch(fleet, job_id, patience=600.0)
+            document = wait_for_batch(fleet, job_id, timeout=600.0)
             self.assertEqual(document["request_counts"]["completed"], 19)
             [line] = result_lines(fleet, document, kind="error_file_id")
             self.assertEqual(line["custom_id"], "item-3")
@@ -174,7 +174,7 @@
             self.assertEqual({answer.status for answer in answers}, {200})
             self.assertEqual(len({answer.document["id"] for answer in answers}), 1)
             check_job(self, fleet, answers[0].document["id"], 30)
-            self.assertEqual(set(engine_runs(fleet).values()), {1})
+            self.assertEqual(set(count_engine_starts(fleet).values()), {1})
 
         self.simulate(run)
 
@@ -270,7 +270,7 @@
             self.assertNotEqual(self.holder_of(fleet, job_id), holder)
             fleet.thaw_node(holder)
             check_job(self, fleet, job_id, 600)
-            views_agree(self, fleet, job_id)
+            check_views_agree(self, fleet, job_id)
 
         self.simulate(run)
 
@@ -300,7 +300,7 @@
         self.assertEqual(answer.status, 200)
         self.assertIn(answer.document["status"], ("cancelled", "completed"))
         gevent.sleep(5)
-        document = views_agree(self, fleet, job_id)
+        document = check_views_agree(self, fleet, job_id)
         self.assertEqual(document["status"], answer.document["status"])
         running = [engine.model.load().running for engine in fleet.engines.values()]
         self.assertEqual(running, [0] * len(running))
@@ -390,9 +390,9 @@
             gevent.sleep(0.3)
             fleet.log.model.faults.fault = LogFault.DOWN
             gevent.sleep(60)
-            before = sum(engine_runs(fleet).values())
+            before = sum(count_engine_starts(fleet).values())
             gevent.sleep(60)
-            self.assertEqual(sum(engine_runs(fleet).values()), before)
+            self.assertEqual(sum(count_engine_starts(fleet).values()), before)
             fleet.log.model.faults.fault = LogFault.NONE
             check_job(self, fleet, job_id, 300, at_most_once=True)
 
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -17,7 +17,7 @@
     VirtualFleet,
 )
 from postvalve.emulator.virtual_time import run_virtual
-from tests.checks import check_job, engine_runs, running_nodes, views_agree
+from tests.checks import check_job, check_views_agree, count_engine_starts, running_nodes
 from tests.support import (
     answer_tokens,
     batch_lines,
@@ -235,8 +235,8 @@
     def check(self):
         for job_id, name, count, at_most_once in self.jobs:
             check_job(self.case, self.fleet, job_id, count, name=name, at_most_once=at_most_once)
-            views_agree(self.case, self.fleet, job_id)
-        runs = engine_runs(self.fleet)
+            check_views_agree(self.case, self.fleet, job_id)
+        runs = count_engine_starts(self.fleet)
         self.case.assertEqual([text for text in self.not_run_texts if runs[text]], [])
         self.case.assertEqual([text for text in self.at_most_once_texts if runs[text] > 1], [])
         self.case.assertGreater(self.answer_count, 0)
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -21,8 +21,8 @@
     RETRY_ADMISSION_TIMEOUT,
     AdmissionClient,
 )
-from tests.checks import check_job, engine_runs
-from tests.support import answer_tokens, expected_start, submit_batch
+from tests.checks import check_job, count_engine_starts
+from tests.support import answer_tokens, expected_first_token, submit_batch
 
 CHAT = "/v1/chat/completions"
 AT_MOST_ONCE = {"X-Postvalve-At-Most-Once": "true"}
@@ -142,7 +142,7 @@
         def run(fleet):
             fault(fleet)
             answer = self.send_chat(fleet, headers=headers, **options)
-            return answer, engine_runs(fleet)["hi"]
+            return answer, count_engine_starts(fleet)["hi"]
 
         return self.simulate(run)
 
@@ -177,7 +177,7 @@
     def test_answer_is_crossed_once_and_the_request_may_repeat(self):
         answer, _ = self.answer_and_runs(lambda fleet: self.inject_faults(fleet, crossed_answers=1))
         text = answer.document["choices"][0]["message"]["content"]
-        self.assertTrue(text.startswith(expected_start("hi")))
+        self.assertTrue(text.startswith(expected_first_token("hi")))
 
     def test_every_repetition_is_crossed(self):
         answer, runs = self.answer_and_runs(
@@ -271,7 +271,7 @@
                 self.assertIn(b"error", answer.chunks[-1])
                 continue
             self.assertEqual(len(tokens), 6)
-            self.assertEqual(tokens[0], expected_start(f"q{number}"))
+            self.assertEqual(tokens[0], expected_first_token(f"q{number}"))
         complete = sum(answer_tokens(answer) is not None for answer in answers)
         self.assertGreaterEqual(complete, 35)
 
@@ -365,7 +365,7 @@
                 )
                 gevent.sleep(0.002)
             answers = [request.get() for request in requests]
-            return answers, fleet.loop.now() - started, sum(engine_runs(fleet).values())
+            return answers, fleet.loop.now() - started, sum(count_engine_starts(fleet).values())
 
         parameters = EngineParameters(slots=4)
         answers, _, runs = self.simulate(run, parameters=parameters)
