--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -250,7 +250,7 @@
             "models": [{"name": "m"}, {"name": "m"}],
             "pools": [{"name": "p", "models": ["other"]}],
         }
-        with self.assertRaisesRegex(ValueError, "stands twice.*other.*shares a key"):
+        with self.assertRaisesRegex(ValueError, "duplicate name .m.*other.*shares a key"):
             FleetConfiguration.model_validate(document)
 
     def test_highest_precedence_then_first_wins(self):
