--- a/tests/test_competing_tenants.py
+++ b/tests/test_competing_tenants.py
@@ -35,7 +35,7 @@
         self.addCleanup(self.fleet.stop)
         self.nodes = list(self.fleet.nodes.values())
         wait_until(lambda: all(len(node.peers.all()) == 2 for node in self.nodes))
-        self.fleet.engines[0].usual = Behaviour(events=1, thinks=SLOT_TIME)
+        self.fleet.engines[0].default_behaviour = Behaviour(events=1, head_delay=SLOT_TIME)
         # Lenders start with empty buckets, a coordinator listens first, and a queue needs all
         # nodes.
         wait_until(lambda: all(node.peers.features() & Feature.LINE for node in self.nodes))
--- a/tests/test_gateway_online.py
+++ b/tests/test_gateway_online.py
@@ -36,7 +36,7 @@
         """Set the behaviours of the next attempts, whichever engines get them."""
         plan = list(behaviours)
         for engine in self.fleet.engines:
-            engine.plan = plan
+            engine.next_behaviours = plan
 
     def runs(self):
         return [run for engine in self.fleet.engines for run in engine.runs]
@@ -78,7 +78,7 @@
     def test_connection_with_bytes_after_a_response_is_not_reused(self):
         extra = b"HTTP/1.1 200 OK\r\nRequest-Id: x\r\nContent-Length: 1\r\n\r\nX"
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(surplus=extra)
+            engine.default_behaviour = Behaviour(trailing_bytes=extra)
         for number in range(4):
             answer = self.fleet.request("n0", STREAM_PATH, request_id=f"r{number}")
             self.assertEqual(answer.body, whole_stream(f"r{number}"))
@@ -87,7 +87,7 @@
     def test_connection_that_received_bytes_while_idle_is_not_reused(self):
         extra = b"HTTP/1.1 200 OK\r\nRequest-Id: x\r\nContent-Length: 1\r\n\r\nX"
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(late_surplus=extra)
+            engine.default_behaviour = Behaviour(late_trailing_bytes=extra)
         for number in range(4):
             answer = self.fleet.request("n0", STREAM_PATH, request_id=f"r{number}")
             self.assertEqual(answer.body, whole_stream(f"r{number}"))
@@ -96,7 +96,7 @@
         self.assertEqual(self.fleet.events("n0", Event.ROUTED_ATTEMPT_FAILED), [])
 
     def test_response_to_another_request_is_not_forwarded(self):
-        self.plan(Behaviour(foreign=True))
+        self.plan(Behaviour(wrong_request_id=True))
         answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
         self.assertEqual(len(self.runs()), 2)
@@ -133,7 +133,7 @@
 
     def test_attempts_are_bounded(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(cut_after=-1)
+            engine.default_behaviour = Behaviour(cut_after=-1)
         answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, len(self.runs())), (502, 3))
 
@@ -163,7 +163,7 @@
 
     def test_refusal_has_retry_after(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(refuse=True)
+            engine.default_behaviour = Behaviour(refuse=True)
         answer = self.fleet.request("n0", ONCE_PATH, headers=[("Deadline-Ms", "400")])
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["retry-after"]), 0)
@@ -174,12 +174,12 @@
 class TimeTest(OnlineCase):
     def test_request_past_its_deadline_gets_a_response(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(silent=True)
+            engine.default_behaviour = Behaviour(silent=True)
         answer = self.fleet.request("n0", ONCE_PATH, headers=[("Deadline-Ms", "300")])
         self.assertEqual(answer.status, 504)
 
     def test_slow_engine_is_waited_for_where_no_retry_is_allowed(self):
-        self.plan(Behaviour(thinks=0.6))
+        self.plan(Behaviour(head_delay=0.6))
         with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 0.1):
             answer = self.fleet.request("n0", ONCE_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
@@ -190,7 +190,7 @@
         self.fleet.configure(targetLatencyMs=600)
         holder = self.fleet.nodes["n0"].configuration
         wait_until(lambda: holder.table.route_named("stream").target_latency == 0.6)
-        self.plan(Behaviour(thinks=1.2))
+        self.plan(Behaviour(head_delay=1.2))
         headers = [("Prompt-Prefix", "aa:100,bb:40")]
         self.assertTrue(self.fleet.request("n0", STREAM_PATH, headers=headers).whole)
         self.fleet.request("n0", STREAM_PATH, request_id="r2")
@@ -201,7 +201,7 @@
         self.assertEqual([use.total(one.engine_id).unread for one in self.fleet.engines], [0, 0])
 
     def test_silent_engine_is_given_up_where_a_retry_is_allowed(self):
-        self.plan(Behaviour(thinks=3.0))
+        self.plan(Behaviour(head_delay=3.0))
         with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 0.1):
             answer = self.fleet.request("n0", STREAM_PATH)
         self.assertEqual((answer.status, answer.body), (200, whole_stream()))
@@ -209,7 +209,7 @@
 
     def test_disconnecting_client_ends_its_attempt(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(pause=0.05, events=200)
+            engine.default_behaviour = Behaviour(pause=0.05, events=200)
         connection = self.fleet.open("n0", STREAM_PATH)
         wait_until(lambda: sum(one.running for one in self.fleet.engines) == 1)
         connection.close()
@@ -217,13 +217,13 @@
 
     def test_client_disconnecting_before_the_first_event_ends_its_attempt(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(silent=True)
+            engine.default_behaviour = Behaviour(silent=True)
         # Neither the engine's time-out nor the route's (5 s) ends the attempt earlier.
         with mock.patch.object(routed_run, "FIRST_EVENT_TIMEOUT", 60.0):
             connection = self.fleet.open("n0", STREAM_PATH)
             wait_until(lambda: sum(len(one.heads) for one in self.fleet.engines) == 1)
             connection.close()
-            wait_until(lambda: self.fleet.events("n0", Event.ROUTED_ATTEMPT_FAILED), patience=3.0)
+            wait_until(lambda: self.fleet.events("n0", Event.ROUTED_ATTEMPT_FAILED), timeout=3.0)
         self.assertEqual(sum(len(one.heads) for one in self.fleet.engines), 1)
 
 
@@ -342,7 +342,7 @@
         self.make_store_unavailable(node)
         self.unlist()
         wait_until(lambda: self.fleet.events("n0", Event.ENGINES_LAPSED))
-        wait_until(lambda: not node._fleet.listed_engines(), patience=6.0)
+        wait_until(lambda: not node._fleet.listed_engines(), timeout=6.0)
 
     def test_request_is_refused_at_once_if_the_last_engine_has_gone(self):
         self.fleet.list_engine(self.engine)
@@ -366,7 +366,7 @@
     def test_drain_finishes_running_requests(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
-        fleet.engines[0].usual = Behaviour(pause=0.05, events=12)
+        fleet.engines[0].default_behaviour = Behaviour(pause=0.05, events=12)
         node = fleet.nodes["n0"]
         asked = gevent.spawn(fleet.request, "n0", STREAM_PATH)
         wait_until(lambda: fleet.engines[0].running == 1)
@@ -382,7 +382,7 @@
     def test_requests_late_in_a_drain_are_refused(self):
         fleet = GatewayFleet(nodes=1, engines=1)
         self.addCleanup(fleet.stop)
-        fleet.engines[0].usual = Behaviour(pause=0.05, events=60)
+        fleet.engines[0].default_behaviour = Behaviour(pause=0.05, events=60)
         node = fleet.nodes["n0"]
         connection = fleet.connect("n0")
         asked = gevent.spawn(fleet.request, "n0", STREAM_PATH)
--- a/tests/test_resumed_streams.py
+++ b/tests/test_resumed_streams.py
@@ -18,7 +18,7 @@
         self.addCleanup(fleet.stop)
         plan = [Behaviour(cut_after=cut_after), *(Behaviour(status=status) for _ in range(9))]
         for engine in fleet.engines:
-            engine.plan = plan
+            engine.next_behaviours = plan
         return fleet.request("n0", STREAM_PATH + "x")
 
     def test_failed_resumption_looks_truncated(self):
