--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -1,4 +1,4 @@
-"""A few runs of real processes with kill -9, SIGSTOP and SIGCONT; they wait for events."""
+"""End-to-end tests with real processes under SIGKILL, SIGSTOP, SIGCONT and SIGTERM."""
 
 import concurrent.futures
 import json
@@ -48,7 +48,7 @@
             extra_headers=headers,
         ).id
 
-    def check(self, gateway, job_id, count, *, once=False):
+    def check_results(self, gateway, job_id, count, *, at_most_once=False):
         client = self.client(gateway)
 
         def ended():
@@ -67,11 +67,11 @@
         for line in lines:
             start = expected_start(f"text of {line['custom_id']}")
             self.assertTrue(answer_text(line).startswith(start))
-        if not once:
+        if not at_most_once:
             self.assertEqual(failed, [])
         return lines, failed
 
-    def served(self):
+    def served_requests(self):
         return sum(
             call(f"http://{address}/statistics", "GET", None)["served"]
             for address in self.fleet.engines.values()
@@ -86,60 +86,60 @@
         self.wait_for_progress(0, job_id)
         self.fleet.signal("node-0-1", signal.SIGKILL)
         self.fleet.processes["node-0-1"].wait()
-        self.check(0, job_id, 300)
+        self.check_results(0, job_id, 300)
 
     def test_kill_9_of_the_other_node_with_items_that_must_not_repeat(self):
         job_id = self.submit(0, 200, **{"X-Postvalve-At-Most-Once": "true"})
         self.wait_for_progress(0, job_id)
         self.fleet.signal("node-0-0", signal.SIGKILL)
         self.fleet.processes["node-0-0"].wait()
-        lines, failed = self.check(1, job_id, 200, once=True)
-        # Every answer came from a run, and no item ran twice.
-        self.assertGreaterEqual(self.served(), len(lines))
-        self.assertLessEqual(self.served(), 200)
+        lines, failed = self.check_results(1, job_id, 200, at_most_once=True)
+        # Every answer must stem from a run, and no item may have run twice.
+        self.assertGreaterEqual(self.served_requests(), len(lines))
+        self.assertLessEqual(self.served_requests(), 200)
         for line in failed:
             self.assertEqual(line["error"]["verdict"], "may_have_run")
 
-    def test_stopped_node_wakes_and_does_no_harm(self):
+    def test_resumed_node_does_not_repeat_items(self):
         job_id = self.submit(0, 300)
         self.wait_for_progress(0, job_id)
         self.fleet.signal("node-0-1", signal.SIGSTOP)
-        first = self.fleet.nodes[0]
+        observer = self.fleet.nodes[0]
 
         def declared_dead():
-            status = self.fleet.status(first)
-            return status is not None and [one["node_id"] for one in status["nodes"]] == [
-                first.node_id
+            status = self.fleet.status(observer)
+            return status is not None and [node["node_id"] for node in status["nodes"]] == [
+                observer.node_id
             ]
 
         wait_until(declared_dead, "death of the stopped node")
         self.fleet.signal("node-0-1", signal.SIGCONT)
-        self.check(0, job_id, 300)
-        self.check(1, job_id, 300)
+        self.check_results(0, job_id, 300)
+        self.check_results(1, job_id, 300)
 
     def test_kill_9_of_an_engine_under_streams(self):
         client = self.client(0)
 
-        def one(number):
-            stream = self.started_stream(client, f"q{number}", 60)
+        def read_stream(number):
+            stream = self.open_stream(client, f"q{number}", 60)
             return "".join(chunk.choices[0].delta.content or "" for chunk in stream)
 
         with concurrent.futures.ThreadPoolExecutor(12) as pool:
-            asked = [pool.submit(one, number) for number in range(12)]
-            wait_until(lambda: self.served() >= 12, "streams")
+            futures = [pool.submit(read_stream, number) for number in range(12)]
+            wait_until(lambda: self.served_requests() >= 12, "streams")
             self.fleet.signal("engine-0", signal.SIGKILL)
-            for number, future in enumerate(asked):
+            for number, future in enumerate(futures):
                 try:
                     answer = future.result()
                 except openai.APIError as error:
-                    # An error that says so is allowed; a silent short answer is not.
+                    # An explicit error is allowed, a truncated answer without one is not.
                     self.assertIn("may_have_run", str(error.body))
                     continue
                 self.assertEqual(len(answer.split()), 60)
                 self.assertTrue(answer.startswith(expected_start(f"q{number}")))
 
-    def raw(self, gateway, data):
-        """Send bytes to a node; returns all it answers until it closes the connection."""
+    def send_bytes(self, gateway, data):
+        """Send bytes to a node and return all it sends until it closes the connection."""
         address = self.fleet.nodes[gateway].http.rpartition(":")
         with socket.create_connection((address[0], int(address[2])), timeout=30) as connection:
             connection.sendall(data)
@@ -148,27 +148,27 @@
                 while part := connection.recv(65536):
                     answer += part
             except ConnectionResetError:
-                # The node closed with bytes of ours unread, as it does for endless headers.
+                # The node closed with unread input, as it does when headers exceed the limit.
                 pass
         return answer
 
-    def test_hostile_connections_are_ended_and_others_served(self):
+    def test_malformed_and_stalled_connections_are_closed_and_others_served(self):
         large = b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-A: " + b"a" * 200_000 + b"\r\n\r\n"
-        self.assertRegex(self.raw(0, large), rb"^HTTP/1.1 4\d\d |^$")
-        self.assertRegex(self.raw(0, b"nonsense\r\n\r\n"), rb"^HTTP/1.1 400 ")
-        # Silent from the start, in the middle of headers, and in the middle of a body.
-        self.assertEqual(self.raw(0, b""), b"")
-        self.raw(0, b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-")
+        self.assertRegex(self.send_bytes(0, large), rb"^HTTP/1.1 4\d\d |^$")
+        self.assertRegex(self.send_bytes(0, b"nonsense\r\n\r\n"), rb"^HTTP/1.1 400 ")
+        # Clients that stop sending: at once, within the headers, and within the body.
+        self.assertEqual(self.send_bytes(0, b""), b"")
+        self.send_bytes(0, b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-")
         cut = (
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n"
             b"Authorization: Bearer sk-demo-member-desk\r\n\r\n{"
         )
-        self.assertRegex(self.raw(0, cut), rb"^HTTP/1.1 400 |^$")
+        self.assertRegex(self.send_bytes(0, cut), rb"^HTTP/1.1 400 |^$")
         answer = self.client(0).models.list().data
         self.assertEqual([model.id for model in answer], [self.fleet.shape.model])
 
-    def started_stream(self, client, content="long", max_tokens=200):
-        """A stream; refused ones did not run and are asked for again, as clients are told to."""
+    def open_stream(self, client, content="long", max_tokens=200):
+        """Open a stream, and repeat the request after refusals, which did not run it."""
         streams = []
 
         def started():
@@ -191,7 +191,7 @@
         return streams[0]
 
     def test_sigterm_finishes_streams_and_exits_with_0(self):
-        stream = self.started_stream(self.client(1))
+        stream = self.open_stream(self.client(1))
         first = next(iter(stream))
         self.fleet.signal("node-0-1", signal.SIGTERM)
         rest = [chunk.choices[0].delta.content or "" for chunk in stream]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: each check can fail, a seed gives its faults again, and a short run holds."""
+"""Tests of the soak: checks detect violations, schedules are reproducible, a short run passes."""
 
 import itertools
 import signal
@@ -44,13 +44,13 @@
 )
 
 
-class PromiseTest(unittest.TestCase):
+class InvariantTest(unittest.TestCase):
     def setUp(self):
         self.invariants = InvariantChecker()
         self.job = Job("i-1", {"i-1-0": "a", "i-1-1": "b"}, 0.0, accepted_at=10.0)
 
     def violations(self):
-        return [told.partition(":")[0] for told in self.invariants.violations]
+        return [violation.partition(":")[0] for violation in self.invariants.violations]
 
     def read(self, *results, position=0, total=2):
         rows = [{"id": item, "state": state, "text": text} for item, state, text in results]
@@ -63,7 +63,7 @@
             setattr(req, name, value)
         return req
 
-    def test_an_answer_of_somebody_else(self):
+    def test_an_answer_to_another_request(self):
         self.invariants.check_online_request(self.online())
         self.invariants.check_online_request(self.online(body=b"y", whole=False))
         self.assertEqual(self.violations(), [])
@@ -91,7 +91,7 @@
         clients.statuses = statuses
         clients.check([Run(request_id, at) for request_id, at in runs])
 
-    def test_a_tenant_beyond_its_limit(self):
+    def test_a_tenant_above_its_limit(self):
         allowed = [(f"t-limited-{number}", number * 0.2) for number in range(60)]
         again = [(request_id, 0.1) for request_id, _ in allowed]
         self.tenants({}, allowed + again[:1])
@@ -109,10 +109,10 @@
         self.tenants({"t-limited-1": 429}, [])
         self.assertEqual(self.violations(), [])
         self.tenants({"t-limited-1": 429, "t-large-2": 429}, [("t-limited-1", 1.0)])
-        wanted = ['"not run" is true', "no tenant is refused below its limit"]
-        self.assertEqual(sorted(self.violations()), wanted)
+        expected = ['"not run" is true', "no tenant is refused below its limit"]
+        self.assertEqual(sorted(self.violations()), expected)
 
-    def test_a_tenant_that_is_hardly_served(self):
+    def test_a_tenant_that_is_starved(self):
         busy = {f"t-busy-{number}": 200 for number in range(80)}
         quiet = {f"t-quiet-{number}": 200 if number < 6 else 503 for number in range(20)}
         self.tenants(busy | quiet, [])
@@ -125,13 +125,13 @@
         self.read(total=3)
         self.assertEqual(self.violations(), ["the number of items"])
 
-    def test_a_job_that_is_not_known(self):
+    def test_an_accepted_job_that_is_unknown(self):
         self.invariants.check_unknown_job(self.job, "n0", 11.0)
         self.assertEqual(self.violations(), [])
         self.invariants.check_unknown_job(self.job, "n0", 12.0)
         self.assertEqual(self.violations(), ["accepted jobs are known"])
 
-    def test_a_configuration_that_steps_back(self):
+    def test_a_configuration_that_goes_backwards(self):
         for life, revision in (("n0#1", 4), ("n0#1", 6), ("n0#2", 4)):
             self.invariants.check_revision_order(life, revision)
         self.assertEqual(self.violations(), [])
@@ -172,20 +172,20 @@
         self.invariants.check_runs([Run("i-1-0", 28.0)], [], [self.job])
         self.assertEqual(self.violations(), ["a cancelled job stops"])
 
-    def test_that_a_machine_is_replaced_excuses_nothing_elsewhere(self):
+    def test_replacing_a_node_is_no_fault_of_other_nodes(self):
         self.invariants.spans.append(FaultSpan(NODE_REPLACE, "n0", 1.0, 9.0))
         self.assertTrue(self.invariants.fault_free(5.0, 6.0))
         self.assertFalse(self.invariants.undisturbed("n0", "e0", 5.0))
         self.assertTrue(self.invariants.undisturbed("n1", "e0", 5.0))
 
-    def test_a_replaced_machine_that_cuts_a_request(self):
+    def test_a_replaced_node_that_cuts_a_request(self):
         self.invariants.spans.append(FaultSpan(NODE_REPLACE, "n0", 1.5, 4.0))
         self.invariants.check_planned_stops([self.online(status=0, whole=False)])
         self.invariants.check_runs(
             [Run("o-1", 1.1)], [self.online(status=0, whole=False, connection_reused=True)], []
         )
-        wanted = ["a planned stop cuts nothing", "a kept connection answers what it took"]
-        self.assertEqual(self.violations(), wanted)
+        expected = ["a planned stop cuts nothing", "a kept connection answers what it took"]
+        self.assertEqual(self.violations(), expected)
 
     def test_online_requests_behind_batch(self):
         calm = [Run("o-1", 5.0, waited=0.1, items=3)] * 20
@@ -247,7 +247,7 @@
         self.fatal(0.0, 0.1, 0.2, 4.0, 5.0, 6.0, 7.0)
         self.assertEqual(self.violations(), ["a request under which engines end is held back"])
 
-    def test_what_a_node_sends_that_was_cut_off_does_not_count(self):
+    def test_requests_of_a_suspended_node_are_not_counted(self):
         self.invariants.spans = [
             FaultSpan("node_stop", "n0", 1.0, 6.0),
             FaultSpan("fatal_request", "", 0, 9),
@@ -255,7 +255,7 @@
         self.fatal(0.0, 0.1, 0.2, 4.0, 5.0, 6.0, 7.0)
         self.assertEqual(self.violations(), [])
 
-    def test_nobody_is_served_beside_it(self):
+    def test_too_few_requests_are_served_beside_a_fatal_one(self):
         self.invariants.spans = [FaultSpan("fatal_request", "", 0.0, 12.0)]
         requests = [
             OnlineRequest(f"o-{number}", True, "n0", 8.0, 8.5, status=200, whole=number < 7)
@@ -270,20 +270,20 @@
 
     def test_a_kept_connection_that_ends_without_an_answer(self):
         cut = self.online(status=0, whole=False, connection_reused=True)
-        ran = [Run("o-1", 1.1)]
+        runs = [Run("o-1", 1.1)]
         self.invariants.check_runs([], [cut], [])
-        self.invariants.check_runs(ran, [self.online(connection_reused=True)], [])
-        self.invariants.check_runs(ran, [self.online(status=0, whole=False)], [])
+        self.invariants.check_runs(runs, [self.online(connection_reused=True)], [])
+        self.invariants.check_runs(runs, [self.online(status=0, whole=False)], [])
         self.invariants.spans.append(FaultSpan("node_kill", "n0", 1.2, 1.4))
-        self.invariants.check_runs(ran, [cut], [])
+        self.invariants.check_runs(runs, [cut], [])
         self.assertEqual(self.violations(), [])
         for spans in ([], [FaultSpan("node_term", "n0", 1.2, 1.4)]):
             self.invariants.spans[:] = spans
-            self.invariants.check_runs(ran, [cut], [])
+            self.invariants.check_runs(runs, [cut], [])
         self.assertEqual(self.violations(), ["a kept connection answers what it took"] * 2)
 
     def test_a_request_on_a_kept_connection_whose_time_is_over(self):
-        """Its engine was silent until then, so its node could end it in no other way."""
+        """At the deadline, a node may cut the answer of a silent engine: no other way is left."""
         cut = self.online(status=0, whole=False, connection_reused=True, deadline=2.0)
         self.invariants.check_runs([Run("o-1", 1.1)], [cut], [])
         self.assertEqual(self.violations(), [])
@@ -291,7 +291,7 @@
         self.invariants.check_runs([Run("o-1", 1.1)], [cut], [])
         self.assertEqual(self.violations(), ["a kept connection answers what it took"])
 
-    def test_a_planned_stop_that_cuts(self):
+    def test_a_planned_stop_that_cuts_a_request(self):
         under_way = self.online(status=0, whole=False)
         stop = FaultSpan("node_term", "n0", 1.5, 4.0)
         self.invariants.spans += [stop, FaultSpan("node_kill", "n1", 2.0, 3.0)]
@@ -305,33 +305,33 @@
 
 
 class ScheduleTest(unittest.TestCase):
-    def test_a_seed_gives_its_faults_again(self):
+    def test_a_seed_determines_the_schedule(self):
         self.assertEqual(schedule(7, 60.0, KINDS), schedule(7, 60.0, KINDS))
         self.assertNotEqual(schedule(7, 60.0, KINDS), schedule(8, 60.0, KINDS))
 
-    def test_a_long_schedule_holds_every_kind(self):
-        self.assertEqual({one.kind for one in schedule(7, 1800.0, KINDS)}, set(KINDS))
+    def test_a_long_schedule_contains_every_kind(self):
+        self.assertEqual({fault.kind for fault in schedule(7, 1800.0, KINDS)}, set(KINDS))
 
-    def test_there_are_calm_times_and_planned_stops_come_alone(self):
+    def test_there_are_quiet_periods_and_planned_stops_are_isolated(self):
         faults = schedule(7, 1800.0, KINDS)
-        gaps = [(one, after.at - one.at) for one, after in itertools.pairwise(faults)]
+        gaps = [(fault, following.at - fault.at) for fault, following in itertools.pairwise(faults)]
         self.assertGreater(sum(gap > QUIET_PERIOD for _, gap in gaps), 20)
-        stops = [gap for one, gap in gaps if one.kind in ISOLATED_KINDS]
+        stops = [gap for fault, gap in gaps if fault.kind in ISOLATED_KINDS]
         self.assertTrue(stops)
         self.assertGreater(min(stops), KINDS["node_term"][0])
 
 
 class ProxyTest(unittest.TestCase):
-    def test_it_starts_where_nobody_listens(self):
+    def test_the_proxy_starts_without_a_server(self):
         proxy = Proxy(1)
         self.addCleanup(proxy.stop)
         self.assertGreater(proxy.port, 0)
 
 
 class ProcessTest(unittest.TestCase):
-    """The sign of a suspension came to a node that was still starting, and ended it."""
+    """SIGUSR1 must not end a process that is starting and has not installed its handler yet."""
 
-    def test_the_sign_of_a_suspension_ends_no_process_that_starts(self):
+    def test_sigusr1_does_not_end_a_starting_process(self):
         with tempfile.TemporaryDirectory() as folder:
             process = Process("e", Path(folder), ["tests.soak.engine", "e", str(free_port())])
             process.start()
@@ -343,29 +343,33 @@
 
 
 class NodeTest(unittest.TestCase):
-    """A soak's node took half a second until it ignored the signal for changed settings."""
+    """A node of the soak must ignore SIGHUP soon after its start.
 
-    def test_it_imports_nothing_of_the_tests_before_it_ignores_signals(self):
-        """The product's own program takes 0.04 s; the tests' package brings a library of 0.3 s."""
+    This once took half a second, since the tests package was imported first; a SIGHUP that arrived
+    before ended the node.
+    """
+
+    def test_a_node_imports_nothing_of_the_tests_package(self):
+        """The product takes 0.04 s to import; the tests package adds a library that takes 0.3 s."""
         arguments = ["-X", "importtime", *CURRENT_BUILD.arguments]
         environment = {"PYTHONPATH": str(ROOT)}
-        ran = subprocess.run(
+        result = subprocess.run(
             [sys.executable, *arguments],
             env=environment,
             cwd=ROOT,
             capture_output=True,
             check=False,
         )
-        imported = {line.rpartition("|")[2].strip() for line in ran.stderr.decode().splitlines()}
+        imported = {line.rpartition("|")[2].strip() for line in result.stderr.decode().splitlines()}
         self.assertIn("postvalve.startup", imported)
         self.assertEqual(imported & {"tests", "hypothesis"}, set())
 
 
 class EngineTest(unittest.TestCase):
-    """Two faults that overlapped at an engine both started it again.
+    """Two overlapping faults at one engine must not both restart it.
 
-    Of two processes e2-2 the fleet knew the last one only; the other was listed, and was still
-    there after the soak had ended all that it knew.
+    When they did, two processes were called e2-2, and the fleet kept track of the second only. The
+    first stayed listed, and still ran after the soak had killed all processes that it knew.
     """
 
     def setUp(self):
@@ -376,7 +380,7 @@
         self.addCleanup(self.first.kill)
         self.addCleanup(lambda: (self.engine.link.stop(), self.engine.process.kill()))
 
-    def test_an_engine_that_two_faults_start_again_has_one_process(self):
+    def test_two_restarts_of_an_engine_start_one_process(self):
         self.first.kill()
         self.engine.start_again()
         again = self.engine.process
@@ -385,27 +389,31 @@
         self.assertIs(self.engine.process, again)
         self.assertEqual(self.engine.engine_id, "e0-2")
 
-    def test_the_next_life_of_an_engine_that_leaves_runs_beside_it(self):
+    def test_the_next_life_runs_beside_a_leaving_one(self):
         self.engine.start()
         self.assertTrue(self.first.runs and self.engine.process.runs)
         self.assertEqual(self.engine.engine_id, "e0-2")
 
 
 class ShortRunTest(unittest.TestCase):
-    def test_a_short_run_of_a_fixed_seed_holds(self):
+    def test_a_short_run_of_a_fixed_seed_passes(self):
         with own_ports(), tempfile.TemporaryDirectory() as folder:
             soak = Soak(
-                SHORT_SEED, SHORT_SECONDS, SHORT_KINDS, Path(folder), print_line=lambda told: None
+                SHORT_SEED, SHORT_SECONDS, SHORT_KINDS, Path(folder), print_line=lambda line: None
             )
             invariants = soak.run()
-            told = soak.report()
-        # The machine of a test run may be too busy for bounds of seconds.
+            report = soak.report()
+        # Checks with time limits can fail on a busy machine.
         violations = [
-            one for one in invariants.violations if one.partition(":")[0] not in TIME_BOUND_CHECKS
+            violation
+            for violation in invariants.violations
+            if violation.partition(":")[0] not in TIME_BOUND_CHECKS
         ]
-        self.assertEqual(violations, [], told)
-        self.assertGreater(invariants.check_counts["items complete exactly once"], 3, told)
-        self.assertGreater(invariants.check_counts["whole answers, to one's own request"], 50, told)
+        self.assertEqual(violations, [], report)
+        self.assertGreater(invariants.check_counts["items complete exactly once"], 3, report)
+        self.assertGreater(
+            invariants.check_counts["whole answers, to one's own request"], 50, report
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Nodes of an earlier build run beside such of this one while machines are replaced."""
+"""Tests of upgrades in which nodes of an earlier build and of this one run side by side."""
 
 import itertools
 import tempfile
@@ -11,20 +11,20 @@
 from tests.soak.upgrade import UpgradeSoak, draw_plan
 
 SHORT_SEED, SHORT_SECONDS = 2, 15.0
-"""This seed's upgrade is taken back halfway."""
+"""The upgrade of this seed is rolled back halfway."""
 SHORT_KINDS = ("engine_kill", "engine_leaves", "fatal_request", "config_storm")
 NODES, ENGINES = 3, 2
 
 
 class PlanTest(unittest.TestCase):
-    def test_four_seeds_in_a_row_have_both_directions_whole_and_taken_back(self):
+    def test_four_consecutive_seeds_cover_both_directions_completed_and_rolled_back(self):
         plans = [draw_plan(seed, 4) for seed in range(4)]
-        ways = {
+        outcomes = {
             (plan.from_current, len({step.uses_current for step in plan.steps})) for plan in plans
         }
-        self.assertEqual(ways, set(itertools.product((False, True), (1, 2))))
+        self.assertEqual(outcomes, set(itertools.product((False, True), (1, 2))))
 
-    def test_what_is_taken_back_ends_where_it_began_and_was_halfway(self):
+    def test_a_rollback_restores_the_initial_builds_after_mixed_ones(self):
         for seed in range(2, 400, 4):
             plan = draw_plan(seed, 4)
             builds = [plan.from_current] * 4
@@ -35,21 +35,21 @@
             self.assertTrue(mixed)
             self.assertEqual(builds, [plan.from_current] * 4)
 
-    def test_a_whole_one_replaces_each_machine_once_in_an_order_of_the_seed(self):
+    def test_a_completed_upgrade_replaces_each_node_once_in_an_order_of_the_seed(self):
         orders = {tuple(step.node for step in draw_plan(seed, 4).steps) for seed in range(0, 80, 4)}
         self.assertTrue(all(sorted(order) == [0, 1, 2, 3] for order in orders))
         self.assertGreater(len(orders), 5)
 
 
 class EarlierBuildTest(unittest.TestCase):
-    def test_history_that_is_missing_is_said_clearly(self):
+    def test_missing_history_is_reported_clearly(self):
         with (
             tempfile.TemporaryDirectory() as folder,
             self.assertRaisesRegex(HistoryMissingError, "full clone"),
         ):
             check_out("0" * 40, folder)
 
-    def test_production_is_a_landing(self):
+    def test_production_is_a_recent_release(self):
         self.assertIn(production(), RECENT_RELEASES)
 
 
@@ -61,22 +61,26 @@
                 SHORT_SECONDS,
                 SHORT_KINDS,
                 Path(folder),
-                lambda told: None,
+                lambda line: None,
                 nodes=NODES,
                 engines=ENGINES,
                 earlier=check_out(production(), Path(folder) / "builds"),
             )
             invariants = soak.run()
-            told = soak.report()
-        # The machine of a test run may be too busy for bounds of seconds.
+            report = soak.report()
+        # Checks with time limits can fail on a busy machine.
         violations = [
-            one for one in invariants.violations if one.partition(":")[0] not in TIME_BOUND_CHECKS
+            violation
+            for violation in invariants.violations
+            if violation.partition(":")[0] not in TIME_BOUND_CHECKS
         ]
-        self.assertEqual(violations, [], told)
-        self.assertEqual(sum(soak.replacements.values()), len(soak.plan.steps), told)
-        self.assertEqual(len(soak.replacements), 2, told)
-        self.assertGreater(invariants.check_counts["items complete exactly once"], 3, told)
-        self.assertGreater(invariants.check_counts["whole answers, to one's own request"], 50, told)
+        self.assertEqual(violations, [], report)
+        self.assertEqual(sum(soak.replacements.values()), len(soak.plan.steps), report)
+        self.assertEqual(len(soak.replacements), 2, report)
+        self.assertGreater(invariants.check_counts["items complete exactly once"], 3, report)
+        self.assertGreater(
+            invariants.check_counts["whole answers, to one's own request"], 50, report
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes and the official client."""
+"""End-to-end tests with real processes and the official OpenAI client."""
 
 import concurrent.futures
 import json
@@ -33,24 +33,24 @@
             **options,
         )
 
-    def test_streamed_and_whole_answers_agree(self):
+    def test_streamed_and_unstreamed_answers_agree(self):
         client = self.client()
-        whole = self.ask(client, "hello").choices[0].message.content
+        unstreamed = self.ask(client, "hello").choices[0].message.content
         chunks = list(self.ask(client, "hello", stream=True))
         streamed = "".join(chunk.choices[0].delta.content for chunk in chunks)
-        self.assertEqual(whole, streamed)
-        self.assertTrue(whole.startswith(expected_start("hello")))
+        self.assertEqual(unstreamed, streamed)
+        self.assertTrue(unstreamed.startswith(expected_start("hello")))
         self.assertEqual(len(chunks), 6)
 
-    def test_hundreds_at_once_from_two_tenants(self):
+    def test_hundreds_of_concurrent_streams_of_two_tenants(self):
         clients = [self.client(tenant, gateway) for tenant in (0, 1) for gateway in (0, 1)]
 
-        def one(number):
+        def ask_streamed(number):
             stream = self.ask(clients[number % 4], f"question {number}", stream=True)
             return "".join(chunk.choices[0].delta.content or "" for chunk in stream)
 
         with concurrent.futures.ThreadPoolExecutor(24) as pool:
-            answers = list(pool.map(one, range(240)))
+            answers = list(pool.map(ask_streamed, range(240)))
         for number, answer in enumerate(answers):
             self.assertTrue(answer.startswith(expected_start(f"question {number}")))
             self.assertEqual(len(answer.split()), 6)
@@ -62,13 +62,16 @@
         batch = client.batches.create(
             input_file_id=file.id, endpoint="/v1/chat/completions", completion_window="24h"
         )
-        other = self.client(gateway=1)
-        wait_until(lambda: other.batches.retrieve(batch.id).status == "completed", "batch")
-        ended = other.batches.retrieve(batch.id)
+        other_client = self.client(gateway=1)
+        wait_until(lambda: other_client.batches.retrieve(batch.id).status == "completed", "batch")
+        ended = other_client.batches.retrieve(batch.id)
         self.assertEqual(ended.request_counts.completed, 40)
-        lines = [json.loads(one) for one in other.files.content(ended.output_file_id).iter_lines()]
+        lines = [
+            json.loads(line)
+            for line in other_client.files.content(ended.output_file_id).iter_lines()
+        ]
         self.assertEqual(
-            sorted(one["custom_id"] for one in lines),
+            sorted(line["custom_id"] for line in lines),
             sorted(f"item-{number}" for number in range(40)),
         )
         for line in lines:
