--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -138,13 +138,13 @@
             gevent.spawn(self._run_online_request, self._random_node(), self._random.random() < 0.5)
             gevent.sleep(self._random.expovariate(ONLINE_RATE * len(self._fleet.engines)))
 
-    def _run_online_request(self, node, once):
+    def _run_online_request(self, node, at_most_once):
         request_id = f"o-{next(self._numbers)}"
         req = OnlineRequest(
-            request_id, once, node.name, time.time(), expected=expected_stream(request_id)
+            request_id, at_most_once, node.name, time.time(), expected=expected_stream(request_id)
         )
         self.requests.append(req)
-        path = ONCE_PATH if once else STREAM_PATH
+        path = ONCE_PATH if at_most_once else STREAM_PATH
         try:
             answer = self._send_request(
                 node, path, headers=[("Deadline-Ms", str(DEADLINE_MS))], request_id=request_id
--- a/tests/soak/engine.py
+++ b/tests/soak/engine.py
@@ -35,10 +35,10 @@
         super().__init__(engine_id, port)
 
     def _answer(self, connection, behaviour, request_id, headers):
-        item = request_id.startswith(ITEM_MARK)
+        is_item = request_id.startswith(ITEM_MARK)
         arrived, items_ahead = time.time(), self._items
         with self._slots:
-            self._items += item
+            self._items += is_item
             write_record(
                 run=request_id,
                 engine=self.engine_id,
@@ -55,7 +55,7 @@
             try:
                 return super()._answer(connection, behaviour_for(request_id), request_id, headers)
             finally:
-                self._items -= item
+                self._items -= is_item
 
 
 def behaviour_for(request_id):
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -65,7 +65,7 @@
         self._publishing = RLock()
         self.send_fatal = lambda number: None
         """Function that sends the fatal request of a number once more."""
-        self._fatals = itertools.count()
+        self._fatal_numbers = itertools.count()
 
     def start(self):
         self.store.start()
@@ -172,7 +172,7 @@
     def start_ended(self):
         """Restart nodes that exited without being stopped, as the platform does."""
         for node in self.nodes:
-            ended = not node.process.runs and not node.process.was_stopped
+            ended = not node.process.is_running and not node.process.was_stopped
             self.invariants.check("no process ends by itself", not ended, node.process.life)
             if ended:
                 node.process.start()
@@ -229,7 +229,7 @@
         process, life = node.process, node.process.life
         process.terminate()
         deadline = time.monotonic() + duration
-        while process.runs and process.life == life and time.monotonic() < deadline:
+        while process.is_running and process.life == life and time.monotonic() < deadline:
             gevent.sleep(0.1)
         # Another fault may have started a new life meanwhile, which was not told to stop.
         if process.life == life:
@@ -240,7 +240,7 @@
         former_id, link = engine.engine_id, engine.link
         engine.process.kill()
         gevent.sleep(duration)
-        engine.start_again()
+        engine.restart()
         self.list_engine(engine)
         gevent.sleep(max(0.0, ENTRY_TTL - duration))
         self.unlist_engine(former_id)
@@ -256,7 +256,7 @@
 
     def _fatal_request(self, node, engine, duration, *, keeps_id=False):
         """Repeat a request that makes engines exit, and restart these."""
-        number, deadline = next(self._fatals), time.monotonic() + duration
+        number, deadline = next(self._fatal_numbers), time.monotonic() + duration
         restarts = []
         while time.monotonic() < deadline:
             self.send_fatal(number)
@@ -269,7 +269,9 @@
     def _claim_ended_engines(self):
         """Return engines that exited by themselves, marked so that each is restarted once."""
         ended = [
-            each for each in self.engines if not (each.process.runs or each.process.was_stopped)
+            each
+            for each in self.engines
+            if not (each.process.is_running or each.process.was_stopped)
         ]
         for engine in ended:
             engine.process.was_stopped = True
@@ -282,7 +284,7 @@
     def _restart_engine(self, engine, *, keeps_id, after=ENGINE_RESTART_DELAY):
         former_id, link = engine.engine_id, engine.link
         gevent.sleep(after)
-        engine.start_again(keeps_id=keeps_id)
+        engine.restart(keeps_id=keeps_id)
         self.list_engine(engine)
         if not keeps_id:
             self.unlist_engine(former_id)
--- a/tests/soak/invariants.py
+++ b/tests/soak/invariants.py
@@ -55,7 +55,7 @@
     """An online request and the answer that its client received."""
 
     request_id: str
-    once: bool
+    at_most_once: bool
     node: str
     sent_at: float
     ended_at: float = 0.0
@@ -225,7 +225,7 @@
         """Check what engines ran against what clients were told."""
         counts = Counter(run.request_id for run in runs)
         for req in requests:
-            if req.once:
+            if req.at_most_once:
                 number = counts[req.request_id]
                 self.check("at most once", number <= 1, f"{req.request_id} ran {number} times")
                 if req.status in NOT_RUN:
@@ -242,20 +242,20 @@
         for run in runs:
             if run.request_id in nodes:
                 by_number[run.request_id.split("-")[1]].append(run)
-        for number, own in by_number.items():
-            own.sort(key=lambda run: run.at)
+        for number, fatal_runs in by_number.items():
+            fatal_runs.sort(key=lambda run: run.at)
             known_at = (
-                own[MAX_FATAL_ENDS - 1].at + RECOVERY_TIME
-                if len(own) >= MAX_FATAL_ENDS
+                fatal_runs[MAX_FATAL_ENDS - 1].at + RECOVERY_TIME
+                if len(fatal_runs) >= MAX_FATAL_ENDS
                 else float("inf")
             )
             late = [
                 run.request_id
-                for run in own
+                for run in fatal_runs
                 if run.arrived_at > known_at
                 and self.undisturbed(nodes[run.request_id], run.engine, run.arrived_at, FATAL_KINDS)
             ]
-            detail = f"request {number}: {len(own)} engines ended, late {late}"
+            detail = f"request {number}: {len(fatal_runs)} engines ended, late {late}"
             passed = len(late) <= MAX_FATAL_ENDS
             self.check("a request under which engines end is held back", passed, detail)
 
@@ -265,10 +265,10 @@
             start = span.start + SERVED_AFTER
             if span.kind not in FATAL_KINDS or not self.fault_free(start, span.end, but=span):
                 continue
-            beside = [req for req in requests if start < req.sent_at < span.end and req.ended_at]
-            served = [req for req in beside if req.status == 200 and req.whole]
-            detail = f"{len(served)} of {len(beside)} from {start:.1f} on"
-            passed = len(served) >= MIN_SERVED_SHARE * len(beside)
+            others = [req for req in requests if start < req.sent_at < span.end and req.ended_at]
+            served = [req for req in others if req.status == 200 and req.whole]
+            detail = f"{len(served)} of {len(others)} from {start:.1f} on"
+            passed = len(served) >= MIN_SERVED_SHARE * len(others)
             self.check("requests are served beside one under which engines end", passed, detail)
 
     def _check_departed_engines(self, runs, requests):
@@ -311,12 +311,15 @@
             if run.request_id in by_item:
                 starts[run.request_id].append(run.at)
         for item, times in starts.items():
-            acked = by_item[item].cancelled_at
-            if self.fault_free(acked, acked + CANCEL_TIMEOUT + 1.0):
+            acknowledged_at = by_item[item].cancelled_at
+            if self.fault_free(acknowledged_at, acknowledged_at + CANCEL_TIMEOUT + 1.0):
                 late = [
-                    at for at in times if at > acked + CANCEL_TIMEOUT and self.fault_free(acked, at)
+                    at
+                    for at in times
+                    if at > acknowledged_at + CANCEL_TIMEOUT
+                    and self.fault_free(acknowledged_at, at)
                 ]
-                detail = f"{item} ran at {late}, ended at {acked:.1f}"
+                detail = f"{item} ran at {late}, ended at {acknowledged_at:.1f}"
                 self.check("a cancelled job stops", not late, detail)
 
     def _check_refused_jobs(self, counts, jobs):
@@ -365,6 +368,6 @@
             for req in requests:
                 in_progress = req.node == span.target and req.sent_at < span.start < req.ended_at
                 if in_progress:
-                    ended = req.whole and req.status in (200, 429, 503)
+                    passed = req.whole and req.status in (200, 429, 503)
                     detail = f"{req.request_id} at {req.node}: {req.status}, whole {req.whole}"
-                    self.check("a planned stop cuts nothing", ended, detail)
+                    self.check("a planned stop cuts nothing", passed, detail)
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -59,12 +59,12 @@
         return self._popen.pid
 
     @property
-    def runs(self):
+    def is_running(self):
         return self._popen is not None and self._popen.poll() is None
 
     def start(self):
         """Start the process, unless a concurrent fault has already done so."""
-        if self.runs:
+        if self.is_running:
             return
         self.life_count += 1
         self.was_stopped = False
@@ -79,7 +79,7 @@
 
     def signal(self, number):
         with contextlib.suppress(ProcessLookupError):
-            if self.runs:
+            if self.is_running:
                 self._popen.send_signal(number)
 
     def terminate(self):
@@ -135,9 +135,9 @@
         self.life_number = 0
         self.start()
 
-    def start_again(self, *, keeps_id=False):
+    def restart(self, *, keeps_id=False):
         """Start the engine after its exit, unless a concurrent fault has already done so."""
-        if not self.process.runs:
+        if not self.process.is_running:
             self.start(keeps_id=keeps_id)
 
     def start(self, *, keeps_id=False):
--- a/tests/soak/upgrade.py
+++ b/tests/soak/upgrade.py
@@ -115,7 +115,7 @@
         node.use_build(build)
         node.process.terminate()
         deadline = time.monotonic() + STOP_TIMEOUT
-        while node.process.runs and node.process.life == life and time.monotonic() < deadline:
+        while node.process.is_running and node.process.life == life and time.monotonic() < deadline:
             gevent.sleep(0.1)
         if node.process.life == life:
             node.process.kill()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -337,9 +337,9 @@
             process.start()
             process.signal(signal.SIGUSR1)
             gevent.sleep(0.3)
-            runs = process.runs
+            is_running = process.is_running
             process.kill()
-        self.assertTrue(runs)
+        self.assertTrue(is_running)
 
 
 class NodeTest(unittest.TestCase):
@@ -382,16 +382,16 @@
 
     def test_two_restarts_of_an_engine_start_one_process(self):
         self.first.kill()
-        self.engine.start_again()
+        self.engine.restart()
         again = self.engine.process
         self.addCleanup(again.kill)
-        self.engine.start_again()
+        self.engine.restart()
         self.assertIs(self.engine.process, again)
         self.assertEqual(self.engine.engine_id, "e0-2")
 
     def test_the_next_life_runs_beside_a_leaving_one(self):
         self.engine.start()
-        self.assertTrue(self.first.runs and self.engine.process.runs)
+        self.assertTrue(self.first.is_running and self.engine.process.is_running)
         self.assertEqual(self.engine.engine_id, "e0-2")
 
 
