--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -92,7 +92,7 @@
         raise TimeoutError(f"the fleet did not start within {timeout:.0f} s")
 
     def stop(self):
-        """Kill all processes that this fleet started."""
+        """Kill all processes that this fleet started, by their process ids."""
         for node in self.nodes:
             node.process.signal(signal.SIGCONT)
             node.process.kill()
@@ -106,7 +106,7 @@
     # Store
 
     def set_store_fault(self, **change):
-        """Change the injected faults of the store, which is also a check that it answers."""
+        """Change the injected faults of the store; returns whether the store answered."""
         return self._post("/fault", json.dumps(change).encode())
 
     def _post(self, path, body):
@@ -255,7 +255,7 @@
         self._fatal_request(node, engine, duration, keeps_id=True)
 
     def _fatal_request(self, node, engine, duration, *, keeps_id=False):
-        """Repeat a request that makes engines exit, and restart these."""
+        """Send a request that makes engines exit repeatedly, and restart these engines."""
         number, deadline = next(self._fatal_numbers), time.monotonic() + duration
         restarts = []
         while time.monotonic() < deadline:
@@ -337,7 +337,7 @@
             each.store_link.silence()
 
     def _roll(self, node, engine, duration):
-        """Restart all nodes by SIGTERM in a staggered order."""
+        """Restart all nodes by SIGTERM, each `duration` seconds after the one before."""
         rolls = []
         for each in self.nodes:
             rolls.append(gevent.spawn(self._node_term, each, engine, STOP_TIMEOUT))
@@ -345,7 +345,7 @@
         gevent.joinall(rolls)
 
     def _stop_series(self, node, engine, duration):
-        """Suspend more than half of the nodes one after the other, with overlaps."""
+        """Stop more than half of the nodes by SIGSTOP one after the other, with overlaps."""
         stops = []
         for each in self.nodes[: len(self.nodes) // 2 + 1]:
             stops.append(gevent.spawn(self._node_stop, each, engine, duration / 2))
--- a/tests/soak/invariants.py
+++ b/tests/soak/invariants.py
@@ -21,7 +21,7 @@
 RECOVERY_TIME = 3.0
 """Seconds after a fault from which a node must meet its time limits again."""
 LEAVING_TIME = 2.0
-"""Seconds after an acknowledged departure of an engine, after which no request may reach it."""
+"""Seconds after the store acknowledged a leaving engine; no later request may reach it."""
 LEAVING_MARGIN = 0.25
 """Additional seconds for requests that were in transit on a busy machine."""
 NODE_REPLACE = "node_replace"
@@ -66,7 +66,8 @@
     connection_reused: bool = False
     """Whether its connection had already carried an earlier answer."""
     deadline: float = float("inf")
-    """When the request's deadline passes: an answer cut after that is no violation."""
+    """When the request's deadline passes. A cut after it is no violation: if the engine is silent
+    until then, the node has no other way to end the answer."""
 
 
 @dataclass
@@ -337,7 +338,7 @@
         late = [run for run in online if run.waited > MAX_WAIT and run.items]
         share = len(late) / max(1, len(online))
         first = [run.request_id for run in late[:3]]
-        detail = f"{len(late)} of {len(online)} in calm times, first {first}"
+        detail = f"{len(late)} of {len(online)} in fault-free periods, first {first}"
         self.check("online never waits behind batch", share <= MAX_WAITING_SHARE, detail)
 
     def check_jobs(self, jobs):
@@ -359,7 +360,7 @@
             self.check("results are whole", not wrong, f"{job.job_id}: {wrong}")
 
     def check_planned_stops(self, requests):
-        """Check requests that were in progress at a node when it was told to stop."""
+        """Check that requests in progress at a node were answered when it was told to stop."""
         for span in self.spans:
             if span.kind not in ("node_term", NODE_REPLACE) or not self.fault_free(
                 span.start - 2.0, span.end, but=span
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -25,7 +25,7 @@
 BUSY_RATE = 8.0
 """Requests per second that one competing tenant sends; the other sends a quarter of them."""
 MIN_SERVED_RATIO = 0.25
-"""Served share of a tenant's requests, relative to that of all tenants, that is the minimum."""
+"""Minimum share of a tenant's requests that are served, relative to the share of all tenants."""
 MIN_REQUESTS = 20
 """Requests from which the served share of a tenant is significant."""
 WINDOW, OVER, SLACK = 5.0, 1.1, 20.0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -52,11 +52,11 @@
     def violations(self):
         return [violation.partition(":")[0] for violation in self.invariants.violations]
 
-    def read(self, *results, position=0, total=2):
+    def read_page(self, *results, position=0, total=2):
         rows = [{"id": item, "state": state, "text": text} for item, state, text in results]
         self.invariants.check_page(self.job, "n0", position, {"results": rows, "total": total})
 
-    def online(self, **changes):
+    def online_request(self, **changes):
         fields = {"status": 200, "body": b"x", "whole": True, "expected": b"x"} | changes
         req = OnlineRequest("o-1", True, "n0", 1.0, 2.0)
         for name, value in fields.items():
@@ -64,29 +64,29 @@
         return req
 
     def test_an_answer_to_another_request(self):
-        self.invariants.check_online_request(self.online())
-        self.invariants.check_online_request(self.online(body=b"y", whole=False))
+        self.invariants.check_online_request(self.online_request())
+        self.invariants.check_online_request(self.online_request(body=b"y", whole=False))
         self.assertEqual(self.violations(), [])
-        self.invariants.check_online_request(self.online(body=b"y"))
+        self.invariants.check_online_request(self.online_request(body=b"y"))
         self.assertEqual(self.violations(), ["whole answers, to one's own request"])
 
     def test_a_stalled_client_that_is_cut(self):
-        self.invariants.check_stalled_request(self.online())
+        self.invariants.check_stalled_request(self.online_request())
         self.invariants.spans.append(FaultSpan("node_kill", "n0", 1.2, 1.4))
-        self.invariants.check_stalled_request(self.online(whole=False))
+        self.invariants.check_stalled_request(self.online_request(whole=False))
         self.assertEqual(self.violations(), [])
         self.invariants.spans.clear()
-        self.invariants.check_stalled_request(self.online(whole=False))
+        self.invariants.check_stalled_request(self.online_request(whole=False))
         self.assertEqual(self.violations(), ["a client that stalls gets its whole answer"])
 
     def test_a_position_that_changes(self):
-        self.read(("i-1-0", "completed", "a"))
-        self.read(("i-1-0", "completed", "a"), ("i-1-1", "completed", "b"))
+        self.read_page(("i-1-0", "completed", "a"))
+        self.read_page(("i-1-0", "completed", "a"), ("i-1-1", "completed", "b"))
         self.assertEqual(self.violations(), [])
-        self.read(("i-1-0", "completed", "b"), position=1)
+        self.read_page(("i-1-0", "completed", "b"), position=1)
         self.assertEqual(self.violations(), ["a position keeps its result"])
 
-    def tenants(self, statuses, runs):
+    def check_tenants(self, statuses, runs):
         clients = TenantClients(self.invariants, 1, None, None)
         clients.statuses = statuses
         clients.check([Run(request_id, at) for request_id, at in runs])
@@ -94,35 +94,37 @@
     def test_a_tenant_above_its_limit(self):
         allowed = [(f"t-limited-{number}", number * 0.2) for number in range(60)]
         again = [(request_id, 0.1) for request_id, _ in allowed]
-        self.tenants({}, allowed + again[:1])
+        self.check_tenants({}, allowed + again[:1])
         self.assertEqual(self.violations(), [])
-        self.tenants({}, [(f"t-limited-{number}", number * 0.17) for number in range(60)])
+        self.check_tenants({}, [(f"t-limited-{number}", number * 0.17) for number in range(60)])
         self.assertEqual(self.violations(), ["a tenant stays within its limit"])
 
-    def test_an_unknown_key_that_is_served(self):
-        self.tenants({"t-unknown-1": 401, "t-unknown-2": 503, "t-large-1": 200}, [("t-large-1", 1)])
+    def test_an_unknown_key_that_is_accepted(self):
+        self.check_tenants(
+            {"t-unknown-1": 401, "t-unknown-2": 503, "t-large-1": 200}, [("t-large-1", 1)]
+        )
         self.assertEqual(self.violations(), [])
-        self.tenants({"t-unknown-1": 401, "t-unknown-2": 200}, [("t-unknown-1", 1.0)])
+        self.check_tenants({"t-unknown-1": 401, "t-unknown-2": 200}, [("t-unknown-1", 1.0)])
         self.assertEqual(self.violations(), ["an unknown key runs nothing"] * 2)
 
     def test_a_refusal_below_the_limit_and_one_that_ran(self):
-        self.tenants({"t-limited-1": 429}, [])
+        self.check_tenants({"t-limited-1": 429}, [])
         self.assertEqual(self.violations(), [])
-        self.tenants({"t-limited-1": 429, "t-large-2": 429}, [("t-limited-1", 1.0)])
+        self.check_tenants({"t-limited-1": 429, "t-large-2": 429}, [("t-limited-1", 1.0)])
         expected = ['"not run" is true', "no tenant is refused below its limit"]
         self.assertEqual(sorted(self.violations()), expected)
 
     def test_a_tenant_that_is_starved(self):
         busy = {f"t-busy-{number}": 200 for number in range(80)}
         quiet = {f"t-quiet-{number}": 200 if number < 6 else 503 for number in range(20)}
-        self.tenants(busy | quiet, [])
+        self.check_tenants(busy | quiet, [])
         self.assertEqual(self.violations(), [])
         quiet |= {f"t-quiet-{number}": 503 for number in range(3, 20)}
-        self.tenants(busy | quiet, [])
+        self.check_tenants(busy | quiet, [])
         self.assertEqual(self.violations(), ["nobody is served a quarter as often as all"])
 
     def test_a_wrong_number_of_items(self):
-        self.read(total=3)
+        self.read_page(total=3)
         self.assertEqual(self.violations(), ["the number of items"])
 
     def test_an_accepted_job_that_is_unknown(self):
@@ -145,15 +147,15 @@
         self.assertEqual(self.violations(), ["configuration comes into force"])
 
     def test_a_request_that_runs_twice(self):
-        self.invariants.check_runs([Run("o-1", 1.0)], [self.online()], [])
+        self.invariants.check_runs([Run("o-1", 1.0)], [self.online_request()], [])
         self.assertEqual(self.violations(), [])
-        self.invariants.check_runs([Run("o-1", 1.0), Run("o-1", 2.0)], [self.online()], [])
+        self.invariants.check_runs([Run("o-1", 1.0), Run("o-1", 2.0)], [self.online_request()], [])
         self.assertEqual(self.violations(), ["at most once"])
 
     def test_a_refused_request_that_runs(self):
-        self.invariants.check_runs([], [self.online(status=503)], [])
+        self.invariants.check_runs([], [self.online_request(status=503)], [])
         self.assertEqual(self.violations(), [])
-        self.invariants.check_runs([Run("o-1", 1.0)], [self.online(status=503)], [])
+        self.invariants.check_runs([Run("o-1", 1.0)], [self.online_request(status=503)], [])
         self.assertEqual(self.violations(), ['"not run" is true'])
 
     def test_a_refused_job_that_runs(self):
@@ -180,9 +182,11 @@
 
     def test_a_replaced_node_that_cuts_a_request(self):
         self.invariants.spans.append(FaultSpan(NODE_REPLACE, "n0", 1.5, 4.0))
-        self.invariants.check_planned_stops([self.online(status=0, whole=False)])
+        self.invariants.check_planned_stops([self.online_request(status=0, whole=False)])
         self.invariants.check_runs(
-            [Run("o-1", 1.1)], [self.online(status=0, whole=False, connection_reused=True)], []
+            [Run("o-1", 1.1)],
+            [self.online_request(status=0, whole=False, connection_reused=True)],
+            [],
         )
         expected = ["a planned stop cuts nothing", "a kept connection answers what it took"]
         self.assertEqual(self.violations(), expected)
@@ -195,7 +199,7 @@
         self.assertEqual(self.violations(), ["online never waits behind batch"])
 
     def test_items_that_are_missing_doubled_or_wrong(self):
-        self.read(("i-1-0", "completed", "a"), ("i-1-1", "completed", "b"))
+        self.read_page(("i-1-0", "completed", "a"), ("i-1-1", "completed", "b"))
         self.invariants.check_jobs([self.job])
         self.assertEqual(self.violations(), [])
         for results in (
@@ -203,19 +207,19 @@
             [("i-1-0", "completed", "a"), ("i-1-0", "completed", "a")],
         ):
             self.job.positions.clear()
-            self.read(*results)
+            self.read_page(*results)
             self.invariants.check_jobs([self.job])
         self.assertEqual(self.violations(), ["items complete exactly once"] * 2)
         self.invariants.violations.clear()
         for result in (("i-1-1", "completed", "x"), ("i-1-1", "dead_letter", "")):
             self.job.positions.clear()
-            self.read(("i-1-0", "completed", "a"), result)
+            self.read_page(("i-1-0", "completed", "a"), result)
             self.invariants.check_jobs([self.job])
         self.assertEqual(self.violations(), ["results are whole"] * 2)
 
-    def test_a_request_at_an_engine_that_has_left(self):
+    def test_a_request_at_a_departed_engine(self):
         self.invariants.leaving_engines.append(LeavingEngine("e1", 10.0))
-        req = self.online()
+        req = self.online_request()
         for at, waited in ((9.0, 0.0), (12.1, 0.0), (14.0, 2.0)):
             self.invariants.check_runs([Run("o-1", at, waited, engine="e1")], [req], [])
         self.invariants.check_runs([Run("o-1", 13.0, engine="e2")], [req], [])
@@ -237,14 +241,14 @@
             self.invariants.check_runs([Run("o-1", 13.0, engine="e1")], [req], [])
         self.assertEqual(self.violations(), ["no request reaches an engine that has left"] * 4)
 
-    def fatal(self, *times):
+    def check_fatal(self, *times):
         runs = [Run(f"f-0-{number}", at, engine=f"e{number}") for number, at in enumerate(times)]
         self.invariants.check_fatal_runs(runs, {run.request_id: "n0" for run in runs})
 
-    def test_a_request_under_which_engines_end_goes_on(self):
-        self.fatal(0.0, 0.1, 0.2, 0.3, 2.9, 4.0, 5.0, 6.0)
+    def test_a_fatal_request_that_is_not_held_back(self):
+        self.check_fatal(0.0, 0.1, 0.2, 0.3, 2.9, 4.0, 5.0, 6.0)
         self.assertEqual(self.violations(), [])
-        self.fatal(0.0, 0.1, 0.2, 4.0, 5.0, 6.0, 7.0)
+        self.check_fatal(0.0, 0.1, 0.2, 4.0, 5.0, 6.0, 7.0)
         self.assertEqual(self.violations(), ["a request under which engines end is held back"])
 
     def test_requests_of_a_suspended_node_are_not_counted(self):
@@ -252,7 +256,7 @@
             FaultSpan("node_stop", "n0", 1.0, 6.0),
             FaultSpan("fatal_request", "", 0, 9),
         ]
-        self.fatal(0.0, 0.1, 0.2, 4.0, 5.0, 6.0, 7.0)
+        self.check_fatal(0.0, 0.1, 0.2, 4.0, 5.0, 6.0, 7.0)
         self.assertEqual(self.violations(), [])
 
     def test_too_few_requests_are_served_beside_a_fatal_one(self):
@@ -268,12 +272,12 @@
             self.violations(), ["requests are served beside one under which engines end"]
         )
 
-    def test_a_kept_connection_that_ends_without_an_answer(self):
-        cut = self.online(status=0, whole=False, connection_reused=True)
+    def test_a_persistent_connection_that_ends_without_an_answer(self):
+        cut = self.online_request(status=0, whole=False, connection_reused=True)
         runs = [Run("o-1", 1.1)]
         self.invariants.check_runs([], [cut], [])
-        self.invariants.check_runs(runs, [self.online(connection_reused=True)], [])
-        self.invariants.check_runs(runs, [self.online(status=0, whole=False)], [])
+        self.invariants.check_runs(runs, [self.online_request(connection_reused=True)], [])
+        self.invariants.check_runs(runs, [self.online_request(status=0, whole=False)], [])
         self.invariants.spans.append(FaultSpan("node_kill", "n0", 1.2, 1.4))
         self.invariants.check_runs(runs, [cut], [])
         self.assertEqual(self.violations(), [])
@@ -282,9 +286,9 @@
             self.invariants.check_runs(runs, [cut], [])
         self.assertEqual(self.violations(), ["a kept connection answers what it took"] * 2)
 
-    def test_a_request_on_a_kept_connection_whose_time_is_over(self):
+    def test_a_request_on_a_persistent_connection_past_its_deadline(self):
         """At the deadline, a node may cut the answer of a silent engine: no other way is left."""
-        cut = self.online(status=0, whole=False, connection_reused=True, deadline=2.0)
+        cut = self.online_request(status=0, whole=False, connection_reused=True, deadline=2.0)
         self.invariants.check_runs([Run("o-1", 1.1)], [cut], [])
         self.assertEqual(self.violations(), [])
         cut.deadline = 2.1
@@ -292,13 +296,15 @@
         self.assertEqual(self.violations(), ["a kept connection answers what it took"])
 
     def test_a_planned_stop_that_cuts_a_request(self):
-        under_way = self.online(status=0, whole=False)
+        under_way = self.online_request(status=0, whole=False)
         stop = FaultSpan("node_term", "n0", 1.5, 4.0)
         self.invariants.spans += [stop, FaultSpan("node_kill", "n1", 2.0, 3.0)]
         self.invariants.check_planned_stops([under_way])
         self.assertEqual(self.violations(), [])
         self.invariants.spans[1:] = []
-        self.invariants.check_planned_stops([self.online(), self.online(status=503)])
+        self.invariants.check_planned_stops(
+            [self.online_request(), self.online_request(status=503)]
+        )
         self.assertEqual(self.violations(), [])
         self.invariants.check_planned_stops([under_way])
         self.assertEqual(self.violations(), ["a planned stop cuts nothing"])
