--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -9,7 +9,7 @@
 import openai
 
 from scripts.fleet import SHAPES, Fleet, call, wait_until
-from tests.support import answer_text, batch_lines, expected_start
+from tests.support import answer_text, batch_lines, expected_first_token
 
 FAST_TIMING = """
 [timing]
@@ -65,7 +65,7 @@
         ids = sorted(line["custom_id"] for line in lines + failed)
         self.assertEqual(ids, sorted(f"item-{number}" for number in range(count)))
         for line in lines:
-            start = expected_start(f"text of {line['custom_id']}")
+            start = expected_first_token(f"text of {line['custom_id']}")
             self.assertTrue(answer_text(line).startswith(start))
         if not at_most_once:
             self.assertEqual(failed, [])
@@ -136,7 +136,7 @@
                     self.assertIn("may_have_run", str(error.body))
                     continue
                 self.assertEqual(len(answer.split()), 60)
-                self.assertTrue(answer.startswith(expected_start(f"q{number}")))
+                self.assertTrue(answer.startswith(expected_first_token(f"q{number}")))
 
     def send_bytes(self, gateway, data):
         """Send bytes to a node and return all it sends until it closes the connection."""
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -7,7 +7,7 @@
 import openai
 
 from scripts.fleet import SHAPES, Fleet, wait_until
-from tests.support import batch_lines, expected_start
+from tests.support import batch_lines, expected_first_token
 
 
 class WholePathTest(unittest.TestCase):
@@ -39,7 +39,7 @@
         chunks = list(self.ask(client, "hello", stream=True))
         streamed = "".join(chunk.choices[0].delta.content for chunk in chunks)
         self.assertEqual(unstreamed, streamed)
-        self.assertTrue(unstreamed.startswith(expected_start("hello")))
+        self.assertTrue(unstreamed.startswith(expected_first_token("hello")))
         self.assertEqual(len(chunks), 6)
 
     def test_hundreds_of_concurrent_streams_of_two_tenants(self):
@@ -52,7 +52,7 @@
         with concurrent.futures.ThreadPoolExecutor(24) as pool:
             answers = list(pool.map(ask_streamed, range(240)))
         for number, answer in enumerate(answers):
-            self.assertTrue(answer.startswith(expected_start(f"question {number}")))
+            self.assertTrue(answer.startswith(expected_first_token(f"question {number}")))
             self.assertEqual(len(answer.split()), 6)
 
     def test_batch_runs_and_is_read_back_at_any_node(self):
@@ -77,7 +77,7 @@
         for line in lines:
             text = "text of " + line["custom_id"]
             answer = line["response"]["body"]["choices"][0]["message"]["content"]
-            self.assertTrue(answer.startswith(expected_start(text)))
+            self.assertTrue(answer.startswith(expected_first_token(text)))
         with self.assertRaises(openai.NotFoundError):
             self.client(tenant=1).batches.retrieve(batch.id)
         with self.assertRaises(openai.NotFoundError):
