--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -49,13 +49,13 @@
         """Drop the first `count` pull replies with items; the returned list grows with each."""
         lost = []
 
-        def loses_reply(reply):
+        def drops_reply(reply):
             if len(lost) < count and isinstance(reply, peer.ItemPullReply) and reply.items:
                 lost.append(reply)
                 return True
             return False
 
-        fleet.network.loses_reply = loses_reply
+        fleet.network.drops_reply = drops_reply
         return lost
 
     def owner_with_items(self, fleet, excluded=()):
@@ -117,7 +117,7 @@
     def test_an_item_that_breaks_every_engine_ends_as_failed(self):
         def run(fleet):
             for engine in fleet.engines.values():
-                engine.poison = "text of item-3"
+                engine.cut_prompt = "text of item-3"
             job_id = submit_batch(fleet, "node-0-0", 20)
             document = wait_for_batch(fleet, job_id, timeout=600.0)
             self.assertEqual(document["request_counts"]["completed"], 19)
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -188,7 +188,7 @@
 
     def test_engine_is_silent(self):
         answer, runs = self.answer_and_runs(
-            lambda fleet: self.inject_faults(fleet, silent_attempts=100),
+            lambda fleet: self.inject_faults(fleet, unanswered_attempts=100),
             {**AT_MOST_ONCE, "X-Postvalve-Deadline": "3"},
         )
         self.assertEqual(self.error_of(answer)["verdict"], "may_have_run")
--- a/tests/test_profile_nodes.py
+++ b/tests/test_profile_nodes.py
@@ -26,7 +26,7 @@
             while time.process_time() < deadline:
                 pass
         self.assertEqual(sum(samples.parts.values()), 0)
-        self.assertGreater(samples.foreign, 10)
+        self.assertGreater(samples.excluded, 10)
         self.assertEqual(samples.seconds, 0.0)
 
     def test_numbers_that_make_no_sense_are_refused(self):
--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -8,7 +8,7 @@
 
 import openai
 
-from scripts.fleet import SHAPES, Fleet, call, wait_until
+from scripts.fleet import SHAPES, Fleet, request_json, wait_until
 from tests.support import answer_text, batch_lines, expected_first_token
 
 FAST_TIMING = """
@@ -54,7 +54,7 @@
         def ended():
             return client.batches.retrieve(job_id).status == "completed"
 
-        wait_until(ended, "batch", patience=120)
+        wait_until(ended, "batch", timeout=120)
         batch = client.batches.retrieve(job_id)
         output = client.files.content(batch.output_file_id).iter_lines()
         lines = [json.loads(line) for line in output]
@@ -73,7 +73,7 @@
 
     def served_requests(self):
         return sum(
-            call(f"http://{address}/statistics", "GET", None)["served"]
+            request_json(f"http://{address}/statistics", "GET", None)["served"]
             for address in self.fleet.engines.values()
         )
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 import gevent
 
 from tests.earlier_build import CURRENT_BUILD, ROOT
-from tests.ports import free_port, own_ports
+from tests.ports import free_port, separate_port_block
 from tests.soak.__main__ import Soak
 from tests.soak.faults import ISOLATED_KINDS, KINDS, QUIET_PERIOD, schedule
 from tests.soak.invariants import (
@@ -403,7 +403,7 @@
 
 class ShortRunTest(unittest.TestCase):
     def test_a_short_run_of_a_fixed_seed_passes(self):
-        with own_ports(), tempfile.TemporaryDirectory() as folder:
+        with separate_port_block(), tempfile.TemporaryDirectory() as folder:
             soak = Soak(
                 SHORT_SEED, SHORT_SECONDS, SHORT_KINDS, Path(folder), print_line=lambda line: None
             )
