--- a/postvalve/bench/relay.py
+++ b/postvalve/bench/relay.py
@@ -56,10 +56,10 @@
     """Measure the three ways in turn, and report the medians over the rounds."""
     reports = [_measure_round(targets, load, number) for number in range(rounds)]
     fields = {name: [getattr(one, name) for one in reports] for name in asdict(reports[0])}
-    middle = {name: median(values) for name, values in fields.items()}
-    middle["chunks"] = sum(fields["chunks"])
-    middle["failures"] = sum(fields["failures"])
-    return RelayReport(**middle)
+    medians = {name: median(values) for name, values in fields.items()}
+    medians["chunks"] = sum(fields["chunks"])
+    medians["failures"] = sum(fields["failures"])
+    return RelayReport(**medians)
 
 
 def _measure_round(targets: RelayTargets, load: StreamLoad, number: int) -> RelayReport:
@@ -76,10 +76,11 @@
         relay_cpu_us_per_chunk=relay_cpu * 1e6 / max(1, relay.chunks),
         node_cpu_us_per_chunk=node_cpu * 1e6 / max(1, node.chunks),
         cpu_ratio=(node_cpu / max(1, node.chunks)) / (relay_cpu / max(1, relay.chunks)),
-        direct_first_token_p95_ms=_first_token(direct, PERCENTILE),
-        node_first_token_p95_ms=_first_token(node, PERCENTILE),
-        added_first_token_p95_ms=_first_token(node, PERCENTILE) - _first_token(direct, PERCENTILE),
-        added_first_token_p50_ms=_first_token(node, 50.0) - _first_token(direct, 50.0),
+        direct_first_token_p95_ms=_first_token_ms(direct, PERCENTILE),
+        node_first_token_p95_ms=_first_token_ms(node, PERCENTILE),
+        added_first_token_p95_ms=_first_token_ms(node, PERCENTILE)
+        - _first_token_ms(direct, PERCENTILE),
+        added_first_token_p50_ms=_first_token_ms(node, 50.0) - _first_token_ms(direct, 50.0),
     )
 
 
@@ -89,5 +90,5 @@
     return times, cpu_seconds(pid) - before
 
 
-def _first_token(times: StreamTimes, percentile: float) -> float:
+def _first_token_ms(times: StreamTimes, percentile: float) -> float:
     return times.first_token.get_value_at_percentile(percentile) / 1000
--- a/postvalve/bench/slopes.py
+++ b/postvalve/bench/slopes.py
@@ -25,11 +25,11 @@
 from postvalve.settings.fleet import FleetConfiguration, parse_fleet_configuration
 
 REPEATS = 200
-ITEMS = 2_000
+JOB_ITEMS = 2_000
 TENANTS = 300
 ENGINES_PER_NODE = 6
 NODES_PER_ZONE = 48
-RESULT_BYTES = 400
+RESULT_BODY_BYTES = 400
 """Body of one result in these measurements."""
 
 
@@ -55,19 +55,19 @@
 def measure_slopes() -> list[Slope]:
     """Measure everything that needs no other process."""
     return [
-        _heartbeat_received(full=False),
-        _heartbeat_received(full=True),
-        _heartbeat_sent(),
-        _admission_message(),
-        _admission_decision(),
-        _ownership_of_engine(),
-        *_configuration_per_tenant(),
-        *_batch_item(),
-        *_results_in_log(),
+        _measure_heartbeat_receipt(full=False),
+        _measure_heartbeat_receipt(full=True),
+        _measure_heartbeat_encoding(),
+        _measure_admission_messages(),
+        _measure_admission_decision(),
+        _measure_ownership(),
+        *_measure_configuration(),
+        *_measure_batch_items(),
+        *_measure_result_records(),
     ]
 
 
-def _time(function: Callable[[], object], repeats: int = REPEATS) -> float:
+def _cpu_us_per_call(function: Callable[[], object], repeats: int = REPEATS) -> float:
     """Microseconds of processor time of one call."""
     started = time.process_time()
     for _ in range(repeats):
@@ -102,7 +102,7 @@
     )
 
 
-def _heartbeat_received(*, full: bool) -> Slope:
+def _measure_heartbeat_receipt(*, full: bool) -> Slope:
     view = MembershipView(MembershipTiming(4.0, 5.0))
     frames = [encode_frame(_heartbeat(sequence + 1, full=full), 0) for sequence in range(REPEATS)]
     pending = iter(frames)
@@ -113,18 +113,20 @@
         view.observe(message, 1.0)
 
     name = "heartbeat received, with summary" if full else "heartbeat received, unchanged"
-    return Slope(name, _time(receive), len(frames[0]))
+    return Slope(name, _cpu_us_per_call(receive), len(frames[0]))
 
 
-def _heartbeat_sent() -> Slope:
+def _measure_heartbeat_encoding() -> Slope:
     heartbeat = _heartbeat(1, full=True)
     frame = encode_frame(heartbeat, 0)
     return Slope(
-        "heartbeat made, once for all peers", _time(lambda: encode_frame(heartbeat, 0)), len(frame)
+        "heartbeat made, once for all peers",
+        _cpu_us_per_call(lambda: encode_frame(heartbeat, 0)),
+        len(frame),
     )
 
 
-def _admission_message() -> Slope:
+def _measure_admission_messages() -> Slope:
     request = peer.AdmissionRequest(
         attempt_id="0" * 32,
         engine_id="engine-0001",
@@ -139,10 +141,10 @@
             decode_datagram(encode_frame(message, 1))
 
     size = len(encode_frame(request, 1)) + len(encode_frame(reply, 1))
-    return Slope("admission asked of another node, both ends", _time(exchange), size)
+    return Slope("admission asked of another node, both ends", _cpu_us_per_call(exchange), size)
 
 
-def _admission_decision() -> Slope:
+def _measure_admission_decision() -> Slope:
     slots = EngineSlots(16, SlotPolicy(2))
     numbers = iter(range(REPEATS))
 
@@ -151,13 +153,15 @@
         slots.admit_online(attempt_id, "node-000", 1.0)
         slots.release(attempt_id, 1.0)
 
-    return Slope("admission decided and released", _time(decide), 0)
+    return Slope("admission decided and released", _cpu_us_per_call(decide), 0)
 
 
-def _ownership_of_engine() -> Slope:
+def _measure_ownership() -> Slope:
     nodes = [f"node-{number:03}" for number in range(NODES_PER_ZONE)]
     return Slope(
-        "owner of an engine among 48 nodes", _time(lambda: preferred_owner("engine", nodes)), 0
+        "owner of an engine among 48 nodes",
+        _cpu_us_per_call(lambda: preferred_owner("engine", nodes)),
+        0,
     )
 
 
@@ -177,14 +181,14 @@
     return document.model_dump_json().encode("utf-8")
 
 
-def _configuration_per_tenant() -> list[Slope]:
+def _measure_configuration() -> list[Slope]:
     document = _configuration(TENANTS)
-    duration = _time(lambda: parse_fleet_configuration(document, "bench"), 20)
+    duration = _cpu_us_per_call(lambda: parse_fleet_configuration(document, "bench"), 20)
     tracemalloc.start()
-    kept = parse_fleet_configuration(document, "bench")
+    parsed = parse_fleet_configuration(document, "bench")
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert kept.tenant_by_key_digest
+    assert parsed.tenant_by_key_digest
     return [
         Slope(
             "configuration revision, for each tenant", duration / TENANTS, len(document) / TENANTS
@@ -200,26 +204,26 @@
     return ScheduledJob(ledger, deadline=1e9)
 
 
-def _batch_item() -> list[Slope]:
+def _measure_batch_items() -> list[Slope]:
     scheduler = BatchScheduler()
     tracemalloc.start()
-    scheduler.add(_job(ITEMS))
+    scheduler.add(_job(JOB_ITEMS))
     job_memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
 
-    def hand_out() -> None:
+    def dispatch() -> None:
         for key in scheduler.take(["m"], 10, 0.0):
             scheduler.dispatched(Dispatch(key, "a" * 32, "node-000", 1, "engine-0001", 0.0))
             scheduler.finished(key, 1.0)
 
-    duration = _time(hand_out, ITEMS // 10) / 10
+    duration = _cpu_us_per_call(dispatch, JOB_ITEMS // 10) / 10
     return [
         Slope("batch item scheduled and finished", duration, 0),
-        Slope("held job in memory, for each item", 0, job_memory / ITEMS),
+        Slope("held job in memory, for each item", 0, job_memory / JOB_ITEMS),
     ]
 
 
-def _results_in_log() -> list[Slope]:
+def _measure_result_records() -> list[Slope]:
     body = records.ItemsFinished(
         results=[
             records.ItemResult(
@@ -227,14 +231,14 @@
                 attempt_id="a" * 32,
                 custom_id=f"item-{number}",
                 status_code=200,
-                response_body=b"x" * RESULT_BYTES,
+                response_body=b"x" * RESULT_BODY_BYTES,
             )
             for number in range(50)
         ]
     )
     payload = encode_record(Record("0" * 32, body))
-    written = _time(lambda: encode_record(Record("0" * 32, body)), 20) / 50
-    read = _time(lambda: parse_record(payload), 20) / 50
+    written = _cpu_us_per_call(lambda: encode_record(Record("0" * 32, body)), 20) / 50
+    read = _cpu_us_per_call(lambda: parse_record(payload), 20) / 50
     return [
         Slope("item result written to the log", written, len(payload) / 50),
         Slope("item result read from the log", read, len(payload) / 50),
--- a/postvalve/bench/streams.py
+++ b/postvalve/bench/streams.py
@@ -18,7 +18,7 @@
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 600_000_000
 SIGNIFICANT_DIGITS = 3
-STREAM_TIMEOUT = 120.0
+READ_TIMEOUT = 120.0
 """Seconds of silence until a stream counts as failed."""
 
 
@@ -56,7 +56,7 @@
     times = StreamTimes()
     url = URL(load.url)
     client = HTTPClient(
-        url.host, port=url.port, concurrency=load.streams, network_timeout=STREAM_TIMEOUT
+        url.host, port=url.port, concurrency=load.streams, network_timeout=READ_TIMEOUT
     )
     started = time.monotonic()
     pool = Pool(load.streams)
--- a/postvalve/cli/connection.py
+++ b/postvalve/cli/connection.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogAccess:
+class LogStores:
     """Stores on the log, for one command."""
 
     configuration: ConfigurationStore
@@ -36,13 +36,13 @@
     parser.add_argument("--zone", default="operator", help="zone told to the log")
 
 
-def connect_log(arguments: argparse.Namespace, shards: int = DEFAULT_SHARDS) -> LogAccess:
+def connect_log(arguments: argparse.Namespace, shards: int = DEFAULT_SHARDS) -> LogStores:
     """Build the stores for a command."""
     if not arguments.log_url:
         raise SystemExit(f"error: give --log-url or set {LOG_URL_VARIABLE}")
     clock = SystemClock()
     log = HttpLog(arguments.log_url, arguments.zone)
     writer = LogWriter(log, clock, random_id)
-    return LogAccess(
+    return LogStores(
         ConfigurationStore(log, writer, clock, random_id), JobStore(log, writer, clock, shards)
     )
--- a/postvalve/cli/drain.py
+++ b/postvalve/cli/drain.py
@@ -56,7 +56,7 @@
             raise ConflictError(f"there is a drain {drain.name!r} already")
         return [*configuration.drains, drain]
 
-    return _change(arguments, add)
+    return _publish_drains(arguments, add)
 
 
 def run_end(arguments: argparse.Namespace) -> int:
@@ -68,10 +68,10 @@
             raise NotFoundError(f"there is no drain {arguments.name!r}")
         return remaining
 
-    return _change(arguments, remove)
+    return _publish_drains(arguments, remove)
 
 
-def _change(arguments: argparse.Namespace, change: Any) -> int:
+def _publish_drains(arguments: argparse.Namespace, change: Any) -> int:
     store = connect_log(arguments).configuration
     newest = store.newest()
     configuration = FleetConfiguration()
--- a/postvalve/cli/emulate.py
+++ b/postvalve/cli/emulate.py
@@ -7,12 +7,12 @@
 
 from postvalve.cli.output import ExitCode
 from postvalve.emulator.engine_model import EngineParameters
-from postvalve.emulator.engine_service import EngineEmulation, EngineServiceShell
-from postvalve.emulator.log_service import LogServiceShell
-from postvalve.emulator.machine_service import MachineServiceShell
+from postvalve.emulator.engine_service import EngineEmulation, EngineServer
+from postvalve.emulator.log_service import LogServer
+from postvalve.emulator.machine_service import MachineListServer
 from postvalve.emulator.relay import serve_relay
 from postvalve.emulator.service import serve
-from postvalve.emulator.weights_service import DEFAULT_WEIGHT_BYTES, WeightServiceShell
+from postvalve.emulator.weights_service import DEFAULT_WEIGHT_BYTES, WeightStoreServer
 from postvalve.exceptions import SettingsError
 
 EXAMPLES = """examples:
@@ -70,14 +70,14 @@
 
 def run_log(arguments: argparse.Namespace) -> int:
     """Run the log."""
-    serve(arguments.listen, LogServiceShell().application())
+    serve(arguments.listen, LogServer().application())
     return ExitCode.OK
 
 
 def run_weights(arguments: argparse.Namespace) -> int:
     """Run the weight store."""
-    shell = WeightServiceShell(arguments.rate, arguments.weight_bytes)
-    serve(arguments.listen, shell.application())
+    server = WeightStoreServer(arguments.rate, arguments.weight_bytes)
+    serve(arguments.listen, server.application())
     return ExitCode.OK
 
 
@@ -89,7 +89,7 @@
 
 def run_machines(arguments: argparse.Namespace) -> int:
     """Run the machine list."""
-    serve(arguments.listen, MachineServiceShell(arguments.lag).application())
+    serve(arguments.listen, MachineListServer(arguments.lag).application())
     return ExitCode.OK
 
 
@@ -104,9 +104,9 @@
     )
     models = dict(_parse_model(text) for text in arguments.model)
     emulation = EngineEmulation(parameters=parameters, load_lag=arguments.load_lag)
-    shell = EngineServiceShell(models, emulation, arguments.weights_url)
-    shell.start()
-    serve(arguments.listen, shell.application())
+    server = EngineServer(models, emulation, arguments.weights_url)
+    server.start()
+    serve(arguments.listen, server.application())
     return ExitCode.OK
 
 
--- a/postvalve/cli/explain.py
+++ b/postvalve/cli/explain.py
@@ -13,7 +13,7 @@
 from postvalve.cli.output import ExitCode, add_output_flag
 from postvalve.exceptions import NotFoundError
 
-CONTEXT_NUMBERS = frozenset((102, 103, 104, 230, 300, 412, 413, 414, 610, 611, 613, 614))
+CONTEXT_EVENTS = frozenset((102, 103, 104, 230, 300, 412, 413, 414, 610, 611, 613, 614))
 """Events of a node that may explain what happened to a request meanwhile."""
 CONTEXT_SECONDS = 5.0
 """Seconds before the first and after the last line about the id that context is shown for."""
@@ -33,13 +33,13 @@
     number: int
     fields: dict[str, Any]
 
-    def concerns(self, wanted: str) -> bool:
+    def mentions(self, target_id: str) -> bool:
         """Whether the line is about a request, job, item, engine or peer of that name.
 
         A line that names it in a list, as one that waited behind it, is among them.
         """
         return any(
-            value == wanted or (isinstance(value, list) and wanted in value)
+            value == target_id or (isinstance(value, list) and target_id in value)
             for value in self.fields.values()
         )
 
@@ -65,55 +65,55 @@
     Raises:
         NotFoundError: no line names the id.
     """
-    lines = sorted(_read(arguments.logs), key=lambda line: line.at)
-    chosen = explain(lines, arguments.id, context=not arguments.alone)
-    if not chosen:
+    lines = sorted(_read_lines(arguments.logs), key=lambda line: line.at)
+    selected = explain(lines, arguments.id, context=not arguments.alone)
+    if not selected:
         raise NotFoundError(f"no line names {arguments.id!r}")
     if arguments.output == "json":
-        print(json.dumps([line.fields for line in chosen], indent=2))
+        print(json.dumps([line.fields for line in selected], indent=2))
         return ExitCode.OK
-    for line in chosen:
-        print(_text(line, arguments.id))
+    for line in selected:
+        print(_format_line(line, arguments.id))
     return ExitCode.OK
 
 
-def explain(lines: list[LogLine], wanted: str, *, context: bool = True) -> list[LogLine]:
+def explain(lines: list[LogLine], target_id: str, *, context: bool = True) -> list[LogLine]:
     """Lines about `wanted`, and those that tell what befell the nodes concerned meanwhile.
 
     Of a request that waited they tell, too, what came of those in front of it.
     """
-    about = [line for line in lines if line.concerns(wanted)]
-    if not about or not context:
-        return about
-    nodes = {line.node for line in about}
-    ahead = _ahead_of(wanted, about)
-    engines = {line.fields["engine"] for line in about if "engine" in line.fields}
-    first, last = _seconds(about[0].at), _seconds(about[-1].at)
+    matching = [line for line in lines if line.mentions(target_id)]
+    if not matching or not context:
+        return matching
+    nodes = {line.node for line in matching}
+    ahead = _requests_ahead(target_id, matching)
+    engines = {line.fields["engine"] for line in matching if "engine" in line.fields}
+    first, last = _seconds_of_day(matching[0].at), _seconds_of_day(matching[-1].at)
 
     def is_context(line: LogLine) -> bool:
-        near = first - CONTEXT_SECONDS <= _seconds(line.at) <= last + CONTEXT_SECONDS
-        other_engine = line.fields.get("engine", wanted) not in engines | {wanted}
+        in_window = first - CONTEXT_SECONDS <= _seconds_of_day(line.at) <= last + CONTEXT_SECONDS
+        other_engine = line.fields.get("engine", target_id) not in engines | {target_id}
         same_node = line.node in nodes and not other_engine
-        return near and same_node and line.number in CONTEXT_NUMBERS
+        return in_window and same_node and line.number in CONTEXT_EVENTS
 
     return [
         line
         for line in lines
-        if line.concerns(wanted) or line.fields.get("request") in ahead or is_context(line)
+        if line.mentions(target_id) or line.fields.get("request") in ahead or is_context(line)
     ]
 
 
-def _ahead_of(wanted: str, about: Iterable[LogLine]) -> set[str]:
+def _requests_ahead(target_id: str, matching: Iterable[LogLine]) -> set[str]:
     """Requests that were in front of one while it waited: what came of them explains its wait."""
     return {
         request
-        for line in about
-        if line.fields.get("request") == wanted
+        for line in matching
+        if line.fields.get("request") == target_id
         for request in line.fields.get("ahead", ())
     }
 
 
-def _read(names: Iterable[str]) -> Iterator[LogLine]:
+def _read_lines(names: Iterable[str]) -> Iterator[LogLine]:
     for name in names:
         text = sys.stdin.read() if name == "-" else Path(name).read_text(encoding="utf-8")
         for raw in text.splitlines():
@@ -134,16 +134,16 @@
         return None
 
 
-def _text(line: LogLine, wanted: str) -> str:
+def _format_line(line: LogLine, target_id: str) -> str:
     hidden = {"timestamp", "node", "zone", "number", "level", "event"}
     details = " ".join(
         f"{name}={value}" for name, value in line.fields.items() if name not in hidden
     )
-    mark = "*" if line.concerns(wanted) else " "
+    mark = "*" if line.mentions(target_id) else " "
     time = line.at.partition("T")[2].rstrip("Z")
     return f"{mark} {time} {line.node} {line.number} {line.fields.get('event', '')}: {details}"
 
 
-def _seconds(at: str) -> float:
+def _seconds_of_day(at: str) -> float:
     hours, minutes, seconds = at.partition("T")[2].rstrip("Z").split(":")
     return int(hours) * 3600 + int(minutes) * 60 + float(seconds)
--- a/postvalve/cli/jobs.py
+++ b/postvalve/cli/jobs.py
@@ -5,7 +5,7 @@
 import argparse
 from typing import Any
 
-from postvalve.cli.connection import DEFAULT_SHARDS, LogAccess, add_log_flags, connect_log
+from postvalve.cli.connection import DEFAULT_SHARDS, LogStores, add_log_flags, connect_log
 from postvalve.cli.output import ExitCode, add_output_flag, print_document, print_rows
 from postvalve.core.batch.job_ledger import JobLedger
 from postvalve.exceptions import NotFoundError
@@ -45,41 +45,41 @@
 
 def run_list(arguments: argparse.Namespace) -> int:
     """List jobs."""
-    access = connect_log(arguments, arguments.shards)
+    stores = connect_log(arguments, arguments.shards)
     if arguments.tenant:
-        job_ids = access.jobs.tenant_jobs(arguments.tenant)
+        job_ids = stores.jobs.tenant_jobs(arguments.tenant)
     else:
-        job_ids = access.jobs.announced_jobs()
-    ledgers = [access.jobs.refresh(job_id) for job_id in job_ids]
-    rows = [_row(ledger) for ledger in ledgers if ledger.exists]
+        job_ids = stores.jobs.announced_jobs()
+    ledgers = [stores.jobs.refresh(job_id) for job_id in job_ids]
+    rows = [_job_row(ledger) for ledger in ledgers if ledger.exists]
     print_rows(rows, COLUMNS, arguments.output)
     return ExitCode.OK
 
 
 def run_show(arguments: argparse.Namespace) -> int:
     """Show one job."""
-    access = connect_log(arguments, arguments.shards)
-    print_document(_row(_existing(access, arguments.job_id)), arguments.output)
+    stores = connect_log(arguments, arguments.shards)
+    print_document(_job_row(_load_job(stores, arguments.job_id)), arguments.output)
     return ExitCode.OK
 
 
 def run_cancel(arguments: argparse.Namespace) -> int:
     """Cancel one job."""
-    access = connect_log(arguments, arguments.shards)
-    ledger = _existing(access, arguments.job_id)
-    access.jobs.cancel(ledger.accepted.tenant, arguments.job_id)
-    print_document(_row(_existing(access, arguments.job_id)), arguments.output)
+    stores = connect_log(arguments, arguments.shards)
+    ledger = _load_job(stores, arguments.job_id)
+    stores.jobs.cancel(ledger.accepted.tenant, arguments.job_id)
+    print_document(_job_row(_load_job(stores, arguments.job_id)), arguments.output)
     return ExitCode.OK
 
 
-def _existing(access: LogAccess, job_id: str) -> JobLedger:
-    ledger = access.jobs.refresh(job_id)
+def _load_job(stores: LogStores, job_id: str) -> JobLedger:
+    ledger = stores.jobs.refresh(job_id)
     if not ledger.exists:
         raise NotFoundError(f"there is no job {job_id!r}")
     return ledger
 
 
-def _row(ledger: JobLedger) -> dict[str, Any]:
+def _job_row(ledger: JobLedger) -> dict[str, Any]:
     submission = ledger.accepted
     return {
         "job": submission.job_id,
--- a/postvalve/cli/node.py
+++ b/postvalve/cli/node.py
@@ -27,7 +27,7 @@
     "shards",
 )
 
-STOP_TIME = 1.0
+STOP_TIMEOUT = 1.0
 """Seconds that connections have to close after the drain."""
 
 EXAMPLES = """examples:
@@ -84,5 +84,5 @@
     node.start()
     server.start()
     node.wait()
-    server.stop(STOP_TIME)
+    server.stop(STOP_TIMEOUT)
     return ExitCode.OK
--- a/postvalve/cli/request.py
+++ b/postvalve/cli/request.py
@@ -20,7 +20,7 @@
 API_KEY_VARIABLE = "POSTVALVE_API_KEY"
 POLL_INTERVAL = 0.2
 """Seconds between looks at a batch."""
-ANSWER_TIMEOUT = 60.0
+RESPONSE_TIMEOUT = 60.0
 """Seconds of silence until an answer is given up."""
 EVENT_PREFIX = b"data: "
 
@@ -59,12 +59,12 @@
         kind.add_argument("--workload")
 
 
-class Caller:
+class NodeClient:
     """A caller of one node."""
 
     def __init__(self, arguments: argparse.Namespace) -> None:
         url = URL(arguments.node)
-        self._client = HTTPClient(url.host, port=url.port, network_timeout=ANSWER_TIMEOUT)
+        self._client = HTTPClient(url.host, port=url.port, network_timeout=RESPONSE_TIMEOUT)
         self._headers = {"Authorization": f"Bearer {arguments.key}"}
         if arguments.workload:
             self._headers["X-Postvalve-Workload"] = arguments.workload
@@ -114,7 +114,7 @@
     }
     body = json.dumps(document).encode("utf-8")
     headers = {"Content-Type": "application/json"}
-    response = Caller(arguments).call("POST", "/v1/chat/completions", body, headers)
+    response = NodeClient(arguments).call("POST", "/v1/chat/completions", body, headers)
     while event := response.readline(b"\n\n"):
         data = event.removeprefix(EVENT_PREFIX).strip()
         if data == b"[DONE]":
@@ -130,8 +130,8 @@
 
 def run_batch(arguments: argparse.Namespace) -> int:
     """Run a batch to its end and print its output file."""
-    caller = Caller(arguments)
-    file = _upload(caller, arguments.file)
+    client = NodeClient(arguments)
+    file = _upload(client, arguments.file)
     headers = {}
     if arguments.idempotency_key:
         headers["Idempotency-Key"] = arguments.idempotency_key
@@ -140,18 +140,18 @@
         "endpoint": "/v1/chat/completions",
         "completion_window": arguments.window,
     }
-    batch = caller.call_json("POST", "/v1/batches", request, **headers)
+    batch = client.call_json("POST", "/v1/batches", request, **headers)
     print(f"accepted: {batch['id']}", file=sys.stderr)
     while batch["status"] == "in_progress":
         time.sleep(POLL_INTERVAL)
-        batch = caller.call_json("GET", f"/v1/batches/{batch['id']}", None)
+        batch = client.call_json("GET", f"/v1/batches/{batch['id']}", None)
     for file_id in filter(None, (batch["output_file_id"], batch["error_file_id"])):
-        content = caller.call("GET", f"/v1/files/{file_id}/content").read()
+        content = client.call("GET", f"/v1/files/{file_id}/content").read()
         sys.stdout.write(content.decode("utf-8"))
     return ExitCode.OK if batch["status"] == "completed" else ExitCode.FAILED
 
 
-def _upload(caller: Caller, path: Path) -> Any:
+def _upload(client: NodeClient, path: Path) -> Any:
     boundary = uuid.uuid4().hex
     try:
         content = path.read_bytes()
@@ -167,4 +167,4 @@
         + f"\r\n--{boundary}--\r\n".encode()
     )
     headers = {"Content-Type": f"multipart/form-data; boundary={boundary}"}
-    return json.loads(caller.call("POST", "/v1/files", body, headers).read())
+    return json.loads(client.call("POST", "/v1/files", body, headers).read())
--- a/postvalve/cli/status.py
+++ b/postvalve/cli/status.py
@@ -17,7 +17,7 @@
 from postvalve.cli.tenants import (
     TENANT_COLUMNS,
     WAITING_COLUMNS,
-    add_up,
+    sum_tenant_rows,
     tenant_table,
     waiting_rows,
 )
@@ -25,10 +25,10 @@
 from postvalve.exceptions import AuthenticationError, PlatformError, PostvalveError
 
 NODE_COLUMNS = ("node", "zone", "state", "revision", "engine", "online", "batch", "slots")
-ASKED_COLUMNS = ("node", "zone", "state", "revision", "peers", "engines")
+NODE_SUMMARY_COLUMNS = ("node", "zone", "state", "revision", "peers", "engines")
 TIMEOUT = 5.0
 """Seconds until a node's answer is given up."""
-ASKED_AT_ONCE = 32
+MAX_PARALLEL_REQUESTS = 32
 """Nodes that are asked side by side: silent ones must not add up to minutes."""
 EXAMPLES = """examples:
   postvalve status --node http://127.0.0.1:8080 --output json
@@ -68,7 +68,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Print one node's view, or what several nodes tell together."""
     if len(arguments.node) > 1:
-        return _show_several(arguments)
+        return _show_combined(arguments)
     document = fetch_status(arguments.node[0], arguments.key)
     if arguments.output == "json":
         print(json.dumps(document, indent=2))
@@ -82,45 +82,47 @@
         if rows:
             print(f"\n{name}:")
             print_rows(rows, tuple(rows[0]), "table")
-    _print_callers([document], since_start=arguments.since_start)
+    _print_tenants([document], since_start=arguments.since_start)
     return ExitCode.OK
 
 
-def _show_several(arguments: argparse.Namespace) -> int:
+def _show_combined(arguments: argparse.Namespace) -> int:
     """Print what nodes tell together; those that do not answer are named."""
-    answers = Pool(ASKED_AT_ONCE).map(lambda node: _ask(node, arguments.key), arguments.node)
+    outcomes = Pool(MAX_PARALLEL_REQUESTS).map(
+        lambda node: _try_fetch_status(node, arguments.key), arguments.node
+    )
     # A node may be named twice, or by several of its addresses.
-    by_node = {one["node_id"]: one for one in answers if isinstance(one, dict)}
+    by_node = {one["node_id"]: one for one in outcomes if isinstance(one, dict)}
     documents = list(by_node.values())
-    silent = [
+    unanswered = [
         {"node": node, "error": one.message}
-        for node, one in zip(arguments.node, answers, strict=True)
+        for node, one in zip(arguments.node, outcomes, strict=True)
         if isinstance(one, PostvalveError)
     ]
-    for error in silent:
+    for error in unanswered:
         print(f"not counted: {error['error']}", file=sys.stderr)
     if arguments.output == "json":
         summed = {
-            "tenants": [row.fields() for row in add_up(documents)],
+            "tenants": [row.fields() for row in sum_tenant_rows(documents)],
             "waiting": waiting_rows(documents),
-            "silent": silent,
+            "silent": unanswered,
             "documents": documents,
         }
         print(json.dumps(summed, indent=2))
     else:
-        print_rows([_asked_row(one) for one in documents], ASKED_COLUMNS, "table")
-        _print_callers(documents, since_start=arguments.since_start)
+        print_rows([_node_summary_row(one) for one in documents], NODE_SUMMARY_COLUMNS, "table")
+        _print_tenants(documents, since_start=arguments.since_start)
     return ExitCode.OK if documents else ExitCode.UNAVAILABLE
 
 
-def _ask(node: str, key: str) -> dict[str, Any] | PostvalveError:
+def _try_fetch_status(node: str, key: str) -> dict[str, Any] | PostvalveError:
     try:
         return fetch_status(node, key)
     except (AuthenticationError, PlatformError) as error:
         return error
 
 
-def _asked_row(document: dict[str, Any]) -> dict[str, Any]:
+def _node_summary_row(document: dict[str, Any]) -> dict[str, Any]:
     return {
         "node": document["node_id"],
         "zone": document.get("zone", "-"),
@@ -131,9 +133,9 @@
     }
 
 
-def _print_callers(documents: list[dict[str, Any]], *, since_start: bool) -> None:
+def _print_tenants(documents: list[dict[str, Any]], *, since_start: bool) -> None:
     """Print what tenants got, those served worst first, and who waits now."""
-    tenants = tenant_table(add_up(documents), since_start=since_start)
+    tenants = tenant_table(sum_tenant_rows(documents), since_start=since_start)
     if tenants:
         span = "since the start" if since_start else f"in the last {WINDOW:.0f} s"
         print(f"\ntenants, {span}, at {len(documents)} of the nodes:")
--- a/postvalve/cli/tenants.py
+++ b/postvalve/cli/tenants.py
@@ -27,7 +27,7 @@
 )
 
 
-def add_up(documents: Iterable[dict[str, Any]]) -> list[Row]:
+def sum_tenant_rows(documents: Iterable[dict[str, Any]]) -> list[Row]:
     """One row a tenant from the status documents of nodes, those served worst lately first.
 
     Nodes of a build that tells none add nothing.
@@ -53,28 +53,30 @@
 def tenant_table(rows: Sequence[Row], *, since_start: bool) -> list[dict[str, Any]]:
     """Rows by `TENANT_COLUMNS`, of the last seconds or since the nodes' start."""
     chosen = [(row, row.total if since_start else row.recent) for row in rows]
-    held = total_of(counts for _, counts in chosen).engine_seconds
-    return [_line(row, counts, held) for row, counts in chosen]
+    total_engine_seconds = total_of(counts for _, counts in chosen).engine_seconds
+    return [_tenant_row(row, counts, total_engine_seconds) for row, counts in chosen]
 
 
-def _line(row: Row, counts: Counts, held: float) -> dict[str, Any]:
+def _tenant_row(row: Row, counts: Counts, total_engine_seconds: float) -> dict[str, Any]:
     ends = counts.ends
-    told = (End.NO_ROOM, End.OVER_LIMIT)
+    shown = (End.NO_ROOM, End.OVER_LIMIT)
     return {
         "tenant": row.tenant or "-",
         "running": row.running,
         "asked": counts.asked,
         "in_time": ends[End.IN_TIME],
         "late": ends[End.LATE],
-        **{str(end): ends[end] for end in told},
-        "refused_else": counts.refused - sum(ends[end] for end in told),
+        **{str(end): ends[end] for end in shown},
+        "refused_else": counts.refused - sum(ends[end] for end in shown),
         "never": ends[End.FAILED] + ends[End.GIVEN_UP],
         "left": ends[End.LEFT],
         "in_time_share": round(counts.in_time_share, 3),
         "wait": round(counts.waited / counts.asked, 3) if counts.asked else 0.0,
         "worst_wait": counts.worst_wait,
         "engine_seconds": round(counts.engine_seconds, 1),
-        "engine_share": round(counts.engine_seconds / held, 3) if held else 0.0,
+        "engine_share": round(counts.engine_seconds / total_engine_seconds, 3)
+        if total_engine_seconds
+        else 0.0,
     }
 
 
--- a/postvalve/emulator/engine_model.py
+++ b/postvalve/emulator/engine_model.py
@@ -19,11 +19,11 @@
 class EngineNoise:
     """Times in which an engine is slower, since it shares its machine with others."""
 
-    share: float = 0.0
+    slow_share: float = 0.0
     """Of all times."""
     factor: float = 1.0
     """How many times as long work takes in them."""
-    seconds: float = 0.6
+    interval: float = 0.6
     """Length of each time, slow or not."""
 
 
@@ -41,7 +41,7 @@
     """Seconds for each prompt token that the prefix cache does not hold."""
     cache_blocks: int = 4096
     """Capacity of the prefix cache, blocks of 256 characters."""
-    slowness: float = 1.0
+    base_pace: float = 1.0
     """How many times as long as usual all work takes."""
     noise: EngineNoise = EngineNoise()
 
@@ -51,10 +51,10 @@
         A function of both: a run is the same each time.
         """
         noise = self.noise
-        if noise.share <= 0:
-            return self.slowness
-        turn = xxhash.xxh32_intdigest(f"{name} {int(now / noise.seconds)}".encode())
-        return self.slowness * (noise.factor if turn < noise.share * 2**32 else 1.0)
+        if noise.slow_share <= 0:
+            return self.base_pace
+        hash_value = xxhash.xxh32_intdigest(f"{name} {int(now / noise.interval)}".encode())
+        return self.base_pace * (noise.factor if hash_value < noise.slow_share * 2**32 else 1.0)
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
     prompt_tokens: int = 0
 
     @property
-    def order(self) -> tuple[int, int]:
+    def sort_key(self) -> tuple[int, int]:
         """Lower runs first."""
         return (self.priority, self.arrival)
 
@@ -232,7 +232,7 @@
         Args:
             pace: How many times as long as usual it takes.
         """
-        self._running = sorted(self._sequences.values(), key=lambda one: one.order)
+        self._running = sorted(self._sequences.values(), key=lambda one: one.sort_key)
         del self._running[self.parameters.slots :]
         result = StepResult()
         if not self._running:
--- a/postvalve/emulator/engine_service.py
+++ b/postvalve/emulator/engine_service.py
@@ -66,7 +66,7 @@
     """Seconds by which load reports are old."""
     cache_event_lag: float = 1.0
     """Seconds by which cache events are late."""
-    cache_event_gap: int = 50
+    cache_event_loss_interval: int = 50
     """Every so many cache events, one is missing."""
 
 
@@ -86,7 +86,7 @@
     cache_events: int
 
 
-class EngineServiceShell:
+class EngineServer:
     """Steps the model in real time and carries its tokens to HTTP streams."""
 
     def __init__(
@@ -98,7 +98,7 @@
         self._emulation = emulation
         self._model = EngineModel(emulation.parameters)
         self._queues: dict[str, Queue] = {}
-        self._work = Event()
+        self._work_available = Event()
         self._faults = EngineFaults()
         self._reports: list[_LaggedReport] = []
         self._served = 0
@@ -126,10 +126,10 @@
 
     def _run(self) -> None:
         while True:
-            self._take_report()
+            self._record_load()
             if self._model.idle:
-                self._work.clear()
-                self._work.wait(self._emulation.load_lag)
+                self._work_available.clear()
+                self._work_available.wait(self._emulation.load_lag)
                 continue
             result = self._model.step()
             gevent.sleep(result.duration)
@@ -138,12 +138,12 @@
                 if queue is not None:
                     queue.put(emission)
 
-    def _take_report(self) -> None:
+    def _record_load(self) -> None:
         now = time.monotonic()
         report = _LaggedReport(now, self._model.load(), len(self._model.cache.events))
         self._reports.append(report)
-        horizon = max(self._emulation.load_lag, self._emulation.cache_event_lag)
-        while len(self._reports) > 2 and self._reports[1].taken_at < now - horizon:
+        max_lag = max(self._emulation.load_lag, self._emulation.cache_event_lag)
+        while len(self._reports) > 2 and self._reports[1].taken_at < now - max_lag:
             self._reports.pop(0)
 
     def _lagged(self, lag: float) -> _LaggedReport | None:
@@ -174,23 +174,23 @@
         )
         self._served += 1
         self._queues[attempt_id] = Queue()
-        self._work.set()
-        return self._answer(request, chat, attempt_id, version)
+        self._work_available.set()
+        return self._respond(request, chat, attempt_id, version)
 
-    def _answer(
+    def _respond(
         self, request: Request, chat: ChatRequest, attempt_id: str, version: str
     ) -> Response:
-        answered_id = attempt_id
+        response_attempt_id = attempt_id
         if self._faults.crossed_answers > 0:
             self._faults.crossed_answers -= 1
-            answered_id = f"crossed-{attempt_id}"
-        headers = {ATTEMPT_HEADER: answered_id, MODEL_VERSION_HEADER: version}
+            response_attempt_id = f"crossed-{attempt_id}"
+        headers = {ATTEMPT_HEADER: response_attempt_id, MODEL_VERSION_HEADER: version}
         request_id = request.headers.get(REQUEST_HEADER, attempt_id)
         if chat.stream:
             events = self._events(chat, attempt_id, request_id)
             return Response(events, headers=headers, content_type="text/event-stream")
-        whole = self._whole(chat, attempt_id, request_id, version)
-        return Response(whole, headers=headers, content_type="application/json")
+        completion = self._completion(chat, attempt_id, request_id, version)
+        return Response(completion, headers=headers, content_type="application/json")
 
     def _events(self, chat: ChatRequest, attempt_id: str, request_id: str) -> Iterator[bytes]:
         queue = self._queues[attempt_id]
@@ -207,9 +207,9 @@
                     raise ConnectionAbortedError("cut on order")
             yield DONE_EVENT
         finally:
-            self._forget(attempt_id)
+            self._discard(attempt_id)
 
-    def _whole(
+    def _completion(
         self, chat: ChatRequest, attempt_id: str, request_id: str, version: str
     ) -> Iterator[bytes]:
         queue = self._queues[attempt_id]
@@ -220,9 +220,9 @@
             prompt_tokens = prompt_token_count(chat.prompt_text)
             yield completion_document(request_id, chat, text, prompt_tokens, chat.token_count)
         finally:
-            self._forget(attempt_id)
+            self._discard(attempt_id)
 
-    def _forget(self, attempt_id: str) -> None:
+    def _discard(self, attempt_id: str) -> None:
         self._queues.pop(attempt_id, None)
         self._model.cancel(attempt_id)
 
@@ -230,7 +230,7 @@
         queue = self._queues.get(attempt_id)
         if queue is not None:
             queue.put(None)
-        self._forget(attempt_id)
+        self._discard(attempt_id)
         return json_response({})
 
     @staticmethod
@@ -254,11 +254,11 @@
         start = request.args.get("from", 0, int)
         lagged = self._lagged(self._emulation.cache_event_lag)
         end = lagged.cache_events if lagged else 0
-        gap = self._emulation.cache_event_gap
+        loss_interval = self._emulation.cache_event_loss_interval
         events = [
             asdict(event)
             for event in self._model.cache.events[start:end]
-            if event.sequence % gap != gap - 1
+            if event.sequence % loss_interval != loss_interval - 1
         ]
         return json_response({"events": events, "next": max(start, end)})
 
--- a/postvalve/emulator/keyed_topics.py
+++ b/postvalve/emulator/keyed_topics.py
@@ -17,15 +17,15 @@
     TopicSlice,
 )
 
-LOOK_INTERVAL = 0.05
+DOWN_CHECK_INTERVAL = 0.05
 """Seconds after which a waiting read looks whether the store is down meanwhile."""
-PAGE_RECORDS = 500
+MAX_PAGE_RECORDS = 500
 
 
 @dataclass(slots=True)
 class _Partition:
     log: list[KeyedRecord] = field(default_factory=list)
-    first_kept: int = 0
+    first_offset: int = 0
     appended: GeventEvent = field(default_factory=GeventEvent)
     """Set, and replaced, when records are appended."""
 
@@ -44,7 +44,7 @@
         """Appends, from the next one on, that are done and not answered."""
         self.late_appends = 0
         """Appends, from the next one on, that are done later and not answered."""
-        self.late_by = 0.05
+        self.late_append_delay = 0.05
         self.calls = 0
 
     def partition(self, topic: str, part: int) -> _Partition:
@@ -55,10 +55,10 @@
         self, topic: str, part: int, records: Sequence[KeyedRecord], at: int | None = None
     ) -> int:
         """See `KeyedTopics`."""
-        self._count_call()
+        self._begin_call()
         if self.late_appends > 0:
             self.late_appends -= 1
-            gevent.spawn_later(self.late_by, self._append_quietly, topic, part, records, at)
+            gevent.spawn_later(self.late_append_delay, self._append_late, topic, part, records, at)
             raise StoreUnavailableError("no answer", Verdict.MAY_HAVE_RUN)
         offset = self._append(topic, part, records, at)
         if self.lost_answers > 0:
@@ -78,7 +78,7 @@
         appended.set()
         return offset
 
-    def _append_quietly(
+    def _append_late(
         self, topic: str, part: int, records: Sequence[KeyedRecord], at: int | None
     ) -> None:
         try:
@@ -88,49 +88,49 @@
 
     def read(self, topic: str, part: int, offset: int, wait: float, limit: int) -> TopicSlice:
         """See `KeyedTopics`."""
-        self._count_call()
+        self._begin_call()
         partition = self.partition(topic, part)
         waited = 0.0
         while True:
             if self.down:
                 raise StoreUnavailableError("down", Verdict.NOT_RUN)
-            if offset < partition.first_kept:
+            if offset < partition.first_offset:
                 raise HistoryGoneError("dropped")
             if offset < len(partition.log) or waited >= wait:
                 break
-            pause = min(LOOK_INTERVAL, wait - waited)
+            pause = min(DOWN_CHECK_INTERVAL, wait - waited)
             # One that is woken up by a record has waited for less, and is answered.
             partition.appended.wait(pause)
             waited += pause
-        records = _within(partition.log[offset:], limit)
-        held = 0.0 if records else waited
-        return TopicSlice(records, offset + len(records), len(partition.log), held)
+        records = _limit_bytes(partition.log[offset:], limit)
+        elapsed = 0.0 if records else waited
+        return TopicSlice(records, offset + len(records), len(partition.log), elapsed)
 
     def newest(self, topic: str, part: int, after: str = "") -> tuple[TopicSlice, bool]:
         """See `KeyedTopics`."""
-        self._count_call()
+        self._begin_call()
         partition = self.partition(topic, part)
         found = [record for record in partition.newest() if record.key > after]
-        page = tuple(found[:PAGE_RECORDS])
+        page = tuple(found[:MAX_PAGE_RECORDS])
         end = len(partition.log)
         return TopicSlice(page, end, end), len(found) > len(page)
 
-    def _count_call(self) -> None:
+    def _begin_call(self) -> None:
         self.calls += 1
         if self.down:
             raise StoreUnavailableError("down", Verdict.NOT_RUN)
 
-    def everything(self) -> list[tuple[str, list[KeyedRecord]]]:
+    def all_records(self) -> list[tuple[str, list[KeyedRecord]]]:
         """All records by topic, those that newer ones replace among them."""
         return [(topic, one.log) for (topic, _), one in self._partitions.items()]
 
     def drop_history(self) -> None:
         """Forget everything but the newest record of each key."""
         for partition in self._partitions.values():
-            partition.first_kept = len(partition.log)
+            partition.first_offset = len(partition.log)
 
 
-def _within(records: Sequence[KeyedRecord], limit: int) -> tuple[KeyedRecord, ...]:
+def _limit_bytes(records: Sequence[KeyedRecord], limit: int) -> tuple[KeyedRecord, ...]:
     """The first records, of about `limit` bytes together, and one at the least."""
     size = 0
     for number, record in enumerate(records):
--- a/postvalve/emulator/log_model.py
+++ b/postvalve/emulator/log_model.py
@@ -43,7 +43,7 @@
         Raises:
             LogUnavailableError: as the faults say; MAY_HAVE_RUN after it took effect.
         """
-        self._refuse_when_down(zone)
+        self._check_reachable(zone)
         records = self._streams[stream]
         records.append(payload)
         if self.faults.fault is LogFault.LOSE_ANSWERS:
@@ -60,7 +60,7 @@
         zone: str = "",
     ) -> LogSlice:
         """Read at most about `limit` bytes, one record at least; never waits."""
-        self._refuse_when_down(zone)
+        self._check_reachable(zone)
         records = self._streams.get(stream, [])
         entries: list[LogEntry] = []
         size = 0
@@ -75,6 +75,6 @@
         """Number of records in a stream."""
         return len(self._streams.get(stream, ()))
 
-    def _refuse_when_down(self, zone: str) -> None:
+    def _check_reachable(self, zone: str) -> None:
         if self.faults.fault is LogFault.DOWN or zone in self.faults.cut_zones:
             raise LogUnavailableError("log is down", Verdict.NOT_RUN)
--- a/postvalve/emulator/log_service.py
+++ b/postvalve/emulator/log_service.py
@@ -14,7 +14,7 @@
 from postvalve.services.log import DEFAULT_READ_BYTES, MAX_RECORD_BYTES, ZONE_HEADER
 
 
-class LogServiceShell:
+class LogServer:
     """Carries requests to the model and wakes long polls."""
 
     def __init__(self) -> None:
--- a/postvalve/emulator/machine_service.py
+++ b/postvalve/emulator/machine_service.py
@@ -47,7 +47,7 @@
             self._visible[change.machine_id] = change.machine
 
 
-class MachineServiceShell:
+class MachineListServer:
     """Carries requests to the model."""
 
     def __init__(self, lag: float) -> None:
--- a/postvalve/emulator/relay.py
+++ b/postvalve/emulator/relay.py
@@ -6,7 +6,7 @@
 from gevent.server import StreamServer
 from gevent.socket import create_connection, socket
 
-BLOCK = 64 * 1024
+BLOCK_BYTES = 64 * 1024
 
 
 def serve_relay(listen: str, target: str) -> None:
@@ -14,20 +14,20 @@
     host, _, port = listen.rpartition(":")
     target_host, _, target_port = target.rpartition(":")
 
-    def relay(caller: socket, address: object) -> None:
+    def relay(client: socket, address: object) -> None:
         upstream = create_connection((target_host, int(target_port)))
-        back = gevent.spawn(_copy, upstream, caller)
-        _copy(caller, upstream)
-        back.kill()
+        return_copy = gevent.spawn(_copy, upstream, client)
+        _copy(client, upstream)
+        return_copy.kill()
         upstream.close()
-        caller.close()
+        client.close()
 
     StreamServer((host, int(port)), relay).serve_forever()
 
 
 def _copy(source: socket, sink: socket) -> None:
     try:
-        while block := source.recv(BLOCK):
+        while block := source.recv(BLOCK_BYTES):
             sink.sendall(block)
     except OSError:
         return
--- a/postvalve/emulator/virtual_engine.py
+++ b/postvalve/emulator/virtual_engine.py
@@ -24,7 +24,7 @@
     completion_document,
     prompt_token_count,
 )
-from postvalve.emulator.virtual_network import Place, VirtualNetwork
+from postvalve.emulator.virtual_network import Location, VirtualNetwork
 from postvalve.exceptions import (
     AttemptError,
     CrossedAnswerError,
@@ -34,12 +34,12 @@
 )
 from postvalve.services.engine import CONNECT_TIMEOUT, TOKEN_TIMEOUT, EngineAttempt, EngineLoad
 
-LOAD_SECONDS = 5.0
+MODEL_LOAD_SECONDS = 5.0
 """Seconds that loading a model takes."""
 
 
 @dataclass(frozen=True, slots=True)
-class LaggedLoad:
+class LoadSnapshot:
     """A load report and when it was taken."""
 
     taken_at: float
@@ -51,7 +51,7 @@
     """One attempt as the engine saw it, kept for the checks of tests."""
 
     attempt_id: str
-    client: Place
+    client: Location
     body: bytes
     resume_offset: int
     submitted_at: float
@@ -67,7 +67,7 @@
     cut_after_tokens: deque[int]
     crossed_answers: int = 0
     refusals: int = 0
-    silent_attempts: int = 0
+    unanswered_attempts: int = 0
     """Attempts that are taken and never answered."""
 
 
@@ -77,29 +77,29 @@
     def __init__(
         self,
         network: VirtualNetwork,
-        place: Place,
+        location: Location,
         models: dict[str, str],
         parameters: EngineParameters,
         load_lag: float = 0.5,
     ) -> None:
         self.network = network
         self.loop = network.loop
-        self.place = place
+        self.location = location
         self.models = models
         self.model = EngineModel(parameters)
         self.faults = EngineFaults(deque())
         self.attempts: list[AttemptRecord] = []
         self.alive = True
-        self.poison = ""
+        self.cut_prompt = ""
         """Last message of requests whose stream this engine always cuts."""
         self.orders: list[str] = []
         self.fencing_token = 0
         self._load_lag = load_lag
-        self._reports: deque[LaggedLoad] = deque()
+        self._reports: deque[LoadSnapshot] = deque()
         self._streams: dict[str, VirtualEngineStream] = {}
         self._stepping = False
 
-    def submit(self, attempt: EngineAttempt, client: Place) -> VirtualEngineStream:
+    def submit(self, attempt: EngineAttempt, client: Location) -> VirtualEngineStream:
         """Take an attempt.
 
         Raises:
@@ -130,7 +130,7 @@
         return self._open_stream(attempt, request, client, version)
 
     def _open_stream(
-        self, attempt: EngineAttempt, request: ChatRequest, client: Place, version: str
+        self, attempt: EngineAttempt, request: ChatRequest, client: Location, version: str
     ) -> VirtualEngineStream:
         record = AttemptRecord(
             attempt.attempt_id, client, attempt.body, attempt.resume_offset, self.loop.now()
@@ -138,10 +138,10 @@
         self.attempts.append(record)
         stream = VirtualEngineStream(self, attempt, request, client, record, version)
         self._streams[attempt.attempt_id] = stream
-        if self.faults.silent_attempts > 0:
-            self.faults.silent_attempts -= 1
-            stream.muted = True
-        elif self.poison and request.messages[-1].content == self.poison:
+        if self.faults.unanswered_attempts > 0:
+            self.faults.unanswered_attempts -= 1
+            stream.unanswered = True
+        elif self.cut_prompt and request.messages[-1].content == self.cut_prompt:
             stream.cut_after = 1
         elif self.faults.cut_after_tokens:
             stream.cut_after = self.faults.cut_after_tokens.popleft()
@@ -153,12 +153,12 @@
             return
         self._stepping = True
         result = self.model.step(self.pace())
-        self._note_load()
-        self.loop.call_for(self.place.owner, result.duration, self._finish_step, result)
+        self._record_load()
+        self.loop.call_for(self.location.owner, result.duration, self._finish_step, result)
 
     def pace(self) -> float:
         """How many times as long as usual work takes now."""
-        return self.model.parameters.pace(self.place.owner, self.loop.now())
+        return self.model.parameters.pace(self.location.owner, self.loop.now())
 
     def _finish_step(self, result: StepResult) -> None:
         self._stepping = False
@@ -177,13 +177,13 @@
         if stream is not None:
             stream.deliver(None)
 
-    def client_gone(self, owner: str) -> None:
+    def cancel_client(self, owner: str) -> None:
         """Drop the attempts of a client that died."""
         for attempt_id, stream in list(self._streams.items()):
             if stream.client.owner == owner:
                 self.cancel(attempt_id)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Cut every stream; nothing answers any more."""
         self.alive = False
         for stream in self._streams.values():
@@ -192,15 +192,15 @@
 
     def restart(self, owner: str) -> None:
         """Come back empty, under a new owner; what was seen of attempts is kept."""
-        self.place = Place(owner, self.place.zone)
+        self.location = Location(owner, self.location.zone)
         self.model = EngineModel(self.model.parameters)
         self._reports.clear()
         self._stepping = False
         self.alive = True
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now = self.loop.now()
-        self._reports.append(LaggedLoad(now, self.model.load()))
+        self._reports.append(LoadSnapshot(now, self.model.load()))
         while len(self._reports) > 1 and self._reports[1].taken_at <= now - self._load_lag:
             self._reports.popleft()
 
@@ -217,8 +217,8 @@
         if action == "unload":
             self.models.pop(model, None)
         else:
-            owner = self.place.owner
-            self.loop.call_for(owner, LOAD_SECONDS, self.models.__setitem__, model, version)
+            owner = self.location.owner
+            self.loop.call_for(owner, MODEL_LOAD_SECONDS, self.models.__setitem__, model, version)
 
     def load(self) -> EngineLoad:
         """The report, as old as the lag."""
@@ -236,13 +236,13 @@
         engine: VirtualEngine,
         attempt: EngineAttempt,
         request: ChatRequest,
-        client: Place,
+        client: Location,
         record: AttemptRecord,
         version: str,
     ) -> None:
         self.client = client
         self.model_version = version
-        self.muted = False
+        self.unanswered = False
         self.cut_after: int | None = None
         self._engine = engine
         self._attempt = attempt
@@ -256,7 +256,7 @@
 
     def emit(self, emission: Emission) -> None:
         """Send a token on its way."""
-        if self.muted:
+        if self.unanswered:
             return
         record = self._record
         record.tokens += 1
@@ -269,8 +269,8 @@
     def deliver(self, emission: Emission | None) -> None:
         """Put something before the client; None is the end of the connection."""
         network = self._engine.network
-        if network.connected(self._engine.place, self.client):
-            delay = network.delay(self._engine.place, self.client)
+        if network.connected(self._engine.location, self.client):
+            delay = network.delay(self._engine.location, self.client)
             network.loop.call_for(self.client.owner, delay, self._queue.put, emission)
 
     # At the client
@@ -281,9 +281,9 @@
         Raises:
             AttemptError: it did not come.
         """
-        self._first = self._next()
+        self._first = self._next_emission()
 
-    def _next(self) -> Emission:
+    def _next_emission(self) -> Emission:
         try:
             emission = self._queue.get(timeout=TOKEN_TIMEOUT)
         except Exception as error:
@@ -296,7 +296,7 @@
 
     def _emissions(self) -> Iterator[Emission]:
         while not self._ended:
-            emission = self._first or self._next()
+            emission = self._first or self._next_emission()
             self._first = None
             self._ended = emission.finished
             yield emission
@@ -328,21 +328,23 @@
         """See `EngineStream`."""
         if not self._record.finished:
             engine = self._engine
-            delay = engine.network.delay(self.client, engine.place)
-            engine.loop.call_for(engine.place.owner, delay, engine.cancel, self._attempt.attempt_id)
+            delay = engine.network.delay(self.client, engine.location)
+            engine.loop.call_for(
+                engine.location.owner, delay, engine.cancel, self._attempt.attempt_id
+            )
 
 
-class VirtualEngineAccess:
+class VirtualEngineClient:
     """One node's connection to an engine."""
 
-    def __init__(self, engine: VirtualEngine, client: Place, address: str) -> None:
+    def __init__(self, engine: VirtualEngine, client: Location, address: str) -> None:
         self.address = address
         self._engine = engine
         self._client = client
 
     def open(self, attempt: EngineAttempt, *, batch: bool) -> VirtualEngineStream:
         """See `Engine`."""
-        self._travel(AttemptError("the engine refused the connection", Verdict.NOT_RUN))
+        self._reach_engine(AttemptError("the engine refused the connection", Verdict.NOT_RUN))
         stream = self._engine.submit(attempt, self._client)
         try:
             stream.wait_for_first()
@@ -355,32 +357,32 @@
             raise CrossedAnswerError
         return stream
 
-    def _travel(self, error: AttemptError) -> None:
+    def _reach_engine(self, error: AttemptError) -> None:
         network = self._engine.network
-        if not network.connected(self._client, self._engine.place):
+        if not network.connected(self._client, self._engine.location):
             gevent.sleep(CONNECT_TIMEOUT)
             raise error
-        gevent.sleep(network.delay(self._client, self._engine.place))
+        gevent.sleep(network.delay(self._client, self._engine.location))
         if not self._engine.alive:
             raise error
 
     def cancel(self, attempt_id: str) -> None:
         """See `Engine`."""
-        self._control()
+        self._begin_control_call()
         self._engine.cancel(attempt_id)
 
     def order(self, action: str, model: str, version: str, fencing_token: int) -> None:
         """See `Engine`."""
-        self._control()
+        self._begin_control_call()
         self._engine.order(action, model, version, fencing_token)
 
     def load(self) -> EngineLoad:
         """See `Engine`."""
-        self._control()
+        self._begin_control_call()
         return self._engine.load()
 
-    def _control(self) -> None:
+    def _begin_control_call(self) -> None:
         try:
-            self._travel(AttemptError("the engine does not answer", Verdict.NOT_RUN))
+            self._reach_engine(AttemptError("the engine does not answer", Verdict.NOT_RUN))
         except AttemptError as error:
             raise PlatformError(error.message) from error
--- a/postvalve/emulator/virtual_fleet.py
+++ b/postvalve/emulator/virtual_fleet.py
@@ -17,10 +17,10 @@
 from postvalve.core.batch.identity import CONFIGURATION_STREAM
 from postvalve.core.configuration.history import NO_REVISION
 from postvalve.emulator.engine_model import EngineParameters
-from postvalve.emulator.virtual_engine import VirtualEngine, VirtualEngineAccess
+from postvalve.emulator.virtual_engine import VirtualEngine, VirtualEngineClient
 from postvalve.emulator.virtual_network import (
     LOCAL_DELAY,
-    Place,
+    Location,
     VirtualNetwork,
     VirtualTransport,
 )
@@ -58,10 +58,10 @@
 class RecordingEventLog(EventLog):
     """Keeps events for the checks of tests."""
 
-    def __init__(self, node_id: str, loop: VirtualLoop, sink: list[LoggedEvent]) -> None:
+    def __init__(self, node_id: str, loop: VirtualLoop, recorded: list[LoggedEvent]) -> None:
         self._node_id = node_id
         self._loop = loop
-        self._sink = sink
+        self._sink = recorded
 
     def emit(self, event: Event, **fields: Any) -> None:
         """See `EventLog`."""
@@ -115,7 +115,7 @@
     """One life of one node."""
 
     settings: NodeSettings
-    place: Place
+    location: Location
     node: Node
     pending: list[AsyncResult] = field(default_factory=list)
 
@@ -133,7 +133,7 @@
         self.engines: dict[str, VirtualEngine] = {}
         self.nodes: dict[str, VirtualNode] = {}
         self.events: list[LoggedEvent] = []
-        self._lives = itertools.count(1)
+        self._life_numbers = itertools.count(1)
         self._publish(self.default_configuration())
         self._add_engines()
 
@@ -184,7 +184,7 @@
         """Put an engine into the fleet."""
         self.engines[engine_id] = VirtualEngine(
             self.network,
-            Place(engine_id, zone),
+            Location(engine_id, zone),
             {self.shape.model: "1"},
             self.shape.parameters,
         )
@@ -204,8 +204,8 @@
     def settling_time(self) -> float:
         """Seconds after which a new fleet has leases and owners."""
         timing = self.shape.timing
-        heard = self.shape.machine_lag + timing.machine_list_interval
-        return heard + timing.digest_interval + 4 * timing.heartbeat_interval + 2
+        listing_delay = self.shape.machine_lag + timing.machine_list_interval
+        return listing_delay + timing.digest_interval + 4 * timing.heartbeat_interval + 2
 
     def add_node(self, node_id: str, zone: str) -> None:
         """Start a node that the machine list will show."""
@@ -220,12 +220,12 @@
 
     def start_node(self, node_id: str, zone: str) -> None:
         """Start a new life of a node."""
-        life = next(self._lives)
-        place = Place(f"{node_id}#{life}", zone)
+        life = next(self._life_numbers)
+        location = Location(f"{node_id}#{life}", zone)
         settings = self._settings(node_id, zone)
-        node = Node(self._context(settings, place, life))
-        self.nodes[node_id] = VirtualNode(settings, place, node)
-        self.loop.call_for(place.owner, 0.0, gevent.spawn, node.start)
+        node = Node(self._context(settings, location, life))
+        self.nodes[node_id] = VirtualNode(settings, location, node)
+        self.loop.call_for(location.owner, 0.0, gevent.spawn, node.start)
 
     def _settings(self, node_id: str, zone: str) -> NodeSettings:
         number = int(hashlib.sha256(node_id.encode()).hexdigest()[:4], 16)
@@ -240,19 +240,19 @@
             timing=self.shape.timing,
         )
 
-    def _context(self, settings: NodeSettings, place: Place, life: int) -> NodeContext:
+    def _context(self, settings: NodeSettings, location: Location, life: int) -> NodeContext:
         numbers = itertools.count(1)
 
-        def connect_engine(address: str) -> VirtualEngineAccess:
-            return VirtualEngineAccess(self.engines[address], place, address)
+        def connect_engine(address: str) -> VirtualEngineClient:
+            return VirtualEngineClient(self.engines[address], location, address)
 
         return NodeContext(
             settings=settings,
             clock=VirtualClock(self.loop),
             events=RecordingEventLog(settings.node_id, self.loop, self.events),
-            log=VirtualLog(self.log, place),
+            log=VirtualLog(self.log, location),
             machine_list=self.machines,
-            transport=VirtualTransport(self.network, place, settings.peer_listen),
+            transport=VirtualTransport(self.network, location, settings.peer_listen),
             connect_engine=connect_engine,
             generator=random.Random(self.random.getrandbits(64)),
             new_id=lambda: f"{settings.node_id}-{life}-{next(numbers)}",
@@ -263,10 +263,10 @@
     def kill_node(self, node_id: str) -> None:
         """End a node at once, as SIGKILL does."""
         node = self.nodes[node_id]
-        self.loop.kill(node.place.owner)
+        self.loop.kill(node.location.owner)
         self.network.close(node.settings.peer_listen)
         for engine in self.engines.values():
-            engine.client_gone(node.place.owner)
+            engine.cancel_client(node.location.owner)
         for result in node.pending:
             self.loop.call_for(
                 CALLER_OWNER,
@@ -277,30 +277,30 @@
 
     def restart_node(self, node_id: str) -> None:
         """Start a killed or drained node anew, with nothing kept."""
-        self.start_node(node_id, self.nodes[node_id].place.zone)
+        self.start_node(node_id, self.nodes[node_id].location.zone)
 
     def freeze_node(self, node_id: str) -> None:
         """Stop a node, as SIGSTOP does."""
-        self.loop.freeze(self.nodes[node_id].place.owner)
+        self.loop.freeze(self.nodes[node_id].location.owner)
 
     def thaw_node(self, node_id: str) -> None:
         """Let a stopped node go on, as SIGCONT does."""
-        self.loop.thaw(self.nodes[node_id].place.owner)
+        self.loop.thaw(self.nodes[node_id].location.owner)
 
     def drain_node(self, node_id: str) -> None:
         """Ask a node to stop, as SIGTERM does."""
         node = self.nodes[node_id]
-        self.loop.call_for(node.place.owner, 0.0, node.node.drain)
+        self.loop.call_for(node.location.owner, 0.0, node.node.drain)
 
     def kill_engine(self, engine_id: str) -> None:
         """End an engine at once."""
         engine = self.engines[engine_id]
-        self.loop.kill(engine.place.owner)
-        engine.die()
+        self.loop.kill(engine.location.owner)
+        engine.crash()
 
     def restart_engine(self, engine_id: str) -> None:
         """Start a killed engine anew, at its address."""
-        self.engines[engine_id].restart(f"{engine_id}#{next(self._lives)}")
+        self.engines[engine_id].restart(f"{engine_id}#{next(self._life_numbers)}")
 
     def mark_leaving(self, machine_id: str) -> None:
         """Let the platform's list say that a machine is leaving."""
@@ -342,11 +342,17 @@
         )
         result = AsyncResult()
         node.pending.append(result)
-        if self.loop.is_killed(node.place.owner):
+        if self.loop.is_killed(node.location.owner):
             raise ConnectionResetByNodeError(node_id)
         serve: Callable[..., Any] = self._serve
         self.loop.call_for(
-            node.place.owner, LOCAL_DELAY, gevent.spawn, serve, node, builder.get_environ(), result
+            node.location.owner,
+            LOCAL_DELAY,
+            gevent.spawn,
+            serve,
+            node,
+            builder.get_environ(),
+            result,
         )
         try:
             answer = result.get()
--- a/postvalve/emulator/virtual_network.py
+++ b/postvalve/emulator/virtual_network.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Location:
     """Where something runs: its owner in the loop, and its zone."""
 
     owner: str
@@ -32,7 +32,7 @@
 class Endpoint:
     """A node that listens."""
 
-    place: Place
+    location: Location
     handle_request: PeerHandler
     handle_datagram: DatagramHandler
 
@@ -41,8 +41,8 @@
 class PendingCall:
     """A call whose answer has not come."""
 
-    caller: Place
-    callee: Place
+    caller: Location
+    callee: Location
     result: AsyncResult
 
 
@@ -62,7 +62,7 @@
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.traffic: dict[str, Traffic] = {}
-        self.loses_reply: Callable[[betterproto.Message], bool] = lambda reply: False
+        self.drops_reply: Callable[[betterproto.Message], bool] = lambda reply: False
         """Says of each reply whether it is lost on its way."""
         self._endpoints: dict[str, Endpoint] = {}
         self._pending: list[PendingCall] = []
@@ -76,7 +76,7 @@
         """Let everything pass again."""
         self._cuts.discard(frozenset((first, second)))
 
-    def connected(self, first: Place, second: Place) -> bool:
+    def connected(self, first: Location, second: Location) -> bool:
         """Whether messages pass between two places."""
         if not self._cuts:
             return True
@@ -86,7 +86,7 @@
             frozenset((one, other)) in self._cuts for one in names_first for other in names_second
         )
 
-    def delay(self, first: Place, second: Place) -> float:
+    def delay(self, first: Location, second: Location) -> float:
         """Seconds one way."""
         return LOCAL_DELAY if first.zone == second.zone else ZONE_DELAY
 
@@ -99,28 +99,28 @@
         endpoint = self._endpoints.pop(address, None)
         if endpoint is None:
             return
-        for call in [one for one in self._pending if one.callee == endpoint.place]:
+        for call in [one for one in self._pending if one.callee == endpoint.location]:
             error = PeerUnavailableError("the connection was reset", Verdict.MAY_HAVE_RUN)
             self.loop.call_for(call.caller.owner, 0.0, call.result.set_exception, error)
 
-    def _traffic_of(self, place: Place) -> Traffic:
-        return self.traffic.setdefault(place.owner, Traffic())
+    def _traffic_of(self, location: Location) -> Traffic:
+        return self.traffic.setdefault(location.owner, Traffic())
 
-    def send(self, sender: Place, sender_address: str, address: str, data: bytes) -> None:
+    def send(self, sender: Location, sender_address: str, address: str, data: bytes) -> None:
         """Carry a datagram, if nothing is in its way."""
         traffic = self._traffic_of(sender)
         traffic.datagrams += 1
         traffic.datagram_bytes += len(data)
         endpoint = self._endpoints.get(address)
-        if endpoint is None or not self.connected(sender, endpoint.place):
+        if endpoint is None or not self.connected(sender, endpoint.location):
             return
-        delay = self.delay(sender, endpoint.place)
+        delay = self.delay(sender, endpoint.location)
         self.loop.call_for(
-            endpoint.place.owner, delay, endpoint.handle_datagram, data, sender_address
+            endpoint.location.owner, delay, endpoint.handle_datagram, data, sender_address
         )
 
     def call(
-        self, caller: Place, address: str, message: betterproto.Message, timeout: float
+        self, caller: Location, address: str, message: betterproto.Message, timeout: float
     ) -> betterproto.Message:
         """Carry a request and its reply."""
         traffic = self._traffic_of(caller)
@@ -131,12 +131,12 @@
         if endpoint is None:
             gevent.sleep(ZONE_DELAY)
             raise PeerUnavailableError("the connection was refused", Verdict.NOT_RUN)
-        pending = PendingCall(caller, endpoint.place, AsyncResult())
+        pending = PendingCall(caller, endpoint.location, AsyncResult())
         self._pending.append(pending)
-        if self.connected(caller, endpoint.place):
-            delay = self.delay(caller, endpoint.place)
+        if self.connected(caller, endpoint.location):
+            delay = self.delay(caller, endpoint.location)
             self.loop.call_for(
-                endpoint.place.owner, delay, self._serve, endpoint, pending, type(message), data
+                endpoint.location.owner, delay, self._serve, endpoint, pending, type(message), data
             )
         try:
             return pending.result.get(timeout=timeout)
@@ -158,35 +158,35 @@
         self, endpoint: Endpoint, pending: PendingCall, message: betterproto.Message
     ) -> None:
         reply = endpoint.handle_request(message)
-        if not self.connected(endpoint.place, pending.caller) or self.loses_reply(reply):
+        if not self.connected(endpoint.location, pending.caller) or self.drops_reply(reply):
             return
         copied = type(reply)().parse(bytes(reply))
-        delay = self.delay(endpoint.place, pending.caller)
+        delay = self.delay(endpoint.location, pending.caller)
         self.loop.call_for(pending.caller.owner, delay, pending.result.set, copied)
 
 
 class VirtualTransport:
     """One node's access to the network."""
 
-    def __init__(self, network: VirtualNetwork, place: Place, address: str) -> None:
+    def __init__(self, network: VirtualNetwork, location: Location, address: str) -> None:
         self._network = network
-        self._place = place
+        self._location = location
         self._address = address
 
     def serve(self, handle_request: PeerHandler, handle_datagram: DatagramHandler) -> None:
         """See `Transport`."""
-        endpoint = Endpoint(self._place, handle_request, handle_datagram)
+        endpoint = Endpoint(self._location, handle_request, handle_datagram)
         self._network.listen(self._address, endpoint)
 
     def call(
         self, address: str, channel: Channel, message: betterproto.Message, timeout: float
     ) -> betterproto.Message:
         """See `Transport`."""
-        return self._network.call(self._place, address, message, timeout)
+        return self._network.call(self._location, address, message, timeout)
 
     def send(self, address: str, data: bytes) -> None:
         """See `Transport`."""
-        self._network.send(self._place, self._address, address, data)
+        self._network.send(self._location, self._address, address, data)
 
     def stop(self) -> None:
         """See `Transport`."""
--- a/postvalve/emulator/virtual_platform.py
+++ b/postvalve/emulator/virtual_platform.py
@@ -10,7 +10,7 @@
 
 from postvalve.emulator.log_model import LogFault, LogModel
 from postvalve.emulator.machine_service import MachineListModel
-from postvalve.emulator.virtual_network import ZONE_DELAY, Place
+from postvalve.emulator.virtual_network import ZONE_DELAY, Location
 from postvalve.emulator.virtual_time import VirtualLoop
 from postvalve.exceptions import LogUnavailableError, PlatformError, Verdict
 from postvalve.services.log import ANSWER_TIMEOUT, DEFAULT_READ_BYTES, LogSlice
@@ -35,16 +35,16 @@
         self.model = LogModel()
         self._readers: dict[str, list[_Reader]] = defaultdict(list)
 
-    def append(self, place: Place, stream: str, payload: bytes) -> int:
+    def append(self, location: Location, stream: str, payload: bytes) -> int:
         """Append after the way there, answer after the way back."""
-        delay = ZONE_DELAY + APPEND_DELAY + self._extra_delay()
+        delay = ZONE_DELAY + APPEND_DELAY + self._fault_delay()
         if delay >= ANSWER_TIMEOUT:
-            self.loop.call_for(LOG_OWNER, delay, self._apply_late, place, stream, payload)
+            self.loop.call_for(LOG_OWNER, delay, self._apply_late, location, stream, payload)
             gevent.sleep(ANSWER_TIMEOUT)
             raise LogUnavailableError("no answer in time", Verdict.MAY_HAVE_RUN)
         gevent.sleep(delay)
         try:
-            offset = self.model.append(stream, payload, place.zone)
+            offset = self.model.append(stream, payload, location.zone)
         except LogUnavailableError as error:
             if error.verdict is not Verdict.NOT_RUN:
                 self._wake(stream)
@@ -54,14 +54,14 @@
         gevent.sleep(ZONE_DELAY)
         return offset
 
-    def _apply_late(self, place: Place, stream: str, payload: bytes) -> None:
+    def _apply_late(self, location: Location, stream: str, payload: bytes) -> None:
         try:
-            self.model.append(stream, payload, place.zone)
+            self.model.append(stream, payload, location.zone)
         except LogUnavailableError:
             return
         self._wake(stream)
 
-    def _extra_delay(self) -> float:
+    def _fault_delay(self) -> float:
         faults = self.model.faults
         return faults.delay if faults.fault is LogFault.SLOW else 0.0
 
@@ -69,12 +69,14 @@
         for reader in self._readers.pop(stream, ()):
             self.loop.call_for(reader.owner, ZONE_DELAY, reader.appended.set, None)
 
-    def read(self, place: Place, stream: str, offset: int, wait: float, limit: int) -> LogSlice:
+    def read(
+        self, location: Location, stream: str, offset: int, wait: float, limit: int
+    ) -> LogSlice:
         """Read after the way there; wait for a record if there is none."""
-        gevent.sleep(min(ZONE_DELAY + self._extra_delay(), ANSWER_TIMEOUT))
-        part = self.model.read(stream, offset, limit=limit, zone=place.zone)
+        gevent.sleep(min(ZONE_DELAY + self._fault_delay(), ANSWER_TIMEOUT))
+        part = self.model.read(stream, offset, limit=limit, zone=location.zone)
         if not part.entries and wait > 0:
-            reader = _Reader(place.owner, AsyncResult())
+            reader = _Reader(location.owner, AsyncResult())
             self._readers[stream].append(reader)
             try:
                 reader.appended.get(timeout=wait)
@@ -82,7 +84,7 @@
                 waiting = self._readers.get(stream, [])
                 if reader in waiting:
                     waiting.remove(reader)
-            part = self.model.read(stream, offset, limit=limit, zone=place.zone)
+            part = self.model.read(stream, offset, limit=limit, zone=location.zone)
         gevent.sleep(ZONE_DELAY)
         return part
 
@@ -90,19 +92,19 @@
 class VirtualLog:
     """One node's access to the log."""
 
-    def __init__(self, service: VirtualLogService, place: Place) -> None:
+    def __init__(self, service: VirtualLogService, location: Location) -> None:
         self._service = service
-        self._place = place
+        self._location = location
 
     def append(self, stream: str, payload: bytes) -> int:
         """See `LogService`."""
-        return self._service.append(self._place, stream, payload)
+        return self._service.append(self._location, stream, payload)
 
     def read(
         self, stream: str, offset: int, *, wait: float = 0.0, limit: int = DEFAULT_READ_BYTES
     ) -> LogSlice:
         """See `LogService`."""
-        return self._service.read(self._place, stream, offset, wait, limit)
+        return self._service.read(self._location, stream, offset, wait, limit)
 
 
 class VirtualMachineList:
--- a/postvalve/emulator/virtual_time.py
+++ b/postvalve/emulator/virtual_time.py
@@ -55,11 +55,11 @@
         self._loop = loop
         self._after = after
         self._repeat = repeat
-        self._current: VirtualCallback | None = None
+        self._scheduled: VirtualCallback | None = None
 
     def start(self, function: Callable[..., Any], *arguments: Any, update: bool = True) -> None:
         """Call `function` when the time has come."""
-        self._current = self._loop.call_later(self._after, function, *arguments)
+        self._scheduled = self._loop.call_later(self._after, function, *arguments)
 
     def again(self, function: Callable[..., Any], *arguments: Any, update: bool = True) -> None:
         """Start anew."""
@@ -68,16 +68,16 @@
 
     def stop(self) -> None:
         """Don't call."""
-        if self._current is not None:
-            self._current.stop()
-            self._current = None
+        if self._scheduled is not None:
+            self._scheduled.stop()
+            self._scheduled = None
 
     close = stop
 
     @property
     def callback(self) -> Callable[..., Any] | None:
         """What will be called."""
-        return self._current.callback if self._current else None
+        return self._scheduled.callback if self._scheduled else None
 
     @property
     def pending(self) -> bool:
@@ -87,7 +87,7 @@
     @property
     def active(self) -> bool:
         """Whether it is still to be called."""
-        return self._current is not None and self._current.pending
+        return self._scheduled is not None and self._scheduled.pending
 
     def __enter__(self) -> VirtualTimer:
         return self
@@ -106,10 +106,10 @@
         self.error_handler: Any = None
         self.owner = ""
         self._now = 0.0
-        self._order = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._ready: deque[VirtualCallback] = deque()
         self._timers: list[tuple[float, int, VirtualCallback]] = []
-        self._parked: dict[str, list[VirtualCallback]] = {}
+        self._frozen: dict[str, list[VirtualCallback]] = {}
         self._killed: set[str] = set()
 
     # What gevent asks for
@@ -164,21 +164,21 @@
         """Call `function` in `delay` seconds, for another owner."""
         callback = VirtualCallback(owner, function, arguments)
         due = self._now + max(0.0, delay)
-        heapq.heappush(self._timers, (due, next(self._order), callback))
+        heapq.heappush(self._timers, (due, next(self._sequence_numbers), callback))
         return callback
 
     def freeze(self, owner: str) -> None:
         """Let nothing of an owner run until it is thawed."""
-        self._parked.setdefault(owner, [])
+        self._frozen.setdefault(owner, [])
 
     def thaw(self, owner: str) -> None:
         """Run what an owner missed, and go on."""
-        self._ready.extend(self._parked.pop(owner, []))
+        self._ready.extend(self._frozen.pop(owner, []))
 
     def kill(self, owner: str) -> None:
         """Let nothing of an owner run ever again."""
         self._killed.add(owner)
-        self._parked.pop(owner, None)
+        self._frozen.pop(owner, None)
 
     def is_killed(self, owner: str) -> bool:
         """Whether an owner was killed."""
@@ -197,8 +197,8 @@
         function, arguments = callback.callback, callback.args
         if function is None or callback.owner in self._killed:
             return
-        if callback.owner in self._parked:
-            self._parked[callback.owner].append(callback)
+        if callback.owner in self._frozen:
+            self._frozen[callback.owner].append(callback)
             return
         callback.stop()
         self.owner = callback.owner
--- a/postvalve/emulator/weights_service.py
+++ b/postvalve/emulator/weights_service.py
@@ -18,15 +18,15 @@
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
-        self._free_at = 0.0
+        self._busy_until = 0.0
 
-    def reserve(self, size: int, now: float) -> float:
+    def schedule(self, size: int, now: float) -> float:
         """Queue a fetch; returns the time at which it ends."""
-        self._free_at = max(now, self._free_at) + size / self._rate
-        return self._free_at
+        self._busy_until = max(now, self._busy_until) + size / self._rate
+        return self._busy_until
 
 
-class WeightServiceShell:
+class WeightStoreServer:
     """Carries fetches to the model."""
 
     def __init__(self, rate: float, weight_bytes: int) -> None:
@@ -39,5 +39,5 @@
 
     def _fetch(self, request: Request, model: str, version: str) -> Response:
         now = time.monotonic()
-        gevent.sleep(self._model.reserve(self._weight_bytes, now) - now)
+        gevent.sleep(self._model.schedule(self._weight_bytes, now) - now)
         return json_response({"model": model, "version": version, "bytes": self._weight_bytes})
--- a/postvalve/experiment/run.py
+++ b/postvalve/experiment/run.py
@@ -23,7 +23,7 @@
 BURST_SECONDS = 0.2
 OUTAGE_SECONDS = 15.0
 """How long a killed engine or a cut zone is away."""
-SETTLE_SECONDS = 5.0
+DRAIN_SECONDS = 5.0
 """Seconds after the load in which answers still come; batch that is left is not waited for."""
 MODEL = "m"
 DONE = b"data: [DONE]\n\n"
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class _Tally:
+class _Counters:
     requests: int = 0
     refused: int = 0
     not_whole: int = 0
@@ -79,7 +79,7 @@
         # The online trace has a generator of its own, so that it is the same in both runs.
         self._online_random = random.Random(seed)
         self._batch_random = random.Random(seed + 1)
-        self._tally = _Tally()
+        self._counters = _Counters()
         shape = FleetShape(
             zones=scenario.zones,
             nodes_per_zone=scenario.nodes_per_zone,
@@ -98,19 +98,19 @@
         started = self._loop.now()
         bytes_before = self._datagram_bytes()
         self._end = started + self._scenario.duration
-        at_end = gevent.spawn_later(self._scenario.duration, self._batch_tokens, started)
+        tokens_at_end = gevent.spawn_later(self._scenario.duration, self._batch_tokens, started)
         loads = [
-            gevent.spawn(self._steady, self._scenario.online),
-            gevent.spawn(self._bursts, self._scenario.online),
-            gevent.spawn(self._disturb),
+            gevent.spawn(self._send_steady_load, self._scenario.online),
+            gevent.spawn(self._send_bursts, self._scenario.online),
+            gevent.spawn(self._inject_faults),
         ]
         if self._batch:
-            loads += [gevent.spawn(self._heaps, load) for load in self._scenario.batch]
+            loads += [gevent.spawn(self._submit_job_groups, load) for load in self._scenario.batch]
         gevent.joinall(loads, raise_error=True)
         gevent.sleep(max(0.0, self._end - self._loop.now()))
         control = (self._datagram_bytes() - bytes_before) / self._scenario.duration
-        batch_tokens = at_end.get()
-        gevent.sleep(SETTLE_SECONDS)
+        batch_tokens = tokens_at_end.get()
+        gevent.sleep(DRAIN_SECONDS)
         return self._figures(control / len(self._fleet.nodes), batch_tokens)
 
     def _datagram_bytes(self) -> int:
@@ -118,14 +118,14 @@
 
     # Online
 
-    def _steady(self, load: OnlineLoad) -> None:
+    def _send_steady_load(self, load: OnlineLoad) -> None:
         number = 0
         while self._loop.now() < self._end:
             gevent.sleep(self._online_random.expovariate(load.rate))
             number += 1
-            gevent.spawn(self._ask, load, f"steady-{number}", number)
+            gevent.spawn(self._send_request, load, f"steady-{number}", number)
 
-    def _bursts(self, load: OnlineLoad) -> None:
+    def _send_bursts(self, load: OnlineLoad) -> None:
         # A generator of its own, since the steady stream draws in between.
         generator = random.Random(self._online_random.getrandbits(32))
         burst = 0
@@ -133,10 +133,10 @@
             gevent.sleep(generator.expovariate(1 / load.burst_interval))
             burst += 1
             for number in range(load.burst_size):
-                gevent.spawn(self._ask, load, f"burst-{burst}-{number}", number)
+                gevent.spawn(self._send_request, load, f"burst-{burst}-{number}", number)
                 gevent.sleep(BURST_SECONDS / load.burst_size)
 
-    def _ask(self, load: OnlineLoad, name: str, number: int) -> None:
+    def _send_request(self, load: OnlineLoad, name: str, number: int) -> None:
         nodes = list(self._fleet.nodes)
         text = name.ljust(load.prompt_characters, ".")
         document = {
@@ -149,37 +149,39 @@
         answer = self._fleet.request(
             nodes[number % len(nodes)], "POST", "/v1/chat/completions", document=document
         )
-        self._count(answer, text, sent)
+        self._record_answer(answer, text, sent)
 
-    def _count(self, answer: VirtualAnswer, text: str, sent: float) -> None:
-        tally = self._tally
-        tally.requests += 1
+    def _record_answer(self, answer: VirtualAnswer, text: str, sent: float) -> None:
+        counters = self._counters
+        counters.requests += 1
         if answer.status != 200:
-            tally.refused += 1
+            counters.refused += 1
             return
         if answer.chunks[-1] != DONE or first_token(text).encode() not in answer.chunks[0]:
-            tally.not_whole += 1
+            counters.not_whole += 1
             return
-        tally.first_token.record_value(_microseconds(answer.times[0] - sent))
+        counters.first_token.record_value(_microseconds(answer.times[0] - sent))
         for before, after in zip(answer.times, answer.times[1:-1], strict=False):
-            tally.between_tokens.record_value(_microseconds(after - before))
-        tally.tokens += len(answer.times) - 1
+            counters.between_tokens.record_value(_microseconds(after - before))
+        counters.tokens += len(answer.times) - 1
 
     # Batch
 
-    def _heaps(self, load: BatchLoad) -> None:
+    def _submit_job_groups(self, load: BatchLoad) -> None:
         generator = random.Random(self._batch_random.getrandbits(32))
-        heap = 0
+        group = 0
         while self._loop.now() < self._end:
-            heap += 1
+            group += 1
             for number in range(load.jobs):
-                gevent.spawn(self._submit, load, f"{load.workload}-{heap}-{number}", heap + number)
+                gevent.spawn(
+                    self._submit_job, load, f"{load.workload}-{group}-{number}", group + number
+                )
             gevent.sleep(generator.expovariate(1 / load.heap_interval))
 
-    def _submit(self, load: BatchLoad, name: str, number: int) -> None:
+    def _submit_job(self, load: BatchLoad, name: str, number: int) -> None:
         nodes = list(self._fleet.nodes)
         node_id = nodes[number % len(nodes)]
-        form = _form(name, load)
+        form = _encode_form(name, load)
         file = self._fleet.request(
             node_id, "POST", "/v1/files", body=form, content_type="multipart/form-data; boundary=x"
         )
@@ -197,11 +199,11 @@
         )
         if batch.status == 200:
             deadline = self._loop.now() + load.deadline
-            self._tally.jobs.append(_Job(batch.document["id"], name, load.items, deadline))
+            self._counters.jobs.append(_Job(batch.document["id"], name, load.items, deadline))
 
     # Disturbances
 
-    def _disturb(self) -> None:
+    def _inject_faults(self) -> None:
         disturbance = self._scenario.disturbance
         fleet = self._fleet
         if disturbance.kill_engine_at is not None:
@@ -226,32 +228,32 @@
             attempt.tokens
             for engine in self._fleet.engines.values()
             for attempt in engine.attempts
-            if attempt.submitted_at >= since and _text_of(attempt.body).startswith(names)
+            if attempt.submitted_at >= since and _last_message(attempt.body).startswith(names)
         )
 
     def _figures(self, control_bytes: float, batch_tokens: int) -> RunFigures:
-        tally = self._tally
+        counters = self._counters
         results: Counter[str] = Counter()
         wrong = 0
         late = 0
-        for job in tally.jobs:
+        for job in counters.jobs:
             node_id = next(iter(self._fleet.nodes))
             lines = self._result_lines(node_id, job)
             results.update(line["custom_id"] for line in lines)
-            wrong += sum(not _is_own_answer(line) for line in lines)
+            wrong += sum(not _answers_own_prompt(line) for line in lines)
             late += len(lines) < job.items and self._loop.now() > job.deadline
         return RunFigures(
-            online_requests=tally.requests,
-            online_refused=tally.refused,
-            online_not_whole=tally.not_whole,
-            first_token_ms=_latency(tally.first_token),
-            between_tokens_ms=_latency(tally.between_tokens),
-            batch_items_offered=sum(job.items for job in tally.jobs),
+            online_requests=counters.requests,
+            online_refused=counters.refused,
+            online_not_whole=counters.not_whole,
+            first_token_ms=_latency(counters.first_token),
+            between_tokens_ms=_latency(counters.between_tokens),
+            batch_items_offered=sum(job.items for job in counters.jobs),
             batch_items_done=len(results),
             batch_items_doubled=sum(count > 1 for count in results.values()),
             batch_items_wrong=wrong,
             batch_tokens=batch_tokens,
-            online_tokens=tally.tokens,
+            online_tokens=counters.tokens,
             jobs_late=late,
             preemptions=sum(one.event is Event.ITEM_PREEMPTED for one in self._fleet.events),
             control_bytes_per_node_second=control_bytes,
@@ -262,7 +264,7 @@
         return [json.loads(line) for line in lines]
 
 
-def _form(name: str, load: BatchLoad) -> bytes:
+def _encode_form(name: str, load: BatchLoad) -> bytes:
     lines = (
         {
             "custom_id": f"{name}-{number}",
@@ -284,11 +286,11 @@
     ).encode()
 
 
-def _text_of(body: bytes) -> str:
+def _last_message(body: bytes) -> str:
     return str(json.loads(body)["messages"][-1]["content"])
 
 
-def _is_own_answer(line: dict) -> bool:
+def _answers_own_prompt(line: dict) -> bool:
     expected = hashlib.sha256(line["custom_id"].encode()).hexdigest()[:16]
     return str(line["response"]["body"]["choices"][0]["message"]["content"]).startswith(expected)
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -25,9 +25,9 @@
 from scripts.ports import HOST, free_port
 
 ROOT = Path(__file__).resolve().parent.parent
-START_PATIENCE = 30.0
+START_TIMEOUT = 30.0
 """Seconds until a fleet that is not ready counts as failed."""
-STOP_PATIENCE = 5.0
+STOP_TIMEOUT = 5.0
 """Seconds that a process has to end before it is killed."""
 DEMO_KEY_PREFIX = "sk-demo-"
 
@@ -107,7 +107,7 @@
             self._publish()
             for zone in range(self.shape.zones):
                 for number in range(self.shape.nodes_per_zone):
-                    self._plan_node(f"zone-{zone}", f"node-{zone}-{number}")
+                    self._allocate_node(f"zone-{zone}", f"node-{zone}-{number}")
             self._register()
             for node in self.nodes:
                 self.start_node(node)
@@ -145,7 +145,7 @@
         command = ["config", "apply", str(configuration), "--log-url", self.log_url]
         subprocess.run(postvalve(*command), check=True, stdout=subprocess.DEVNULL)
 
-    def _plan_node(self, zone: str, node_id: str) -> None:
+    def _allocate_node(self, zone: str, node_id: str) -> None:
         self.nodes.append(NodeAddress(node_id, zone, free_address(), free_address()))
 
     def _register(self) -> None:
@@ -234,7 +234,7 @@
             if self.is_running(name):
                 self.signal(name, signal.SIGCONT)
                 self.signal(name, signal.SIGTERM)
-        deadline = time.monotonic() + STOP_PATIENCE
+        deadline = time.monotonic() + STOP_TIMEOUT
         for process in self.processes.values():
             try:
                 process.wait(max(0.0, deadline - time.monotonic()))
@@ -275,16 +275,18 @@
     return True
 
 
-def wait_until(condition: Callable[[], bool], what: str, patience: float = START_PATIENCE) -> None:
+def wait_until(
+    condition: Callable[[], bool], condition_name: str, timeout: float = START_TIMEOUT
+) -> None:
     """Wait until something holds.
 
     Raises:
         TimeoutError: it did not in time.
     """
-    deadline = time.monotonic() + patience
+    deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(f"not in {patience:.0f} s: {what}")
+            raise TimeoutError(f"not in {timeout:.0f} s: {condition_name}")
         time.sleep(0.05)
 
 
--- a/scripts/ports.py
+++ b/scripts/ports.py
@@ -14,7 +14,7 @@
 
 FIRST_PORT, LAST_PORT = 10_000, 32_000
 """Below those among which Linux chooses (32,768 and up)."""
-BLOCK = 500
+BLOCK_SIZE = 500
 """Ports of a block, its first one among them."""
 HOST = "127.0.0.1"
 
@@ -35,44 +35,44 @@
 class PortBlock:
     """Ports that no other process draws; its own until it is closed."""
 
-    guard: socket.socket
+    lock_socket: socket.socket
     """Bound to the block's first port."""
     first: int
     owner: int = 0
     """Id of the process that took it; one that was forked has none of it."""
-    drawn: int = 0
+    last_offset: int = 0
 
-    def draw(self) -> int:
+    def allocate(self) -> int:
         """A port that was not drawn before, as long as there are such.
 
         Raises:
             NoPortsError: none is free.
         """
-        for _ in range(BLOCK):
-            self.drawn = self.drawn % (BLOCK - 1) + 1
-            if is_free(self.first + self.drawn):
-                return self.first + self.drawn
+        for _ in range(BLOCK_SIZE):
+            self.last_offset = self.last_offset % (BLOCK_SIZE - 1) + 1
+            if is_free(self.first + self.last_offset):
+                return self.first + self.last_offset
         raise NoPortsError(f"no port from {self.first} on is free")
 
     def close(self) -> None:
         """Give the block back."""
-        self.guard.close()
+        self.lock_socket.close()
 
 
-def take_block() -> PortBlock:
+def reserve_block() -> PortBlock:
     """Take a block that no other process has.
 
     Raises:
         NoPortsError: there is none left.
     """
-    for first in range(FIRST_PORT, LAST_PORT, BLOCK):
-        guard = socket.socket()
+    for first in range(FIRST_PORT, LAST_PORT, BLOCK_SIZE):
+        lock_socket = socket.socket()
         try:
-            guard.bind((HOST, first))
+            lock_socket.bind((HOST, first))
         except OSError:
-            guard.close()
+            lock_socket.close()
             continue
-        return PortBlock(guard, first, os.getpid())
+        return PortBlock(lock_socket, first, os.getpid())
     raise NoPortsError(f"all blocks of ports from {FIRST_PORT} to {LAST_PORT} are taken")
 
 
@@ -87,5 +87,5 @@
     """
     global _block
     if _block is None or _block.owner != os.getpid():
-        _block = take_block()
-    return _block.draw()
+        _block = reserve_block()
+    return _block.allocate()
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-MODULES_AT_ONCE = 4
+MAX_WORKERS = 4
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
     name: str
     ran: int
     skipped: int
-    red: frozenset[str]
+    failed: frozenset[str]
     output: str
 
 
@@ -36,10 +36,10 @@
     output = io.StringIO()
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     result = unittest.TextTestRunner(stream=output, verbosity=1).run(suite)
-    red = {test.id() for test, _ in [*result.failures, *result.errors]}
-    red |= {test.id() for test in result.unexpectedSuccesses}
+    failed = {test.id() for test, _ in [*result.failures, *result.errors]}
+    failed |= {test.id() for test in result.unexpectedSuccesses}
     return ModuleResult(
-        name, result.testsRun, len(result.skipped), frozenset(red), output.getvalue()
+        name, result.testsRun, len(result.skipped), frozenset(failed), output.getvalue()
     )
 
 
@@ -51,7 +51,7 @@
     return {line.split(",")[0].strip(): line for line in lines if line}
 
 
-def verdict(red: frozenset[str], known: Iterable[str], ran: int) -> int:
+def exit_code(failed: frozenset[str], known: Iterable[str], ran: int) -> int:
     """The exit code: 0 when tests ran and all that failed are listed.
 
     Args:
@@ -59,7 +59,7 @@
         known: Ids that KNOWN-RED.txt lists.
         ran: Number of tests that ran.
     """
-    return 0 if ran and red <= set(known) else 1
+    return 0 if ran and failed <= set(known) else 1
 
 
 def main() -> int:
@@ -70,21 +70,21 @@
         return 1
     names = [f"tests.{path.stem}" for path in sorted((ROOT / "tests").glob("test_*.py"))]
     results = []
-    with ProcessPoolExecutor(MODULES_AT_ONCE) as pool:
+    with ProcessPoolExecutor(MAX_WORKERS) as pool:
         for result in pool.map(run_module, names):
             results.append(result)
-            print(f"{result.name}: {result.ran} ran, {len(result.red)} failed", flush=True)
-            if result.red:
+            print(f"{result.name}: {result.ran} ran, {len(result.failed)} failed", flush=True)
+            if result.failed:
                 print(result.output)
-    red = frozenset().union(*(result.red for result in results))
-    for test_id in sorted(red & known.keys()):
+    failed = frozenset().union(*(result.failed for result in results))
+    for test_id in sorted(failed & known.keys()):
         print(f"known red: {known[test_id]}")
-    for test_id in sorted(known.keys() - red):
+    for test_id in sorted(known.keys() - failed):
         print(f"listed in KNOWN-RED.txt, but it passes: {test_id}")
     ran = sum(result.ran for result in results)
     skipped = sum(result.skipped for result in results)
-    print(f"{ran - len(red) - skipped} passed, {len(red)} failed, {skipped} skipped")
-    return verdict(red, known, ran)
+    print(f"{ran - len(failed) - skipped} passed, {len(failed)} failed, {skipped} skipped")
+    return exit_code(failed, known, ran)
 
 
 if __name__ == "__main__":
--- a/tests/bench_readers.py
+++ b/tests/bench_readers.py
@@ -27,35 +27,35 @@
 from tests.soak.promises import Promises
 from tests.stand_in_engine import Behaviour, StandInEngine
 
-QUICK, SLOW = 56, 8
+FAST_STREAMS, SLOW_STREAMS = 56, 8
 """Streams of a round."""
-REQUESTS = 3
+REQUESTS_PER_STREAM = 3
 """Of each quick stream, one after the other."""
 EVENTS, EVENT_BYTES, EVENT_PAUSE = 100, 4_000, 0.02
 """Of an answer: events, bytes and seconds of each."""
-STAGGER = 0.003
+START_INTERVAL = 0.003
 """Seconds between the starts of quick streams: the first events of all at once would wait for each
 other, whoever is slow."""
-SLOW_SHARE = 1 / 100
+SLOW_RATIO = 1 / 100
 ROUNDS = 3
 """Of each kind, in turn."""
-SMALL_BUFFER, SEGMENT = 4_096, 1_400
+RECEIVE_BUFFER_BYTES, MAX_SEGMENT_BYTES = 4_096, 1_400
 """Bytes that a slow client's socket holds, and of its segments: loopback's own take a whole answer
 at once, which networks don't."""
-AIM = 1.1
+MAX_SLOWDOWN = 1.1
 """Times that the quick clients may take of what they take alone."""
 
 
 @dataclass(slots=True)
-class Round:
+class RoundResult:
     """What the quick clients of one round saw; seconds."""
 
     first: list[float] = field(default_factory=list)
     gaps: list[float] = field(default_factory=list)
     failures: int = 0
-    held: int = 0
+    held_bytes: int = 0
     """Bytes held for slow clients at its end."""
-    placed: int = 0
+    occupied_slots: int = 0
     """Places at the engine that the node still counted when the quick clients had ended."""
 
 
@@ -63,7 +63,7 @@
     """An engine that is as fast for many streams as for one."""
 
     module = "tests.bench_readers"
-    slots = 2 * (QUICK + SLOW)
+    slots = 2 * (FAST_STREAMS + SLOW_STREAMS)
 
     def __init__(self, folder):
         super().__init__(0, folder)
@@ -84,14 +84,14 @@
     connection = socket.socket()
     if buffer:
         connection.setsockopt(sockets.SOL_SOCKET, sockets.SO_RCVBUF, buffer)
-        connection.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_MAXSEG, SEGMENT)
+        connection.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_MAXSEG, MAX_SEGMENT_BYTES)
     connection.connect(("127.0.0.1", port))
     head = f"POST {STREAM_PATH} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\n"
     connection.sendall(f"{head}Connection: close\r\nContent-Length: 0\r\n\r\n".encode())
     return connection
 
 
-def read_quickly(port, request_id, seen):
+def read_at_once(port, request_id, result):
     """Read one answer as it comes."""
     events, previous = 0, time.monotonic()
     with contextlib.closing(open_stream(port, request_id)) as connection:
@@ -102,15 +102,15 @@
             new = data.count(b"\n\n")
             now = time.monotonic()
             if new:
-                (seen.gaps if events else seen.first).append(now - previous)
+                (result.gaps if events else result.first).append(now - previous)
                 previous, events = now, events + new
-    seen.failures += events != EVENTS
+    result.failures += events != EVENTS
 
 
 def read_slowly(port, request_id):
     """Read at a part of the speed, until the round ends."""
-    with contextlib.closing(open_stream(port, request_id, SMALL_BUFFER)) as connection:
-        while connection.recv(int(EVENT_BYTES * SLOW_SHARE)):
+    with contextlib.closing(open_stream(port, request_id, RECEIVE_BUFFER_BYTES)) as connection:
+        while connection.recv(int(EVENT_BYTES * SLOW_RATIO)):
             gevent.sleep(EVENT_PAUSE)
 
 
@@ -139,30 +139,32 @@
         self._node = fleet.nodes[0]
         self._numbers = iter(range(1_000_000))
 
-    def play(self, slow):
+    def run_round(self, slow):
         """One round."""
-        seen = Round()
-        slow_ones = [
+        result = RoundResult()
+        slow_clients = [
             gevent.spawn(read_slowly, self._node.front, f"s-{next(self._numbers)}")
             for _ in range(slow)
         ]
         # Until the slow ones lag; the others start alike in all rounds.
         gevent.sleep(1.0)
-        quick = [gevent.spawn(self._quick, number, seen) for number in range(QUICK)]
-        gevent.joinall(quick)
+        fast_clients = [
+            gevent.spawn(self._run_fast_client, number, result) for number in range(FAST_STREAMS)
+        ]
+        gevent.joinall(fast_clients)
         status = self._status()
-        seen.held = sum(row["bytes"] for row in status.get("readers", ()))
-        seen.placed = sum(row["online"] for row in status["engines"])
-        gevent.killall(slow_ones)
-        return seen
-
-    def _quick(self, number, seen):
-        gevent.sleep(number * STAGGER)
-        for _ in range(REQUESTS):
+        result.held_bytes = sum(row["bytes"] for row in status.get("readers", ()))
+        result.occupied_slots = sum(row["online"] for row in status["engines"])
+        gevent.killall(slow_clients)
+        return result
+
+    def _run_fast_client(self, number, result):
+        gevent.sleep(number * START_INTERVAL)
+        for _ in range(REQUESTS_PER_STREAM):
             try:
-                read_quickly(self._node.front, f"q-{next(self._numbers)}", seen)
+                read_at_once(self._node.front, f"q-{next(self._numbers)}", result)
             except OSError:
-                seen.failures += 1
+                result.failures += 1
 
     def _status(self):
         connection = socket.create_connection(("127.0.0.1", self._node.metrics))
@@ -183,18 +185,18 @@
 def measure(fleet):
     """Rounds with and without slow clients in turn; medians of each kind."""
     bench = Bench(fleet)
-    bench.play(0)
+    bench.run_round(0)
     before, rounds = bench.memory(), []
     for _ in range(ROUNDS):
-        rounds.append((bench.play(0), bench.play(SLOW)))
+        rounds.append((bench.run_round(0), bench.run_round(SLOW_STREAMS)))
     row = {"failures": sum(one.failures for pair in rounds for one in pair)}
     for name in ("first", "gaps"):
         alone = median(p95(getattr(one, name)) for one, _ in rounds)
         beside = median(p95(getattr(one, name)) for _, one in rounds)
         row |= {f"{name}_p95_alone_ms": alone, f"{name}_p95_beside_slow_ms": beside}
         row[f"{name}_ratio"] = beside / alone
-    row["held_bytes"] = max(one.held for _, one in rounds)
-    row["places_still_held"] = max(one.placed for _, one in rounds)
+    row["held_bytes"] = max(one.held_bytes for _, one in rounds)
+    row["places_still_held"] = max(one.occupied_slots for _, one in rounds)
     row["node_grew_bytes"] = bench.memory() - before
     row["machine_load"] = os.getloadavg()[0]
     return {name: round(value, 3) for name, value in row.items()}
@@ -217,8 +219,8 @@
             fleet.stop()
     for name, value in row.items():
         print(f"readers {name} {value}")
-    met = max(row["first_ratio"], row["gaps_ratio"]) <= AIM
-    print(f"readers aim {AIM}: {'met' if met else 'not met'}")
+    met = max(row["first_ratio"], row["gaps_ratio"]) <= MAX_SLOWDOWN
+    print(f"readers aim {MAX_SLOWDOWN}: {'met' if met else 'not met'}")
     return 0 if not row["failures"] else 1
 
 
--- a/tests/checks.py
+++ b/tests/checks.py
@@ -54,7 +54,7 @@
     return [
         node_id
         for node_id, node in fleet.nodes.items()
-        if not fleet.loop.is_killed(node.place.owner) and not node.node.draining
+        if not fleet.loop.is_killed(node.location.owner) and not node.node.draining
     ]
 
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -5,30 +5,30 @@
 
 from scripts import ports
 
-_given = None
+_restricted_ports = None
 """Ports that were named on the command line."""
 
 
 def free_port():
     """A port that nobody listens at, and that no other process is given."""
-    if _given is None:
+    if _restricted_ports is None:
         return ports.free_port()
-    return next(port for port in _given if ports.is_free(port))
+    return next(port for port in _restricted_ports if ports.is_free(port))
 
 
-def take_ports(first, last):
+def restrict_ports(first, last):
     """Give `free_port` these ports only."""
-    global _given
-    _given = itertools.cycle(range(first, last))
+    global _restricted_ports
+    _restricted_ports = itertools.cycle(range(first, last))
 
 
 @contextlib.contextmanager
-def own_ports():
+def separate_port_block():
     """Let `free_port` give none that it has given before, or gives afterwards.
 
     What ends and starts again at its port leaves it for a moment.
     """
-    former, ports._block = ports._block, ports.take_block()
+    former, ports._block = ports._block, ports.reserve_block()
     try:
         yield
     finally:
--- a/tests/profile_nodes.py
+++ b/tests/profile_nodes.py
@@ -24,15 +24,15 @@
 from tests.stand_in_engine import StandInEngine
 from tests.waiting import wait_until
 
-SAMPLE = 0.001
+SAMPLE_INTERVAL = 0.001
 """Seconds of processor time between samples."""
-SETTLE = 4.0
+SETTLE_SECONDS = 4.0
 """Seconds until nodes know each other."""
 BODY = b"b" * 400
 EVENT_PAUSE = 0.02
-FEW, MANY = 5, 65
+FEW_EVENTS, MANY_EVENTS = 5, 65
 """Events of the answers whose costs are compared."""
-STARTS = 5
+START_RUNS = 5
 PARTS = (
     ("reports taken in", "load_reports.py", "receive"),
     ("digests taken in", "zone_digests.py", "receive"),
@@ -44,7 +44,7 @@
     ("requests", "pywsgi.py", "handle"),
 )
 """Name, file and function that stands for each part."""
-OTHERS = "loop and the rest"
+OTHER_PART = "loop and the rest"
 
 
 class Samples:
@@ -52,14 +52,14 @@
 
     def __init__(self):
         self.parts = collections.Counter()
-        self.foreign = 0
+        self.excluded = 0
         self._started = 0.0
         self.seconds = 0.0
         """Processor time of nodes while it was watched."""
 
     def __enter__(self):
-        signal.signal(signal.SIGPROF, self._take)
-        signal.setitimer(signal.ITIMER_PROF, SAMPLE, SAMPLE)
+        signal.signal(signal.SIGPROF, self._record_sample)
+        signal.setitimer(signal.ITIMER_PROF, SAMPLE_INTERVAL, SAMPLE_INTERVAL)
         self._started = time.process_time()
         return self
 
@@ -67,21 +67,21 @@
         signal.setitimer(signal.ITIMER_PROF, 0.0)
         own = sum(self.parts.values())
         used = time.process_time() - self._started
-        self.seconds = used * own / max(1, own + self.foreign)
+        self.seconds = used * own / max(1, own + self.excluded)
 
-    def _take(self, _number, frame):
+    def _record_sample(self, _number, frame):
         stack = []
         while frame is not None:
             stack.append((frame.f_code.co_filename, frame.f_code.co_name))
             frame = frame.f_back
         if any("/tests/" in name and not name.endswith("/profile_nodes.py") for name, _ in stack):
-            self.foreign += 1
+            self.excluded += 1
             return
         for part, file, function in PARTS:
             if any(name.endswith(file) and called == function for name, called in stack):
                 self.parts[part] += 1
                 return
-        self.parts[OTHERS] += 1
+        self.parts[OTHER_PART] += 1
 
     def shares(self):
         total = max(1, sum(self.parts.values()))
@@ -98,13 +98,13 @@
 
     def send(self, seconds, rate):
         deadline = time.monotonic() + seconds
-        under_way = []
+        pending = []
         while time.monotonic() < deadline:
-            under_way.append(gevent.spawn(self._one))
+            pending.append(gevent.spawn(self._send_one))
             gevent.sleep(self._random.expovariate(rate))
-        gevent.joinall(under_way)
+        gevent.joinall(pending)
 
-    def _one(self):
+    def _send_one(self):
         self.sent += 1
         node = self._random.choice(sorted(self._fleet.nodes))
         self._fleet.request(node, STREAM_PATH + "p", body=BODY, request_id=f"p{self.sent}")
@@ -130,13 +130,13 @@
     """Print what nodes spend at rest, on a request and on an event of it."""
     fleet = start_fleet(nodes, engines, zones)
     try:
-        gevent.sleep(SETTLE)
+        gevent.sleep(SETTLE_SECONDS)
         with Samples() as rest:
             gevent.sleep(seconds)
         print(f"at rest: {100 * rest.seconds / seconds / nodes:.2f}% of a core a node")
         print(f"  {rest.shares()}")
         costs = {}
-        for events in (FEW, MANY):
+        for events in (FEW_EVENTS, MANY_EVENTS):
             for engine in fleet.engines:
                 engine.usual.events, engine.usual.pause = events, EVENT_PAUSE
             traffic = Traffic(fleet)
@@ -147,9 +147,11 @@
             each = f"{1e6 * costs[events]:.0f} us a request of {events} events"
             print(f"{traffic.sent} requests: {each}, without what rest costs")
             print(f"  {busy.shares()}")
-        event = (costs[MANY] - costs[FEW]) / (MANY - FEW)
+        event = (costs[MANY_EVENTS] - costs[FEW_EVENTS]) / (MANY_EVENTS - FEW_EVENTS)
         print(f"an event of an answer: {1e6 * event:.0f} us")
-        print(f"a request without its events: {1e6 * (costs[FEW] - FEW * event):.0f} us")
+        print(
+            f"a request without its events: {1e6 * (costs[FEW_EVENTS] - FEW_EVENTS * event):.0f} us"
+        )
     finally:
         fleet.stop()
 
@@ -157,12 +159,12 @@
 def profile_start():
     """Print what a start takes until everything is imported."""
     used = []
-    for _ in range(STARTS):
+    for _ in range(START_RUNS):
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         subprocess.run([sys.executable, "-c", "import postvalve.node_process"], check=True)
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
         used.append(after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime)
-    print(f"a start: {1e3 * min(used):.0f} ms, the least of {STARTS}")
+    print(f"a start: {1e3 * min(used):.0f} ms, the least of {START_RUNS}")
 
 
 def main():
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from tests.earlier_build import HistoryMissingError, check_out, production
-from tests.ports import take_ports
+from tests.ports import restrict_ports
 from tests.soak import upgrade
 from tests.soak.faults import KINDS, REBORN_KINDS
 from tests.soak.fleet import ENGINES, NODES
@@ -42,7 +42,7 @@
     )
     arguments = parser.parse_args()
     if arguments.ports:
-        take_ports(*map(int, arguments.ports.split("-")))
+        restrict_ports(*map(int, arguments.ports.split("-")))
     kinds = [kind for kind in arguments.faults.split(",") if kind]
     if arguments.upgrade:
         kinds = [kind for kind in kinds if kind in upgrade.KINDS]
--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -80,7 +80,7 @@
             gevent.sleep(0.2)
             victim = max(fleet.engines.values(), key=lambda one: one.model.load().running)
             self.assertGreater(victim.model.load().running, 0)
-            fleet.kill_engine(victim.place.owner)
+            fleet.kill_engine(victim.location.owner)
             check_job(self, fleet, job_id, 200)
 
         self.session(run)
@@ -115,7 +115,7 @@
     def test_an_item_that_breaks_every_engine_ends_as_failed(self):
         def run(fleet):
             for engine in fleet.engines.values():
-                engine.poison = "text of item-3"
+                engine.cut_prompt = "text of item-3"
             job_id = submit_batch(fleet, "node-0-0", 20)
             document = wait_for_batch(fleet, job_id, patience=600.0)
             self.assertEqual(document["request_counts"]["completed"], 19)
@@ -330,7 +330,7 @@
             job_id = submit_batch(fleet, "node-0-0", 200, headers=AT_MOST_ONCE)
             gevent.sleep(0.3)
             victim = max(fleet.engines.values(), key=lambda one: one.model.load().running)
-            fleet.kill_engine(victim.place.owner)
+            fleet.kill_engine(victim.location.owner)
             _, failed = check_job(self, fleet, job_id, 200, at_most_once=True)
             self.assertGreater(len(failed), 0)
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -197,7 +197,7 @@
     def test_deadline_ends_a_request_that_an_engine_does_not_answer(self):
         def run(fleet):
             for engine in fleet.engines.values():
-                engine.faults.silent_attempts = 10
+                engine.faults.unanswered_attempts = 10
             before = fleet.loop.now()
             answer = fleet.request(
                 "node-0-0", "POST", CHAT, document=chat(), headers={"X-Postvalve-Deadline": "2"}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -15,7 +15,7 @@
 from postvalve.core.configuration.resolution import explain
 from postvalve.emulator.log_model import LogFault
 from postvalve.emulator.virtual_fleet import FleetShape, VirtualFleet
-from postvalve.emulator.virtual_network import Place
+from postvalve.emulator.virtual_network import Location
 from postvalve.emulator.virtual_platform import VirtualLog
 from postvalve.emulator.virtual_time import VirtualClock, run_virtual
 from postvalve.exceptions import LogUnavailableError, RevisionConflictError
@@ -32,7 +32,7 @@
 
 def operator(fleet, name):
     """An operator's access to the log."""
-    place = Place(f"operator-{name}", "operator")
+    place = Location(f"operator-{name}", "operator")
     log = VirtualLog(fleet.log, place)
     clock = VirtualClock(fleet.loop)
     numbers = iter(range(1000))
@@ -55,7 +55,7 @@
     return {
         node_id: node.node.status_document()["configuration_revision"]
         for node_id, node in fleet.nodes.items()
-        if not fleet.loop.is_killed(node.place.owner)
+        if not fleet.loop.is_killed(node.location.owner)
     }
 
 
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -6,7 +6,7 @@
 from werkzeug.test import Client
 
 from postvalve.emulator.engine_model import EngineModel, EngineParameters
-from postvalve.emulator.engine_service import EngineEmulation, EngineServiceShell
+from postvalve.emulator.engine_service import EngineEmulation, EngineServer
 from postvalve.emulator.log_model import LogFault, LogModel
 from postvalve.emulator.machine_service import MachineListModel
 from postvalve.emulator.tokens import ChatMessage, ChatRequest
@@ -92,9 +92,9 @@
 
 class EngineServiceTest(unittest.TestCase):
     def setUp(self):
-        shell = EngineServiceShell({"m": "1"}, EngineEmulation(load_lag=0, cache_event_lag=0))
-        self.shell = shell
-        self.client = Client(shell.application())
+        server = EngineServer({"m": "1"}, EngineEmulation(load_lag=0, cache_event_lag=0))
+        self.server = server
+        self.client = Client(server.application())
 
     def order(self, **fields):
         return self.client.post("/v1/orders", json=fields)
@@ -111,10 +111,10 @@
         self.assertEqual(self.order(fencing_token=6, action="dance").status_code, 400)
 
     def test_cache_events_have_gaps(self):
-        model = self.shell._model
+        model = self.server._model
         for number in range(120):
             model.cache.admit("", f"prompt {number}")
-        self.shell._take_report()
+        self.server._record_load()
         answer = self.client.get("/v1/cache-events?from=0").json
         self.assertEqual(answer["next"], 120)
         self.assertEqual(len(answer["events"]), 118)
@@ -154,9 +154,9 @@
 
     def test_fetches_share_the_rate_of_the_weight_store(self):
         store = WeightStoreModel(rate=100.0)
-        self.assertEqual(store.reserve(500, 0.0), 5.0)
-        self.assertEqual(store.reserve(500, 0.0), 10.0)
-        self.assertEqual(store.reserve(100, 50.0), 51.0)
+        self.assertEqual(store.schedule(500, 0.0), 5.0)
+        self.assertEqual(store.schedule(500, 0.0), 10.0)
+        self.assertEqual(store.schedule(100, 50.0), 51.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -161,7 +161,7 @@
             recorder.note("platform", "each engine answers once for another attempt")
             recorder.request("node-0-0", "POST", CHAT, document=chat("crossed"))
             for engine in fleet.engines.values():
-                engine.faults.silent_attempts = 1
+                engine.faults.unanswered_attempts = 1
             recorder.note("platform", "each engine is silent once")
             recorder.request(
                 "node-0-0",
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -218,13 +218,13 @@
         faults = self.random.choice(list(self.fleet.engines.values())).faults
         faults.crossed_answers += self.random.randint(0, 2)
         faults.refusals += self.random.randint(0, 2)
-        faults.silent_attempts += self.random.randint(0, 1)
+        faults.unanswered_attempts += self.random.randint(0, 1)
         faults.cut_after_tokens.append(self.random.randint(1, 5))
 
     def heal(self):
         gevent.sleep(30)
         for engine in self.fleet.engines.values():
-            engine.faults.silent_attempts = 0
+            engine.faults.unanswered_attempts = 0
         gevent.sleep(60)
 
     # Checks
--- a/tests/test_online_failures.py
+++ b/tests/test_online_failures.py
@@ -184,7 +184,7 @@
 
     def test_engine_is_silent(self):
         answer, runs = self.verdict(
-            lambda fleet: self.spoil(fleet, silent_attempts=100),
+            lambda fleet: self.spoil(fleet, unanswered_attempts=100),
             {**AT_MOST_ONCE, "X-Postvalve-Deadline": "3"},
         )
         self.assertEqual(self.error(answer)["verdict"], "may_have_run")
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -6,12 +6,12 @@
 
 from scripts import ports
 from scripts.fleet import free_address
-from tests.ports import free_port, own_ports
+from tests.ports import free_port, separate_port_block
 
 PROCESSES, DRAWN = 8, 300
 
 
-def draw(told, all_drawn):
+def allocate_ports(told, all_drawn):
     """Tell ports as tests and fleets draw them; lives until all processes have drawn theirs."""
     addresses = [free_address() for _ in range(DRAWN // 2)]
     told.put(
@@ -27,7 +27,8 @@
         spawning = multiprocessing.get_context("spawn")
         told, all_drawn = spawning.Queue(), spawning.Barrier(PROCESSES)
         processes = [
-            spawning.Process(target=draw, args=(told, all_drawn)) for _ in range(PROCESSES)
+            spawning.Process(target=allocate_ports, args=(told, all_drawn))
+            for _ in range(PROCESSES)
         ]
         for one in processes:
             one.start()
@@ -37,23 +38,23 @@
         self.assertEqual(len(set(drawn)), PROCESSES * DRAWN)
 
     def test_a_process_draws_each_once_before_it_begins_anew(self):
-        block = ports.take_block()
+        block = ports.reserve_block()
         self.addCleanup(block.close)
-        drawn = [block.draw() for _ in range(ports.BLOCK - 1)]
+        drawn = [block.allocate() for _ in range(ports.BLOCK_SIZE - 1)]
         self.assertEqual(len(set(drawn)), len(drawn))
 
     def test_one_that_is_in_use_is_passed_over(self):
-        block = ports.take_block()
+        block = ports.reserve_block()
         self.addCleanup(block.close)
         with socket.socket() as taken:
             taken.bind((ports.HOST, block.first + 1))
-            self.assertEqual(block.draw(), block.first + 2)
+            self.assertEqual(block.allocate(), block.first + 2)
 
     def test_a_soak_has_a_block_of_its_own(self):
-        before = free_port() // ports.BLOCK
-        with own_ports():
-            self.assertNotEqual(free_port() // ports.BLOCK, before)
-        self.assertEqual(free_port() // ports.BLOCK, before)
+        before = free_port() // ports.BLOCK_SIZE
+        with separate_port_block():
+            self.assertNotEqual(free_port() // ports.BLOCK_SIZE, before)
+        self.assertEqual(free_port() // ports.BLOCK_SIZE, before)
 
 
 if __name__ == "__main__":
--- a/tests/test_profile_nodes.py
+++ b/tests/test_profile_nodes.py
@@ -13,7 +13,10 @@
 class ProfileTest(unittest.TestCase):
     def test_a_short_profile_tells_each_cost(self):
         out = io.StringIO()
-        with contextlib.redirect_stdout(out), mock.patch.object(profile_nodes, "SETTLE", 0.5):
+        with (
+            contextlib.redirect_stdout(out),
+            mock.patch.object(profile_nodes, "SETTLE_SECONDS", 0.5),
+        ):
             profile_nodes.profile(nodes=2, engines=2, zones=2, seconds=1.0, rate=20.0)
         told = out.getvalue()
         for name in ("at rest", "an event of an answer", "a request without its events"):
@@ -26,7 +29,7 @@
             while time.process_time() < deadline:
                 pass
         self.assertEqual(sum(samples.parts.values()), 0)
-        self.assertGreater(samples.foreign, 10)
+        self.assertGreater(samples.excluded, 10)
         self.assertEqual(samples.seconds, 0.0)
 
     def test_numbers_that_make_no_sense_are_refused(self):
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -2,21 +2,21 @@
 
 import unittest
 
-from scripts.run_tests import verdict
+from scripts.run_tests import exit_code
 
 
-class VerdictTest(unittest.TestCase):
+class ExitCodeTest(unittest.TestCase):
     def test_failures_decide(self):
-        self.assertEqual(verdict(frozenset(), [], 5), 0)
-        self.assertEqual(verdict(frozenset({"a"}), [], 5), 1)
-        self.assertEqual(verdict(frozenset({"a", "b"}), ["a"], 5), 1)
+        self.assertEqual(exit_code(frozenset(), [], 5), 0)
+        self.assertEqual(exit_code(frozenset({"a"}), [], 5), 1)
+        self.assertEqual(exit_code(frozenset({"a", "b"}), ["a"], 5), 1)
 
     def test_listed_tests_never_decide(self):
-        self.assertEqual(verdict(frozenset({"a"}), ["a"], 5), 0)
-        self.assertEqual(verdict(frozenset(), ["a"], 5), 0)
+        self.assertEqual(exit_code(frozenset({"a"}), ["a"], 5), 0)
+        self.assertEqual(exit_code(frozenset(), ["a"], 5), 0)
 
     def test_a_run_without_tests_fails(self):
-        self.assertEqual(verdict(frozenset(), [], 0), 1)
+        self.assertEqual(exit_code(frozenset(), [], 0), 1)
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 import gevent
 
 from tests.earlier_build import PRESENT, ROOT
-from tests.ports import free_port, own_ports
+from tests.ports import free_port, separate_port_block
 from tests.soak.__main__ import Soak
 from tests.soak.faults import ALONE, KINDS, REST, schedule
 from tests.soak.processes import Engine, Process
@@ -375,7 +375,7 @@
 
 class ShortRunTest(unittest.TestCase):
     def test_a_short_run_of_a_fixed_seed_holds(self):
-        with own_ports(), tempfile.TemporaryDirectory() as folder:
+        with separate_port_block(), tempfile.TemporaryDirectory() as folder:
             soak = Soak(
                 SHORT_SEED, SHORT_SECONDS, SHORT_KINDS, Path(folder), tell=lambda told: None
             )
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -227,7 +227,7 @@
         self.assertEqual(self.submit(KEY, body=json.dumps(document).encode()).status, 202)
         wait_until(lambda: len(self.heads()) == 3)
         self.assertEqual({headers["tenant"] for headers in self.heads()}, {"ann"})
-        for topic, records in self.fleet.topics.everything():
+        for topic, records in self.fleet.topics.all_records():
             if topic != "keyed.op":
                 for record in records:
                     self.assertNotIn(KEY.encode(), record.value, topic)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from tests.earlier_build import LANDINGS, HistoryMissingError, check_out, production
-from tests.ports import own_ports
+from tests.ports import separate_port_block
 from tests.soak.promises import TIMED
 from tests.soak.upgrade import UpgradeSoak, draw_plan
 
@@ -53,7 +53,7 @@
 
 class ShortUpgradeTest(unittest.TestCase):
     def test_promises_hold_while_two_builds_run(self):
-        with own_ports(), tempfile.TemporaryDirectory() as folder:
+        with separate_port_block(), tempfile.TemporaryDirectory() as folder:
             soak = UpgradeSoak(
                 SHORT_SEED,
                 SHORT_SECONDS,
