--- a/postvalve/bench/__init__.py
+++ b/postvalve/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: relay cost, slopes, load."""
+"""Benchmarks: cost of relaying a stream, cost per unit of work, and the load that they use."""
--- a/postvalve/bench/relay.py
+++ b/postvalve/bench/relay.py
@@ -1,7 +1,7 @@
-"""Cost of the relay: processor time per token chunk, and time added to the first token.
+"""Cost of relaying: processor time per token chunk, and latency added to the first token.
 
-The processes run already (a script starts them): an engine, a bare socket relay before it
-and a node before it. All are measured in one run, one after the other, several times.
+`scripts/bench.py` starts the processes: an engine, a plain socket relay in front of it, and a
+node in front of it. Each round measures the engine, the relay and the node one after the other.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayTargets:
-    """Where the three ways to the engine begin."""
+    """URLs and process ids for the three paths: direct, through the relay, through the node."""
 
     engine_url: str
     relay_url: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayReport:
-    """Figures of one run; microseconds of processor time, milliseconds to the first token."""
+    """Results of one run: processor time in microseconds, time to first token in milliseconds."""
 
     chunks: int
     failures: int
@@ -42,18 +42,21 @@
     added_first_token_p50_ms: float
 
     def document(self) -> dict[str, float | int]:
-        """The report as a plain mapping."""
+        """Return the report as a dictionary, rounded to three decimals."""
         return {name: round(value, 3) for name, value in asdict(self).items()}
 
 
 def cpu_seconds(pid: int) -> float:
-    """User and system time of a process."""
+    """Return the user and system time that a process has used, in seconds."""
     times = psutil.Process(pid).cpu_times()
     return times.user + times.system
 
 
 def measure_relay(targets: RelayTargets, load: StreamLoad, rounds: int) -> RelayReport:
-    """Measure the three ways in turn, and report the medians over the rounds."""
+    """Measure the three paths in each round, and return the medians over all rounds.
+
+    Chunks and failures are summed.
+    """
     reports = [_measure_round(targets, load, number) for number in range(rounds)]
     fields = {name: [getattr(one, name) for one in reports] for name in asdict(reports[0])}
     medians = {name: median(values) for name, values in fields.items()}
--- a/postvalve/bench/slopes.py
+++ b/postvalve/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes of cost: processor time and bytes for each unit of work, of the code that runs.
+"""Cost slopes: processor time and bytes per unit of work.
 
-In-process slopes time the state machines and the codec; the slopes of an online request
-and of a token chunk come from a running node's processor time.
+State machines and the codec are timed in this process. The slopes of an online request and of
+a token chunk are derived from the processor time of a running node.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 ENGINES_PER_NODE = 6
 NODES_PER_ZONE = 48
 RESULT_BODY_BYTES = 400
-"""Body of one result in these measurements."""
+"""Size of the response body of each result."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
     microseconds: float
     """Processor time."""
     bytes: float
-    """On the wire, in the log or in memory, as the name says."""
+    """Bytes on the wire, in the log or in memory, depending on the slope."""
 
     def row(self) -> dict[str, str | float]:
-        """The slope as a row."""
+        """Return the slope as a table row, rounded to two decimals."""
         return {name: _rounded(value) for name, value in asdict(self).items()}
 
 
@@ -53,7 +53,7 @@
 
 
 def measure_slopes() -> list[Slope]:
-    """Measure everything that needs no other process."""
+    """Measure all slopes that do not need a running node."""
     return [
         _measure_heartbeat_receipt(full=False),
         _measure_heartbeat_receipt(full=True),
@@ -68,7 +68,7 @@
 
 
 def _cpu_us_per_call(function: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Microseconds of processor time of one call."""
+    """Return the mean processor time of one call, in microseconds."""
     started = time.process_time()
     for _ in range(repeats):
         function()
@@ -246,9 +246,10 @@
 
 
 def measure_node(load: StreamLoad, pid: int) -> list[Slope]:
-    """Slopes of a running node: an online request, and a token chunk of it.
+    """Measure the slopes of a running node: an online request, and each token chunk of it.
 
-    Two loads that differ only in the length of answers give a line through both.
+    Two loads that differ only in the number of tokens per response give the cost of a chunk and,
+    by extrapolation to no chunks, the cost of a request.
     """
     short = _cpu_per_request(replace(load, tokens=2, name="short"), pid)
     long = _cpu_per_request(replace(load, tokens=102, name="long"), pid)
--- a/postvalve/bench/streams.py
+++ b/postvalve/bench/streams.py
@@ -1,4 +1,4 @@
-"""A load of many streams at once, and the times at which their tokens come."""
+"""Load generator: concurrent streamed requests, with the latency of each token."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 HIGHEST_MICROSECONDS = 600_000_000
 SIGNIFICANT_DIGITS = 3
 READ_TIMEOUT = 120.0
-"""Seconds of silence until a stream counts as failed."""
+"""Seconds without data after which a stream counts as failed."""
 
 
 def new_histogram() -> HdrHistogram:
-    """A histogram of microseconds."""
+    """Return an empty histogram for latencies from 1 us to 600 s, in microseconds."""
     return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class StreamLoad:
-    """What to send."""
+    """Load to generate: concurrent streams, requests of each, and tokens per response."""
 
     url: str
     api_key: str
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class StreamTimes:
-    """What came of it."""
+    """Results of a load: chunks, failures, duration, and latency histograms in microseconds."""
 
     chunks: int = 0
     failures: int = 0
@@ -52,7 +52,7 @@
 
 
 def run_streams(load: StreamLoad) -> StreamTimes:
-    """Run all streams at once, each its requests one after the other."""
+    """Run all streams concurrently; each sends its requests one after the other."""
     times = StreamTimes()
     url = URL(load.url)
     client = HTTPClient(
@@ -69,12 +69,12 @@
 
 
 def _run_stream(client: HTTPClient, load: StreamLoad, number: int, times: StreamTimes) -> None:
-    # A stagger, so that the streams don't all start in one step of the engine.
+    # Staggered, so that the streams do not all start in the same step of the engine.
     gevent.sleep(number * 0.003)
     for round_number in range(load.requests_per_stream):
         try:
             _run_request(client, load, f"{load.name}-{number}-{round_number}", times)
-        except Exception:  # counted; the figures of a run with failures are not used
+        except Exception:  # counted; results of a run with failures are not used
             times.failures += 1
 
 
@@ -95,7 +95,7 @@
     response = client.request("POST", "/v1/chat/completions", body=body, headers=headers)
     if response.status_code != 200:
         response.read()
-        raise AttemptError(f"answered {response.status_code}", Verdict.NOT_RUN)
+        raise AttemptError(f"status {response.status_code} instead of 200", Verdict.NOT_RUN)
     previous = sent_at
     first = True
     while event := response.readline(b"\n\n"):
@@ -108,4 +108,4 @@
         if event.startswith(b"data: [DONE]"):
             response.read()
             return
-    raise AttemptError("the stream was cut", Verdict.MAY_HAVE_RUN)
+    raise AttemptError("stream ended before data: [DONE]", Verdict.MAY_HAVE_RUN)
--- a/postvalve/cli/bench.py
+++ b/postvalve/cli/bench.py
@@ -1,4 +1,4 @@
-"""`postvalve bench`: measurements on what runs."""
+"""`postvalve bench`: benchmarks of running processes and of the code itself."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from postvalve.bench.streams import StreamLoad
 from postvalve.cli.output import ExitCode, add_output_flag, print_document, print_rows
 
-EXAMPLES = """`make bench` starts the processes that the measurements need and runs them all.
+EXAMPLES = """`make bench` starts the processes that the benchmarks need, and runs them all.
 
 examples:
   postvalve bench relay --engine http://127.0.0.1:7100 --relay http://127.0.0.1:7200 \\
@@ -20,23 +20,23 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `bench` command."""
     parser = commands.add_parser(
         "bench",
-        help="measurements on what runs",
+        help="measure the cost of relaying and of each unit of work",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     kinds = parser.add_subparsers(dest="kind", required=True, metavar="KIND")
-    relay = kinds.add_parser("relay", help="a node's relay beside a bare socket relay")
-    relay.add_argument("--engine", required=True, help="URL of the engine itself")
-    relay.add_argument("--relay", required=True, help="URL of the bare relay before it")
+    relay = kinds.add_parser("relay", help="compare a node with a plain socket relay")
+    relay.add_argument("--engine", required=True, help="URL of the engine")
+    relay.add_argument("--relay", required=True, help="URL of the plain relay in front of it")
     relay.add_argument("--relay-pid", type=int, required=True)
     _add_node_flags(relay, required=True)
-    relay.add_argument("--tokens", type=int, default=100, help="tokens of each answer")
+    relay.add_argument("--tokens", type=int, default=100, help="tokens per response")
     relay.add_argument("--rounds", type=int, default=3)
     relay.set_defaults(run=run_relay)
-    slopes = kinds.add_parser("slopes", help="cost of each unit of work; of a node too, if given")
+    slopes = kinds.add_parser("slopes", help="cost per unit of work; includes a node if given")
     _add_node_flags(slopes, required=False)
     slopes.set_defaults(run=run_slopes)
     for kind in (relay, slopes):
@@ -49,7 +49,7 @@
     parser.add_argument("--key", required=required)
     parser.add_argument("--model", required=required)
     parser.add_argument("--streams", type=int, default=64)
-    parser.add_argument("--requests", type=int, default=3, help="requests of each stream")
+    parser.add_argument("--requests", type=int, default=3, help="requests per stream")
 
 
 def _load(arguments: argparse.Namespace, tokens: int) -> StreamLoad:
@@ -64,7 +64,10 @@
 
 
 def run_relay(arguments: argparse.Namespace) -> int:
-    """Measure the relay."""
+    """Run the relay benchmark and print its report.
+
+    Returns `ExitCode.FAILED` if any request failed.
+    """
     targets = RelayTargets(
         engine_url=arguments.engine,
         relay_url=arguments.relay,
@@ -78,7 +81,7 @@
 
 
 def run_slopes(arguments: argparse.Namespace) -> int:
-    """Measure the slopes."""
+    """Measure the cost slopes and print them, with those of a node if one is given."""
     slopes = measure_slopes()
     if arguments.node:
         slopes += measure_node(_load(arguments, 0), arguments.node_pid)
--- a/postvalve/cli/config.py
+++ b/postvalve/cli/config.py
@@ -1,4 +1,4 @@
-"""`postvalve config`: check, compare, publish and explain the fleet's configuration."""
+"""`postvalve config`: validate, compare, publish and explain the fleet's configuration."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `config` command."""
     parser = commands.add_parser(
         "config",
-        help="check, compare, publish and explain the configuration",
+        help="validate, compare, publish and explain the configuration",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -48,13 +48,13 @@
 
 
 def _add_validate(actions: Any) -> None:
-    parser = actions.add_parser("validate", help="check a file; reports every mistake")
+    parser = actions.add_parser("validate", help="validate a file and report every error")
     parser.add_argument("file", type=Path)
     parser.set_defaults(run=run_validate)
 
 
 def _add_diff(actions: Any) -> None:
-    parser = actions.add_parser("diff", help="compare a file with the revision in force")
+    parser = actions.add_parser("diff", help="compare a file with the current revision")
     parser.add_argument("file", type=Path)
     add_log_flags(parser)
     parser.set_defaults(run=run_diff)
@@ -63,22 +63,24 @@
 def _add_apply(actions: Any) -> None:
     parser = actions.add_parser("apply", help="publish a file")
     parser.add_argument("file", type=Path)
-    parser.add_argument("--base", type=int, help="revision the file was made from")
-    parser.add_argument("--author", default=getpass.getuser(), help="name for the history")
+    parser.add_argument("--base", type=int, help="revision that the file is based on")
+    parser.add_argument(
+        "--author", default=getpass.getuser(), help="author recorded in the history"
+    )
     add_log_flags(parser)
     add_output_flag(parser)
     parser.set_defaults(run=run_apply)
 
 
 def _add_history(actions: Any) -> None:
-    parser = actions.add_parser("history", help="every change, with its outcome")
+    parser = actions.add_parser("history", help="list every change with its outcome")
     add_log_flags(parser)
     add_output_flag(parser)
     parser.set_defaults(run=run_history)
 
 
 def _add_explain(actions: Any) -> None:
-    parser = actions.add_parser("explain", help="which rules cover a request, and which won")
+    parser = actions.add_parser("explain", help="show which rules match, and which applies")
     parser.add_argument("--tenant", required=True)
     parser.add_argument("--workload", required=True)
     parser.add_argument("--engine", default="", help="labels of an engine: key=value,...")
@@ -91,7 +93,8 @@
     """Read a configuration from TOML or JSON.
 
     Raises:
-        InvalidSettingsGroup: with every mistake and its place.
+        InvalidSettingsGroup: The file is unreadable or invalid; has one error per mistake,
+            with its location.
     """
     try:
         content = path.read_bytes()
@@ -104,14 +107,14 @@
 
 
 def run_validate(arguments: argparse.Namespace) -> int:
-    """Check a file."""
+    """Validate a configuration file."""
     load_configuration_file(arguments.file)
     print(f"{arguments.file} is valid")
     return ExitCode.OK
 
 
 def run_diff(arguments: argparse.Namespace) -> int:
-    """Print a unified diff; exit code 1 when there is one."""
+    """Print a unified diff to the current revision; the exit code is 1 if they differ."""
     wanted = load_configuration_file(arguments.file)
     current = connect_log(arguments).configuration.newest_configuration()
     lines = list(
@@ -129,7 +132,7 @@
 
 
 def run_apply(arguments: argparse.Namespace) -> int:
-    """Publish a file."""
+    """Publish a configuration file as a new revision, and print its number."""
     configuration = load_configuration_file(arguments.file)
     store = connect_log(arguments).configuration
     revision = store.publish(configuration, arguments.base, arguments.author)
@@ -138,7 +141,7 @@
 
 
 def run_history(arguments: argparse.Namespace) -> int:
-    """Print every change."""
+    """Print every configuration change in the log, with its outcome."""
     entries = connect_log(arguments).configuration.history()
     rows = [
         {
@@ -155,7 +158,12 @@
 
 
 def run_explain(arguments: argparse.Namespace) -> int:
-    """Print which rules cover a tenant, a workload and an engine."""
+    """Print, per kind of rule, those that match a tenant, a workload and an engine.
+
+    Raises:
+        NotFoundError: The tenant or the workload is not configured.
+        SettingsError: The engine's labels cannot be parsed.
+    """
     configuration = connect_log(arguments).configuration.newest_configuration()
     tenants = {tenant.name: tenant for tenant in configuration.tenants}
     if arguments.tenant not in tenants:
@@ -191,7 +199,7 @@
 
 
 def run_hash_key(arguments: argparse.Namespace) -> int:
-    """Print the digest that goes into the configuration."""
+    """Print the SHA-256 digest of an API key, as the configuration stores it."""
     key = sys.stdin.read().strip()
     if not key:
         raise SettingsError("standard input", "no key was given")
--- a/postvalve/cli/connection.py
+++ b/postvalve/cli/connection.py
@@ -1,4 +1,4 @@
-"""What commands share to reach the log."""
+"""Access to the platform's log, shared by commands."""
 
 from __future__ import annotations
 
@@ -20,24 +20,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LogStores:
-    """Stores on the log, for one command."""
+    """Configuration store and job store, both backed by the log."""
 
     configuration: ConfigurationStore
     jobs: JobStore
 
 
 def add_log_flags(parser: argparse.ArgumentParser) -> None:
-    """Add the flags that name the log."""
+    """Add `--log-url` and `--zone`."""
     parser.add_argument(
         "--log-url",
         default=os.environ.get(LOG_URL_VARIABLE),
         help=f"the platform's log, http://IP:PORT (default: ${LOG_URL_VARIABLE})",
     )
-    parser.add_argument("--zone", default="operator", help="zone told to the log")
+    parser.add_argument("--zone", default="operator", help="zone sent to the log with each call")
 
 
 def connect_log(arguments: argparse.Namespace, shards: int = DEFAULT_SHARDS) -> LogStores:
-    """Build the stores for a command."""
+    """Connect to the log of `--log-url` and return its stores.
+
+    Raises:
+        SystemExit: No log URL is given.
+    """
     if not arguments.log_url:
         raise SystemExit(f"error: give --log-url or set {LOG_URL_VARIABLE}")
     clock = SystemClock()
--- a/postvalve/cli/drain.py
+++ b/postvalve/cli/drain.py
@@ -1,4 +1,4 @@
-"""`postvalve drain`: let machines leave, chosen by their labels."""
+"""`postvalve drain`: drain machines selected by label."""
 
 from __future__ import annotations
 
@@ -18,35 +18,41 @@
   postvalve drain start zone-b-engines --selector 'zone=b,kind=engine'
   postvalve drain end rack-7
 
-A drain is part of the configuration: nodes that it covers finish their work and exit, and
-engines that it covers get no new work. A node that left comes back as a new process.
+A drain is part of the configuration: nodes that it selects finish their work and exit, and
+engines that it selects get no new work. A drained node returns only as a new process.
 """
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `drain` command."""
     parser = commands.add_parser(
         "drain",
-        help="let machines leave, chosen by labels",
+        help="drain machines selected by label",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     actions = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
-    start = actions.add_parser("start", help="drain the machines that a selector covers")
+    start = actions.add_parser("start", help="drain the machines that a selector matches")
     start.add_argument("name", help="name of the drain")
     start.add_argument("--selector", required=True)
     start.set_defaults(run=run_start)
-    end = actions.add_parser("end", help="let machines of these labels work again")
+    end = actions.add_parser("end", help="end a drain, so that its machines may work again")
     end.add_argument("name", help="name of the drain")
     end.set_defaults(run=run_end)
     for action in (start, end):
-        action.add_argument("--author", default=getpass.getuser(), help="name for the history")
+        action.add_argument(
+            "--author", default=getpass.getuser(), help="author recorded in the history"
+        )
         add_log_flags(action)
         add_output_flag(action)
 
 
 def run_start(arguments: argparse.Namespace) -> int:
-    """Publish a configuration with the drain added."""
+    """Publish a configuration with the drain added.
+
+    Raises:
+        ConflictError: A drain of this name exists.
+    """
     drain = check_document(
         DrainSpec, {"name": arguments.name, "machines": arguments.selector}, "drain"
     )
@@ -60,7 +66,11 @@
 
 
 def run_end(arguments: argparse.Namespace) -> int:
-    """Publish a configuration with the drain taken out."""
+    """Publish a configuration with the drain removed.
+
+    Raises:
+        NotFoundError: There is no drain of this name.
+    """
 
     def remove(configuration: FleetConfiguration) -> list[DrainSpec]:
         remaining = [one for one in configuration.drains if one.name != arguments.name]
--- a/postvalve/cli/emulate.py
+++ b/postvalve/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`postvalve emulate`: our stand-ins for the platform, as programs."""
+"""`postvalve emulate`: run emulators of the platform's services and engines."""
 
 from __future__ import annotations
 
@@ -23,27 +23,29 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `emulate` command."""
     parser = commands.add_parser(
         "emulate",
-        help="run a stand-in for the log, the machine list or an engine",
+        help="run an emulated log, machine list, weight store or engine",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     kinds = parser.add_subparsers(dest="kind", required=True, metavar="KIND")
     log = kinds.add_parser("log", help="append-only log service")
     log.set_defaults(run=run_log)
-    machines = kinds.add_parser("machines", help="lagging list of machines")
-    machines.add_argument("--lag", type=float, default=2.0, help="seconds until a change shows")
+    machines = kinds.add_parser("machines", help="machine list with delayed changes")
+    machines.add_argument(
+        "--lag", type=float, default=2.0, help="seconds until a change is visible"
+    )
     machines.set_defaults(run=run_machines)
     engine = kinds.add_parser("engine", help="model engine")
     _add_engine_flags(engine)
     engine.set_defaults(run=run_engine)
     weights = kinds.add_parser("weights", help="weight store with a rate limit")
-    weights.add_argument("--rate", type=float, default=1e9, help="bytes a second")
+    weights.add_argument("--rate", type=float, default=1e9, help="bytes per second")
     weights.add_argument("--weight-bytes", type=int, default=DEFAULT_WEIGHT_BYTES)
     weights.set_defaults(run=run_weights)
-    relay = kinds.add_parser("relay", help="bare socket relay, the yardstick of bench relay")
+    relay = kinds.add_parser("relay", help="plain socket relay, the baseline of bench relay")
     relay.add_argument("--target", required=True, help="IP:PORT")
     relay.set_defaults(run=run_relay)
     for kind in (log, machines, engine, relay, weights):
@@ -53,7 +55,7 @@
 def _add_engine_flags(parser: argparse.ArgumentParser) -> None:
     defaults = EngineParameters()
     parser.add_argument(
-        "--model", action="append", required=True, help="NAME=VERSION, held from the start"
+        "--model", action="append", required=True, help="NAME=VERSION, loaded from the start"
     )
     parser.add_argument("--slots", type=int, default=defaults.slots)
     parser.add_argument("--step-base", type=float, default=defaults.step_base, help="seconds")
@@ -64,37 +66,37 @@
         "--prefill-per-token", type=float, default=defaults.prefill_per_token, help="seconds"
     )
     parser.add_argument("--cache-blocks", type=int, default=defaults.cache_blocks)
-    parser.add_argument("--weights-url", default="", help="weight store that loads fetch from")
+    parser.add_argument("--weights-url", default="", help="weight store to load models from")
     parser.add_argument("--load-lag", type=float, default=0.5, help="seconds")
 
 
 def run_log(arguments: argparse.Namespace) -> int:
-    """Run the log."""
+    """Run an emulated log."""
     serve(arguments.listen, LogServer().application())
     return ExitCode.OK
 
 
 def run_weights(arguments: argparse.Namespace) -> int:
-    """Run the weight store."""
+    """Run an emulated weight store."""
     server = WeightStoreServer(arguments.rate, arguments.weight_bytes)
     serve(arguments.listen, server.application())
     return ExitCode.OK
 
 
 def run_relay(arguments: argparse.Namespace) -> int:
-    """Run a bare relay."""
+    """Run a plain socket relay."""
     serve_relay(arguments.listen, arguments.target)
     return ExitCode.OK
 
 
 def run_machines(arguments: argparse.Namespace) -> int:
-    """Run the machine list."""
+    """Run an emulated machine list."""
     serve(arguments.listen, MachineListServer(arguments.lag).application())
     return ExitCode.OK
 
 
 def run_engine(arguments: argparse.Namespace) -> int:
-    """Run an engine."""
+    """Run an emulated engine."""
     parameters = EngineParameters(
         slots=arguments.slots,
         step_base=arguments.step_base,
--- a/postvalve/cli/experiment.py
+++ b/postvalve/cli/experiment.py
@@ -1,4 +1,4 @@
-"""`postvalve experiment`: users' scenarios under virtual time, the two measures in one run."""
+"""`postvalve experiment`: run scenarios under virtual time, with and without batch load."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `experiment` command."""
     parser = commands.add_parser(
         "experiment",
         help="run scenarios under virtual time",
@@ -31,15 +31,15 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     actions = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
-    listing = actions.add_parser("list", help="names of the scenarios")
+    listing = actions.add_parser("list", help="list the scenarios that come with postvalve")
     listing.set_defaults(run=run_list)
-    run = actions.add_parser("run", help="run one, with batch and without")
-    run.add_argument("scenario", help="a name, or a TOML file")
+    run = actions.add_parser("run", help="run a scenario with and without batch load")
+    run.add_argument("scenario", help="name of a scenario, or a TOML file")
     run.add_argument("--seed", type=int, default=1)
-    run.add_argument("--save", type=Path, help="file for the result (JSON)")
+    run.add_argument("--save", type=Path, help="file to write the result to (JSON)")
     add_output_flag(run)
     run.set_defaults(run=run_scenario)
-    compare = actions.add_parser("compare", help="two saved results side by side")
+    compare = actions.add_parser("compare", help="print two saved results side by side")
     compare.add_argument("first", type=Path)
     compare.add_argument("second", type=Path)
     add_output_flag(compare)
@@ -47,14 +47,14 @@
 
 
 def run_list(arguments: argparse.Namespace) -> int:
-    """Print the names."""
+    """Print the names of the scenarios that come with postvalve."""
     for name in scenario_names():
         print(name)
     return ExitCode.OK
 
 
 def run_scenario(arguments: argparse.Namespace) -> int:
-    """Run one scenario."""
+    """Run a scenario, print its figures and save them if requested."""
     result = run_experiment(load_scenario(arguments.scenario), arguments.seed)
     if arguments.save:
         arguments.save.write_text(result.model_dump_json(indent=2), encoding="utf-8")
@@ -63,7 +63,7 @@
 
 
 def run_compare(arguments: argparse.Namespace) -> int:
-    """Print two results side by side."""
+    """Print the figures with batch load of two saved results side by side."""
     first, second = _load(arguments.first), _load(arguments.second)
     rows = [
         {"figure": before["figure"], "first": before["with_batch"], "second": after["with_batch"]}
@@ -80,5 +80,5 @@
         raise NotFoundError(f"{path}: {error.strerror}") from None
     except ValidationError as error:
         raise SettingsError(
-            str(path), f"is no saved result: {error.error_count()} mistakes"
+            str(path), f"not a saved result: {error.error_count()} validation errors"
         ) from None
