--- a/postvalve/cli/explain.py
+++ b/postvalve/cli/explain.py
@@ -1,4 +1,4 @@
-"""`postvalve explain`: the way of one request, job or item through the logs of nodes."""
+"""`postvalve explain`: trace one request, job or item through the logs of nodes."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from postvalve.exceptions import NotFoundError
 
 CONTEXT_EVENTS = frozenset((102, 103, 104, 230, 300, 412, 413, 414, 610, 611, 613, 614))
-"""Events of a node that may explain what happened to a request meanwhile."""
+"""Numbers of the node events that may explain what happened to a request."""
 CONTEXT_SECONDS = 5.0
-"""Seconds before the first and after the last line about the id that context is shown for."""
+"""Seconds before the first and after the last matching line for which context is shown."""
 
 EXAMPLES = """examples:
   postvalve explain 9c41d07be2a35f68 node-1.log node-2.log
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One event of one node."""
+    """One parsed log line: an event of a node."""
 
     at: str
     node: str
@@ -34,9 +34,9 @@
     fields: dict[str, Any]
 
     def mentions(self, target_id: str) -> bool:
-        """Whether the line is about a request, job, item, engine or peer of that name.
+        """Return whether any field of the line is this id, or a list that contains it.
 
-        A line that names it in a list, as one that waited behind it, is among them.
+        Lists matter for the requests that waited behind another one.
         """
         return any(
             value == target_id or (isinstance(value, list) and target_id in value)
@@ -45,25 +45,25 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `explain` command."""
     parser = commands.add_parser(
         "explain",
-        help="the way of one request or job through logs",
+        help="trace one request or job through logs",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     parser.add_argument("id", help="id of a request, a job, an engine or a node")
     parser.add_argument("logs", nargs="+", help="log files, or - for standard input")
-    parser.add_argument("--alone", action="store_true", help="only lines that name the id")
+    parser.add_argument("--alone", action="store_true", help="print only lines that name the id")
     add_output_flag(parser)
     parser.set_defaults(run=run)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the lines in the order of time.
+    """Print the matching lines and their context, sorted by time.
 
     Raises:
-        NotFoundError: no line names the id.
+        NotFoundError: No line names the id.
     """
     lines = sorted(_read_lines(arguments.logs), key=lambda line: line.at)
     selected = explain(lines, arguments.id, context=not arguments.alone)
@@ -78,9 +78,10 @@
 
 
 def explain(lines: list[LogLine], target_id: str, *, context: bool = True) -> list[LogLine]:
-    """Lines about `wanted`, and those that tell what befell the nodes concerned meanwhile.
+    """Return the lines that name `target_id` and, with `context`, related lines.
 
-    Of a request that waited they tell, too, what came of those in front of it.
+    Related are the `CONTEXT_EVENTS` of the same nodes at about the same time, unless they are
+    about another engine, and all lines of requests that were ahead of it in a queue.
     """
     matching = [line for line in lines if line.mentions(target_id)]
     if not matching or not context:
@@ -104,7 +105,7 @@
 
 
 def _requests_ahead(target_id: str, matching: Iterable[LogLine]) -> set[str]:
-    """Requests that were in front of one while it waited: what came of them explains its wait."""
+    """Return the requests ahead of this one in its queue, whose outcomes explain its wait."""
     return {
         request
         for line in matching
@@ -123,7 +124,7 @@
 
 
 def parse_line(raw: str) -> LogLine | None:
-    """Read one line; what stands before its JSON is passed over. None for other lines."""
+    """Parse a log line, ignoring any text before its JSON; None if it is not an event."""
     start = raw.find("{")
     if start < 0:
         return None
--- a/postvalve/cli/jobs.py
+++ b/postvalve/cli/jobs.py
@@ -1,4 +1,4 @@
-"""`postvalve jobs`: batch jobs of all tenants, from the log."""
+"""`postvalve jobs`: list, show and cancel batch jobs of all tenants, read from the log."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `jobs` command."""
     parser = commands.add_parser(
         "jobs",
         help="list, show and cancel batch jobs",
@@ -28,23 +28,25 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     actions = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
-    listing = actions.add_parser("list", help="jobs of all tenants")
-    listing.add_argument("--tenant", help="only this tenant's")
+    listing = actions.add_parser("list", help="list the jobs of all tenants")
+    listing.add_argument("--tenant", help="list only the jobs of this tenant")
     listing.set_defaults(run=run_list)
-    show = actions.add_parser("show", help="one job")
+    show = actions.add_parser("show", help="show one job")
     show.set_defaults(run=run_show)
     cancel = actions.add_parser("cancel", help="cancel one job")
     cancel.set_defaults(run=run_cancel)
     for action in (show, cancel):
         action.add_argument("job_id")
     for action in (listing, show, cancel):
-        action.add_argument("--shards", type=int, default=DEFAULT_SHARDS, help="as the nodes have")
+        action.add_argument(
+            "--shards", type=int, default=DEFAULT_SHARDS, help="number of shards that nodes use"
+        )
         add_log_flags(action)
         add_output_flag(action)
 
 
 def run_list(arguments: argparse.Namespace) -> int:
-    """List jobs."""
+    """Print the jobs of one tenant or of all."""
     stores = connect_log(arguments, arguments.shards)
     if arguments.tenant:
         job_ids = stores.jobs.tenant_jobs(arguments.tenant)
@@ -57,14 +59,22 @@
 
 
 def run_show(arguments: argparse.Namespace) -> int:
-    """Show one job."""
+    """Print one job.
+
+    Raises:
+        NotFoundError: There is no such job.
+    """
     stores = connect_log(arguments, arguments.shards)
     print_document(_job_row(_load_job(stores, arguments.job_id)), arguments.output)
     return ExitCode.OK
 
 
 def run_cancel(arguments: argparse.Namespace) -> int:
-    """Cancel one job."""
+    """Cancel one job and print its new state.
+
+    Raises:
+        NotFoundError: There is no such job.
+    """
     stores = connect_log(arguments, arguments.shards)
     ledger = _load_job(stores, arguments.job_id)
     stores.jobs.cancel(ledger.accepted.tenant, arguments.job_id)
--- a/postvalve/cli/main.py
+++ b/postvalve/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of `postvalve`."""
+"""Entry point of the `postvalve` command line."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The parser of all commands."""
+    """Return the argument parser with all commands."""
     parser = argparse.ArgumentParser(
         prog="postvalve",
         description="Online and batch inference on one fleet of model engines.",
@@ -75,7 +75,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; returns the exit code."""
+    """Run one command and return its exit code, printing `PostvalveError`s to standard error."""
     parsed = build_parser().parse_args(arguments)
     try:
         return int(parsed.run(parsed))
--- a/postvalve/cli/node.py
+++ b/postvalve/cli/node.py
@@ -1,4 +1,4 @@
-"""`postvalve node`: run one node."""
+"""`postvalve node`: run a node."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 STOP_TIMEOUT = 1.0
-"""Seconds that connections have to close after the drain."""
+"""Seconds that open connections have to close after the drain."""
 
 EXAMPLES = """examples:
   postvalve node --config node.toml
@@ -38,15 +38,16 @@
       --peer-listen 127.0.0.1:8081 --log-url http://127.0.0.1:7000 \\
       --machine-list-url http://127.0.0.1:7001
 
-SIGTERM and SIGINT drain the node: it hands over, finishes what is in progress, and exits.
+SIGTERM and SIGINT drain the node: it hands over its engines and jobs, finishes the requests
+in progress, and exits.
 """
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `node` command."""
     parser = commands.add_parser(
         "node",
-        help="run one node",
+        help="run a node",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -67,7 +68,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Run the node until it is drained."""
     if arguments.platform is not None:
-        # Imported here, since no other command needs what the platform's node imports.
+        # Imported here because no other command needs the modules that it imports.
         from postvalve import node_process
 
         return node_process.run(arguments.platform, check=arguments.check)
--- a/postvalve/cli/output.py
+++ b/postvalve/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: tables or JSON on standard output, errors on standard error."""
+"""Output of commands: tables or JSON on standard output, errors on standard error."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of every command."""
+    """Exit codes, the same for every command."""
 
     OK = 0
     FAILED = 1
     USAGE = 2
-    """The command line, a settings file or a configuration is wrong."""
+    """The command line, a settings file or a configuration is invalid."""
     CONFLICT = 3
     """Another change came first; read it and try again."""
     UNAVAILABLE = 4
-    """A service did not answer; what was asked may have taken effect if the text says so."""
+    """A service did not answer; the verdict in the message says whether the call took effect."""
     NOT_FOUND = 5
 
 
 def add_output_flag(parser: argparse.ArgumentParser) -> None:
-    """Add `--output`."""
+    """Add `--output` to a command."""
     parser.add_argument(
-        "--output", choices=("table", "json"), default="table", help="form of the answer"
+        "--output", choices=("table", "json"), default="table", help="output format"
     )
 
 
@@ -49,7 +49,7 @@
 
 
 def print_document(document: dict[str, Any], output: str) -> None:
-    """Print one object as lines of `name: value` or as JSON."""
+    """Print a dictionary as lines of `name: value` or as JSON."""
     if output == "json":
         print(json.dumps(document, indent=2))
         return
@@ -58,7 +58,7 @@
 
 
 def print_error(error: PostvalveError) -> None:
-    """Print a user's or a service's error, with its verdict where it matters."""
+    """Print an error to standard error, with its code and verdict unless it is about settings."""
     if isinstance(error, SettingsError):
         print(f"error: {error.message}", file=sys.stderr)
         return
--- a/postvalve/cli/request.py
+++ b/postvalve/cli/request.py
@@ -1,4 +1,4 @@
-"""`postvalve request`: act as a caller, for tries and demonstrations."""
+"""`postvalve request`: send requests to a node as a client, for trials and demonstrations."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 API_KEY_VARIABLE = "POSTVALVE_API_KEY"
 POLL_INTERVAL = 0.2
-"""Seconds between looks at a batch."""
+"""Seconds between status requests for a batch."""
 RESPONSE_TIMEOUT = 60.0
-"""Seconds of silence until an answer is given up."""
+"""Seconds without data after which a request fails."""
 EVENT_PREFIX = b"data: "
 
 EXAMPLES = """examples:
@@ -31,24 +31,24 @@
 
 
 class CallError(PostvalveError):
-    """The node answered with an error."""
+    """The node answered with an error, or a file to upload cannot be read."""
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `request` command."""
     parser = commands.add_parser(
         "request",
-        help="send a request as a caller",
+        help="send a request as a client",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     kinds = parser.add_subparsers(dest="kind", required=True, metavar="KIND")
-    chat = kinds.add_parser("chat", help="one chat completion, streamed to standard output")
+    chat = kinds.add_parser("chat", help="stream one chat completion to standard output")
     chat.add_argument("text")
     chat.add_argument("--model", required=True)
     chat.add_argument("--max-tokens", type=int, default=16)
     chat.set_defaults(run=run_chat)
-    batch = kinds.add_parser("batch", help="a batch: upload, wait, print the output file")
+    batch = kinds.add_parser("batch", help="upload a batch, wait for it and print its output")
     batch.add_argument("file", type=Path)
     batch.add_argument("--window", default="24h", help="completion window")
     batch.add_argument("--idempotency-key")
@@ -60,7 +60,7 @@
 
 
 class NodeClient:
-    """A caller of one node."""
+    """HTTP client of one node, with an API key and an optional workload."""
 
     def __init__(self, arguments: argparse.Namespace) -> None:
         url = URL(arguments.node)
@@ -72,23 +72,23 @@
     def call(
         self, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
     ) -> Any:
-        """Send a request and return the response object, checked for errors.
+        """Send a request and return the response, whose status is 200.
 
         Raises:
-            CallError: the node refused or failed.
-            PlatformError: the node did not answer.
+            CallError: The node answered with another status.
+            PlatformError: The node did not answer.
         """
         merged = {**self._headers, **(headers or {})}
         try:
             response = self._client.request(method, path, body=body, headers=merged)
-        except Exception as error:  # sockets, parser and pool raise unrelated types
+        except Exception as error:  # sockets, parser and connection pool have no common base
             raise PlatformError(f"node: {error!r}") from error
         if response.status_code != 200:
             raise _call_error(response.read())
         return response
 
     def call_json(self, method: str, path: str, document: Any, **headers: str) -> Any:
-        """Send JSON and read JSON."""
+        """Send a JSON document, or no body if it is None, and return the JSON response."""
         merged = {"Content-Type": "application/json", **headers}
         body = json.dumps(document).encode("utf-8") if document is not None else b""
         return json.loads(self.call(method, path, body, merged).read())
@@ -105,7 +105,7 @@
 
 
 def run_chat(arguments: argparse.Namespace) -> int:
-    """Send one chat completion and print its tokens as they come."""
+    """Request a streamed chat completion and print its tokens as they arrive."""
     document = {
         "model": arguments.model,
         "messages": [{"role": "user", "content": arguments.text}],
@@ -129,7 +129,10 @@
 
 
 def run_batch(arguments: argparse.Namespace) -> int:
-    """Run a batch to its end and print its output file."""
+    """Submit a batch, wait until it ends, and print its output and error files.
+
+    Returns `ExitCode.FAILED` unless the batch completed.
+    """
     client = NodeClient(arguments)
     file = _upload(client, arguments.file)
     headers = {}
--- a/postvalve/cli/status.py
+++ b/postvalve/cli/status.py
@@ -1,4 +1,4 @@
-"""`postvalve status`: what nodes know of the fleet, and what tenants got at them."""
+"""`postvalve status`: state of the fleet as nodes see it, and service received by tenants."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 NODE_COLUMNS = ("node", "zone", "state", "revision", "engine", "online", "batch", "slots")
 NODE_SUMMARY_COLUMNS = ("node", "zone", "state", "revision", "peers", "engines")
 TIMEOUT = 5.0
-"""Seconds until a node's answer is given up."""
+"""Seconds without data after which a status request fails."""
 MAX_PARALLEL_REQUESTS = 32
-"""Nodes that are asked side by side: silent ones must not add up to minutes."""
+"""Concurrent status requests: if nodes were queried one by one, the time-outs of unreachable
+nodes would add up to minutes."""
 EXAMPLES = """examples:
   postvalve status --node http://127.0.0.1:8080 --output json
   postvalve status --node http://10.0.0.1:9001 --node http://10.0.0.2:9001
@@ -37,10 +38,10 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Add the command."""
+    """Add the `status` command."""
     parser = commands.add_parser(
         "status",
-        help="what nodes know of the fleet, and what tenants got at them",
+        help="show the fleet as nodes see it, and the service that tenants received",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -49,12 +50,12 @@
         action="append",
         required=True,
         help="any node, http://IP:PORT; on the users' platform its metrics address. "
-        "Given several times: what tenants got at all of them together",
+        "If repeated, the tenants' figures are summed over these nodes",
     )
     parser.add_argument(
         "--since-start",
         action="store_true",
-        help=f"what tenants got since the nodes' start, not only in the last {WINDOW:.0f} s",
+        help=f"figures since the start of the nodes instead of the last {WINDOW:.0f} s",
     )
     parser.add_argument(
         "--key",
@@ -66,7 +67,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print one node's view, or what several nodes tell together."""
+    """Print the status of one node, or the combined status of several."""
     if len(arguments.node) > 1:
         return _show_combined(arguments)
     document = fetch_status(arguments.node[0], arguments.key)
@@ -87,11 +88,14 @@
 
 
 def _show_combined(arguments: argparse.Namespace) -> int:
-    """Print what nodes tell together; those that do not answer are named."""
+    """Print the combined status of several nodes, and name those that could not be queried.
+
+    Returns `ExitCode.UNAVAILABLE` if no node answered.
+    """
     outcomes = Pool(MAX_PARALLEL_REQUESTS).map(
         lambda node: _try_fetch_status(node, arguments.key), arguments.node
     )
-    # A node may be named twice, or by several of its addresses.
+    # The same node may be given twice, or by several of its addresses.
     by_node = {one["node_id"]: one for one in outcomes if isinstance(one, dict)}
     documents = list(by_node.values())
     unanswered = [
@@ -100,7 +104,7 @@
         if isinstance(one, PostvalveError)
     ]
     for error in unanswered:
-        print(f"not counted: {error['error']}", file=sys.stderr)
+        print(f"not included: {error['error']}", file=sys.stderr)
     if arguments.output == "json":
         summed = {
             "tenants": [row.fields() for row in sum_tenant_rows(documents)],
@@ -134,11 +138,11 @@
 
 
 def _print_tenants(documents: list[dict[str, Any]], *, since_start: bool) -> None:
-    """Print what tenants got, those served worst first, and who waits now."""
+    """Print a table of tenants, worst served first, and a table of waiting requests."""
     tenants = tenant_table(sum_tenant_rows(documents), since_start=since_start)
     if tenants:
         span = "since the start" if since_start else f"in the last {WINDOW:.0f} s"
-        print(f"\ntenants, {span}, at {len(documents)} of the nodes:")
+        print(f"\ntenants, {span}, at {len(documents)} nodes:")
         print_rows(tenants, TENANT_COLUMNS, "table")
     waiting = waiting_rows(documents)
     if waiting:
@@ -168,11 +172,11 @@
 
 
 def fetch_status(node_url: str, key: str) -> dict[str, Any]:
-    """Read a node's view.
+    """Fetch the status document of a node.
 
     Raises:
-        AuthenticationError: the key is no operator's.
-        PlatformError: the node did not answer, or not as a node does.
+        AuthenticationError: The key is not an operator key.
+        PlatformError: The node did not answer, or its answer is not a status document.
     """
     url = URL(node_url)
     client = HTTPClient(
@@ -182,18 +186,18 @@
         with client.get("/status", headers={"Authorization": f"Bearer {key}"}) as response:
             content = response.read()
             status = response.status_code
-    except Exception as error:  # sockets, parser and pool raise unrelated types
+    except Exception as error:  # sockets, parser and connection pool have no common base
         raise PlatformError(f"node {node_url}: {error!r}") from error
     finally:
         client.close()
     if status == AuthenticationError.http_status:
         raise AuthenticationError(f"node {node_url}: the operator key is not valid")
     if status != 200:
-        raise PlatformError(f"node {node_url} answered {status}")
+        raise PlatformError(f"node {node_url} answered with status {status}")
     try:
         document = json.loads(content)
     except ValueError as error:
-        raise PlatformError(f"node {node_url} answered with no JSON") from error
+        raise PlatformError(f"node {node_url}: the answer is not JSON") from error
     if not isinstance(document, dict) or "node_id" not in document:
-        raise PlatformError(f"node {node_url} answered with no status")
+        raise PlatformError(f"node {node_url}: the answer is not a status document")
     return document
--- a/postvalve/cli/tenants.py
+++ b/postvalve/cli/tenants.py
@@ -1,4 +1,4 @@
-"""What tenants got at several nodes, added up, and who waits: tables of `postvalve status`."""
+"""Tables of `postvalve status`: service received by tenants at all nodes, and waiting requests."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 def sum_tenant_rows(documents: Iterable[dict[str, Any]]) -> list[Row]:
-    """One row a tenant from the status documents of nodes, those served worst lately first.
+    """Sum the figures of each tenant over the status documents; recently worst served first.
 
-    Nodes of a build that tells none add nothing.
+    `OTHERS` comes last. Documents of older builds, which have no figures of tenants, add nothing.
     """
     found: dict[str, list[dict[str, Any]]] = {}
     for document in documents:
@@ -51,7 +51,7 @@
 
 
 def tenant_table(rows: Sequence[Row], *, since_start: bool) -> list[dict[str, Any]]:
-    """Rows by `TENANT_COLUMNS`, of the last seconds or since the nodes' start."""
+    """Return rows with `TENANT_COLUMNS`, of the recent window or since the start of the nodes."""
     chosen = [(row, row.total if since_start else row.recent) for row in rows]
     total_engine_seconds = total_of(counts for _, counts in chosen).engine_seconds
     return [_tenant_row(row, counts, total_engine_seconds) for row, counts in chosen]
@@ -81,7 +81,7 @@
 
 
 def waiting_rows(documents: Iterable[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Who waits at which node, by rank, the longest first."""
+    """Return the waiting requests of all nodes, by rank and then by longest wait."""
     rows = [
         {"node": document["node_id"], **row}
         for document in documents
