--- a/postvalve/experiment/__init__.py
+++ b/postvalve/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: users' scenarios on whole nodes under virtual time."""
+"""Experiments: scenarios run on whole nodes under virtual time."""
--- a/postvalve/experiment/result.py
+++ b/postvalve/experiment/result.py
@@ -1,4 +1,4 @@
-"""Figures of one run, saved as JSON and compared side by side."""
+"""Results of an experiment, saved as JSON and compared side by side."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LatencyFigures(BaseModel):
-    """Milliseconds at p50, p95, p99 and p99.9."""
+    """Latency percentiles in milliseconds."""
 
     p50: float
     p95: float
@@ -15,7 +15,7 @@
 
 
 class RunFigures(BaseModel):
-    """One run, with or without batch."""
+    """Figures of one run, with or without batch load."""
 
     online_requests: int
     online_refused: int
@@ -34,7 +34,7 @@
 
 
 class ExperimentResult(BaseModel):
-    """A scenario with batch, and the same trace of online requests without it."""
+    """Figures of a scenario with batch load, and of the same online requests without it."""
 
     scenario: str
     seed: int
@@ -42,15 +42,16 @@
     with_batch: RunFigures
     without_batch: RunFigures
     harm_first_token_p99: float
-    """First token at p99 with batch, divided by that without."""
+    """p99 time to first token with batch load, divided by that without."""
     harm_first_token_p50: float
+    """p50 time to first token with batch load, divided by that without."""
     token_capacity: float
-    """Tokens that full engines would make in the duration, prefill left out."""
+    """Tokens that fully occupied engines would produce in the duration, without prefill."""
     idle_capacity_used: float
-    """Batch tokens as a share of the capacity that the online tokens leave."""
+    """Batch tokens as a share of the token capacity that online tokens leave unused."""
 
     def rows(self) -> list[dict[str, str | float]]:
-        """The figures as rows."""
+        """Return the figures as table rows, with and without batch load."""
         rows: list[dict[str, str | float]] = []
         for name in RunFigures.model_fields:
             with_batch = getattr(self.with_batch, name)
--- a/postvalve/experiment/run.py
+++ b/postvalve/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario on whole nodes under virtual time, with batch and without."""
+"""Runs a scenario on whole nodes under virtual time, with and without batch load."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 from postvalve.experiment.scenario import BatchLoad, OnlineLoad, Scenario
 
 BURST_SECONDS = 0.2
+"""Duration of a burst of online requests."""
 OUTAGE_SECONDS = 15.0
-"""How long a killed engine or a cut zone is away."""
+"""Duration for which an engine stays killed, or a zone partitioned."""
 DRAIN_SECONDS = 5.0
-"""Seconds after the load in which answers still come; batch that is left is not waited for."""
+"""Time after the end of the load for outstanding responses; unfinished batch jobs are not
+waited for."""
 MODEL = "m"
 DONE = b"data: [DONE]\n\n"
 
@@ -49,7 +51,7 @@
 
 
 def run_experiment(scenario: Scenario, seed: int) -> ExperimentResult:
-    """Run both, on the same trace of online requests."""
+    """Run a scenario with and without batch load, with the same online requests in both runs."""
     with_batch = run_virtual(lambda loop: _Run(loop, scenario, seed, batch=True).run())
     without = run_virtual(lambda loop: _Run(loop, scenario, seed, batch=False).run())
     parameters = EngineParameters(slots=scenario.slots)
@@ -70,13 +72,13 @@
 
 
 class _Run:
-    """One run of one trace."""
+    """One run of a scenario, with or without batch load."""
 
     def __init__(self, loop: VirtualLoop, scenario: Scenario, seed: int, *, batch: bool) -> None:
         self._loop = loop
         self._scenario = scenario
         self._batch = batch
-        # The online trace has a generator of its own, so that it is the same in both runs.
+        # Online requests have their own random generator, so that they are the same in both runs.
         self._online_random = random.Random(seed)
         self._batch_random = random.Random(seed + 1)
         self._counters = _Counters()
@@ -93,7 +95,7 @@
         self._end = 0.0
 
     def run(self) -> RunFigures:
-        """Run the load and count."""
+        """Run the load and the faults of the scenario, and return the figures."""
         self._fleet.start()
         started = self._loop.now()
         bytes_before = self._datagram_bytes()
@@ -126,7 +128,7 @@
             gevent.spawn(self._send_request, load, f"steady-{number}", number)
 
     def _send_bursts(self, load: OnlineLoad) -> None:
-        # A generator of its own, since the steady stream draws in between.
+        # Has its own generator because the steady load draws from the shared one concurrently.
         generator = random.Random(self._online_random.getrandbits(32))
         burst = 0
         while load.burst_size and self._loop.now() < self._end:
@@ -201,7 +203,7 @@
             deadline = self._loop.now() + load.deadline
             self._counters.jobs.append(_Job(batch.document["id"], name, load.items, deadline))
 
-    # Disturbances
+    # Faults
 
     def _inject_faults(self) -> None:
         disturbance = self._scenario.disturbance
--- a/postvalve/experiment/scenario.py
+++ b/postvalve/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""What an experiment runs, read from a TOML file."""
+"""Scenarios of experiments, read from TOML files."""
 
 from __future__ import annotations
 
@@ -14,44 +14,50 @@
 
 
 class OnlineLoad(StrictModel):
-    """Online requests: a steady stream, and bursts on top of it."""
+    """Online load: steady requests, and bursts in addition."""
 
-    rate: float = Field(gt=0, description="requests a second, Poisson")
+    rate: float = Field(gt=0, description="requests per second, Poisson")
     burst_interval: float = Field(gt=0, description="mean seconds between bursts")
-    burst_size: int = Field(ge=0, description="requests of one burst, within 0.2 s")
-    tokens: int = Field(gt=0, description="tokens of an answer")
+    burst_size: int = Field(ge=0, description="requests per burst, within 0.2 s")
+    tokens: int = Field(gt=0, description="tokens per response")
     prompt_characters: int = Field(gt=0)
 
 
 class BatchLoad(StrictModel):
-    """Batch jobs of one workload, which come in heaps."""
+    """Batch load of one workload: groups of jobs submitted at the same time."""
 
     workload: Name
-    heap_interval: float = Field(gt=0, description="mean seconds between heaps")
-    jobs: int = Field(gt=0, description="jobs of one heap")
-    items: int = Field(gt=0, description="items of one job")
-    tokens: int = Field(gt=0, description="tokens of an answer")
+    heap_interval: float = Field(gt=0, description="mean seconds between groups")
+    jobs: int = Field(gt=0, description="jobs per group")
+    items: int = Field(gt=0, description="items per job")
+    tokens: int = Field(gt=0, description="tokens per response")
     deadline: int = Field(gt=0, description="seconds from acceptance")
 
 
 class Disturbance(StrictModel):
-    """Something that fails during the run."""
+    """Fault injected during the run."""
 
-    kill_engine_at: float | None = Field(None, description="seconds; it comes back after 15 s")
-    cut_zone_at: float | None = Field(None, description="seconds; it is healed after 15 s")
+    kill_engine_at: float | None = Field(
+        None, description="seconds from the start; the engine is restarted after 15 s"
+    )
+    cut_zone_at: float | None = Field(
+        None, description="seconds from the start; the partition ends after 15 s"
+    )
 
 
 class Scenario(StrictModel):
-    """One experiment."""
+    """Scenario of an experiment: the fleet, its load, and the faults."""
 
     name: Name
     zones: int = Field(gt=0)
     nodes_per_zone: int = Field(gt=0)
     engines: int = Field(gt=0)
-    slots: int = Field(16, gt=0, description="sequences that an engine runs at once")
-    headroom: int = Field(2, ge=0, description="slots of an engine kept free of batch")
+    slots: int = Field(16, gt=0, description="sequences that an engine runs concurrently")
+    headroom: int = Field(2, ge=0, description="slots per engine that batch items do not use")
     batch_beside_online: int | None = Field(
-        None, ge=0, description="batch items beside online work on one engine; None: no bound"
+        None,
+        ge=0,
+        description="batch items on an engine that runs online requests; None: unlimited",
     )
     duration: float = Field(gt=0, description="seconds of load, virtual")
     online: OnlineLoad
@@ -60,17 +66,17 @@
 
 
 def scenario_names() -> list[str]:
-    """Names of the scenarios that come with postvalve."""
+    """Return the names of the scenarios that come with postvalve."""
     folder = resources.files("postvalve.experiment") / "scenarios"
     return sorted(entry.name.removesuffix(".toml") for entry in folder.iterdir())
 
 
 def load_scenario(name: str) -> Scenario:
-    """Read a scenario by its name, or from a file.
+    """Read a scenario by name, or from a TOML file.
 
     Raises:
-        NotFoundError: there is neither.
-        InvalidSettingsGroup: with every mistake and its place.
+        NotFoundError: There is no such scenario, and no such file.
+        InvalidSettingsGroup: The file is invalid; has one error per mistake, with its location.
     """
     text = _read(name)
     try:
@@ -89,4 +95,4 @@
         return Path(name).read_text(encoding="utf-8")
     except OSError:
         known = ", ".join(scenario_names())
-        raise NotFoundError(f"there is no scenario {name!r}; there are {known}") from None
+        raise NotFoundError(f"there is no scenario {name!r}; known scenarios: {known}") from None
--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,4 +1,4 @@
-"""Starts what the measurements need and runs them."""
+"""Starts the processes that the benchmarks need, and runs all benchmarks."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from scripts.fleet import SHAPES, Fleet, free_address, is_listening, postvalve, wait_until
 
 ENGINE_FLAGS = ("--slots", "128", "--step-per-sequence", "0")
-"""An engine of 100 steps a second, whatever runs: a steady source of chunks."""
+"""Flags for an engine that makes 100 steps per second at any load, for a constant chunk rate."""
 
 
 def bench_relay(fleet: Fleet) -> int:
-    """Measure a node's relay beside a bare one."""
+    """Compare a node with a plain socket relay; returns the exit code."""
     engine = fleet.engines["engine-0"]
     relay = free_address()
     fleet.spawn("relay", "emulate", "relay", "--listen", relay, "--target", engine)
@@ -30,7 +30,7 @@
 
 
 def bench_slopes(fleet: Fleet) -> int:
-    """Measure the slopes, those of a running node included."""
+    """Measure the cost slopes, including those of a running node; returns the exit code."""
     tenant = fleet.shape.tenants[0]
     command = postvalve(
         *("bench", "slopes", "--node", fleet.gateways[0], "--key", fleet.api_keys[tenant]),
@@ -41,12 +41,12 @@
 
 
 def bench_readers() -> int:
-    """Measure what clients that read slowly cost the others."""
+    """Measure how much slow clients delay the others; returns the exit code."""
     return subprocess.run([sys.executable, "-m", "tests.bench_readers"]).returncode
 
 
 def main() -> int:
-    """Run all measurements."""
+    """Run all benchmarks."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     fleet = Fleet(SHAPES["bench"], engine_flags=ENGINE_FLAGS)
     try:
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""Shows the whole path: an online request and a batch through the command line."""
+"""Demo on a small fleet: an online request and a batch, both through the command line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run(*arguments: str) -> str:
-    """Run one command and print what it prints."""
+    """Run a `postvalve` command, print its output and return it."""
     print(f"$ postvalve {' '.join(arguments)}")
     output = subprocess.run(
         postvalve(*arguments), check=True, capture_output=True, text=True, timeout=30
@@ -45,10 +45,10 @@
 
 
 def check_answers(chat: str, batch: str) -> None:
-    """Check that each answer belongs to its request.
+    """Check that each response belongs to its request.
 
     Raises:
-        AssertionError: one does not.
+        AssertionError: A response is missing or belongs to another request.
     """
     assert chat.startswith(hashlib.sha256(QUESTION.encode()).hexdigest()[:16]), chat
     answers = {line["custom_id"]: line for line in map(json.loads, batch.splitlines())}
@@ -75,7 +75,7 @@
         run("jobs", "list", "--log-url", fleet.log_url)
         run("status", "--node", fleet.gateways[1], "--key", fleet.operator_key)
         check_answers(chat, batch)
-        print("every answer belongs to its request")
+        print("every response belongs to its request")
     except KeyboardInterrupt:
         return 130
     finally:
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Starts a whole fleet on loopback: emulated platform, engines and nodes.
+"""Starts a fleet on loopback: emulated platform, emulated engines, and nodes.
 
-Run as a program it stays in the foreground until interrupted; tests and the demo use the
-class. Every process is ended by its id, also when the start fails half-way.
+As a program, it runs in the foreground until interrupted; tests and the demo use the class.
+All processes are terminated by process id, also if the start fails halfway.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 START_TIMEOUT = 30.0
-"""Seconds until a fleet that is not ready counts as failed."""
+"""Seconds within which a fleet must become ready."""
 STOP_TIMEOUT = 5.0
-"""Seconds that a process has to end before it is killed."""
+"""Seconds that processes have to exit before they are killed."""
 DEMO_KEY_PREFIX = "sk-demo-"
 
 
 @dataclass(frozen=True)
 class Shape:
-    """Size of a fleet."""
+    """Size of a fleet, its example configuration, its model and tenants."""
 
     configuration: str
     model: str
@@ -58,7 +58,7 @@
 
 @dataclass
 class NodeAddress:
-    """Where a node listens."""
+    """A node's id, zone and listen addresses."""
 
     node_id: str
     zone: str
@@ -68,7 +68,7 @@
 
 @dataclass
 class Fleet:
-    """Processes of one fleet."""
+    """A running fleet and its processes."""
 
     shape: Shape
     log_directory: Path | None = None
@@ -91,16 +91,16 @@
 
     @property
     def api_keys(self) -> dict[str, str]:
-        """Demo keys of the tenants."""
+        """API keys of the tenants in the example configurations."""
         return {tenant: DEMO_KEY_PREFIX + tenant for tenant in self.shape.tenants}
 
     @property
     def operator_key(self) -> str:
-        """Demo key of the operator."""
+        """API key of the operator in the example configurations."""
         return DEMO_KEY_PREFIX + "operator"
 
     def start(self) -> None:
-        """Start everything; returns when all nodes know all engines."""
+        """Start all processes, and wait until all nodes know all engines."""
         try:
             self._start_platform()
             self._start_engines()
@@ -132,7 +132,7 @@
         wait_until(lambda: all(map(is_listening, self.engines.values())), "engines")
 
     def start_engine(self, name: str) -> None:
-        """Start one engine, at its former address if it had one."""
+        """Start or restart an engine, at the same address each time."""
         address = self.engines.setdefault(name, free_address())
         self.spawn(
             name,
@@ -166,11 +166,11 @@
         self.put_machines(machines)
 
     def put_machines(self, machines: list[dict[str, Any]]) -> None:
-        """Add or change machines of the platform's list."""
+        """Add or change machines on the platform's machine list."""
         call(f"{self.machines_url}/machines", "PUT", machines)
 
     def start_node(self, node: NodeAddress) -> None:
-        """Start one node, at its address."""
+        """Start or restart a node at its address."""
         flags = [
             *("--node-id", node.node_id, "--zone", node.zone, "--listen", node.http),
             *("--peer-listen", node.peer, "--log-url", self.log_url),
@@ -183,7 +183,7 @@
         self.spawn(node.node_id, "node", *flags)
 
     def spawn(self, name: str, *arguments: str) -> None:
-        """Start one process."""
+        """Start a `postvalve` process, with its output in the log directory if there is one."""
         output: Any = subprocess.DEVNULL
         if self.log_directory is not None:
             output = (self.log_directory / f"{name}.log").open("ab")
@@ -207,7 +207,7 @@
         return len(alive) >= nodes and len(engines) >= self.shape.engines
 
     def status(self, node: NodeAddress) -> dict[str, Any] | None:
-        """A node's view; None when it does not answer."""
+        """Return the status document of a node, or None if it does not answer."""
         request = urllib.request.Request(
             f"http://{node.http}/status",
             headers={"Authorization": f"Bearer {self.operator_key}"},
@@ -220,15 +220,15 @@
             return None
 
     def is_running(self, name: str) -> bool:
-        """Whether a process runs."""
+        """Return whether a process is running."""
         return self.processes[name].poll() is None
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to one process."""
+        """Send a signal to a process."""
         self.processes[name].send_signal(number)
 
     def stop(self) -> None:
-        """End all processes, nodes first."""
+        """Terminate all processes, nodes first, and kill those that do not exit in time."""
         order = sorted(self.processes, key=lambda name: not name.startswith("node"))
         for name in order:
             if self.is_running(name):
@@ -244,7 +244,7 @@
         self.settings_directory.cleanup()
 
     def description(self) -> dict[str, Any]:
-        """What callers of the fleet need."""
+        """Return what clients need: URLs, keys, the model, and process ids."""
         return {
             "gateways": self.gateways,
             "api_keys": self.api_keys,
@@ -256,17 +256,17 @@
 
 
 def postvalve(*arguments: str) -> list[str]:
-    """The command line of one process."""
+    """Return the command line of a `postvalve` process."""
     return [sys.executable, "-m", "postvalve.cli.main", *arguments]
 
 
 def free_address() -> str:
-    """A free address on loopback that no other fleet takes."""
+    """Return a free loopback address that no other fleet or test uses."""
     return f"{HOST}:{free_port()}"
 
 
 def is_listening(address: str) -> bool:
-    """Whether somebody listens at an address."""
+    """Return whether an address accepts connections."""
     host, _, port = address.rpartition(":")
     try:
         socket.create_connection((host, int(port)), timeout=1).close()
@@ -278,20 +278,20 @@
 def wait_until(
     condition: Callable[[], bool], condition_name: str, timeout: float = START_TIMEOUT
 ) -> None:
-    """Wait until something holds.
+    """Wait until a condition is true.
 
     Raises:
-        TimeoutError: it did not in time.
+        TimeoutError: It is still false after `timeout` seconds.
     """
     deadline = time.monotonic() + timeout
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(f"not in {timeout:.0f} s: {condition_name}")
+            raise TimeoutError(f"{condition_name}: not ready within {timeout:.0f} s")
         time.sleep(0.05)
 
 
 def call(url: str, method: str, document: Any) -> Any:
-    """Send JSON and read JSON."""
+    """Send a JSON document and return the JSON response."""
     request = urllib.request.Request(
         url,
         data=json.dumps(document).encode("utf-8"),
@@ -306,7 +306,7 @@
     """Run a fleet in the foreground."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--shape", choices=sorted(SHAPES), default="apcf")
-    parser.add_argument("--logs", type=Path, help="directory for the processes' output")
+    parser.add_argument("--logs", type=Path, help="directory for the output of the processes")
     arguments = parser.parse_args()
     if arguments.logs:
         arguments.logs.mkdir(parents=True, exist_ok=True)
--- a/scripts/ports.py
+++ b/scripts/ports.py
@@ -1,8 +1,8 @@
-"""Ports of fleets and tests: none that another process of theirs may take, nor the system.
+"""Allocates ports for fleets and tests that run at the same time.
 
-A port that is free when it is drawn, and bound a second later, may be drawn by somebody else
-meanwhile. So each process has a block of ports to itself, as long as it lives: it keeps the first
-port of the block bound, and whoever finds that one taken looks at the next block.
+A port that is free when it is chosen may be taken by another process before it is bound. So each
+process reserves a block of ports until it exits: it keeps the first port of the block bound, and
+a process that finds this port in use tries the next block.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from dataclasses import dataclass
 
 FIRST_PORT, LAST_PORT = 10_000, 32_000
-"""Below those among which Linux chooses (32,768 and up)."""
+"""Below Linux's range of ephemeral ports (32,768 and up)."""
 BLOCK_SIZE = 500
-"""Ports of a block, its first one among them."""
+"""Ports per block, including the first one."""
 HOST = "127.0.0.1"
 
 
 class NoPortsError(Exception):
-    """Every block of ports is taken."""
+    """All blocks of ports, or all ports of a block, are in use."""
 
 
 def is_free(port: int) -> bool:
-    """Whether nobody listens at a port, and none of its connections lingers."""
+    """Return whether a port can be bound: nothing listens, and no connection is in TIME_WAIT."""
     with contextlib.closing(socket.socket()) as probe, contextlib.suppress(OSError):
         probe.bind((HOST, port))
         return True
@@ -33,37 +33,37 @@
 
 @dataclass(slots=True)
 class PortBlock:
-    """Ports that no other process draws; its own until it is closed."""
+    """A block of ports reserved by this process until it is closed."""
 
     lock_socket: socket.socket
-    """Bound to the block's first port."""
+    """Socket bound to the first port of the block, which reserves it."""
     first: int
     owner: int = 0
-    """Id of the process that took it; one that was forked has none of it."""
+    """Process id that reserved the block; a forked child must reserve its own."""
     last_offset: int = 0
 
     def allocate(self) -> int:
-        """A port that was not drawn before, as long as there are such.
+        """Return the next free port, wrapping around at the end of the block.
 
         Raises:
-            NoPortsError: none is free.
+            NoPortsError: No port of the block is free.
         """
         for _ in range(BLOCK_SIZE):
             self.last_offset = self.last_offset % (BLOCK_SIZE - 1) + 1
             if is_free(self.first + self.last_offset):
                 return self.first + self.last_offset
-        raise NoPortsError(f"no port from {self.first} on is free")
+        raise NoPortsError(f"no free port from {self.first} to {self.first + BLOCK_SIZE - 1}")
 
     def close(self) -> None:
-        """Give the block back."""
+        """Release the block."""
         self.lock_socket.close()
 
 
 def reserve_block() -> PortBlock:
-    """Take a block that no other process has.
+    """Reserve a block that no other process has reserved.
 
     Raises:
-        NoPortsError: there is none left.
+        NoPortsError: All blocks are reserved.
     """
     for first in range(FIRST_PORT, LAST_PORT, BLOCK_SIZE):
         lock_socket = socket.socket()
@@ -73,17 +73,17 @@
             lock_socket.close()
             continue
         return PortBlock(lock_socket, first, os.getpid())
-    raise NoPortsError(f"all blocks of ports from {FIRST_PORT} to {LAST_PORT} are taken")
+    raise NoPortsError(f"all blocks of ports from {FIRST_PORT} to {LAST_PORT} are reserved")
 
 
 _block: PortBlock | None = None
 
 
 def free_port() -> int:
-    """A port of this process's own block that nobody listens at.
+    """Return a free port of this process's block, which is reserved at the first call.
 
     Raises:
-        NoPortsError: there is none.
+        NoPortsError: No block, or no port of the block, is free.
     """
     global _block
     if _block is None or _block.owner != os.getpid():
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,7 +1,7 @@
-"""Runs all tests, some modules at once. Failures that KNOWN-RED.txt names are passed over.
+"""Runs all test modules, several in parallel; failures listed in KNOWN-RED.txt are tolerated.
 
-Each line of KNOWN-RED.txt is `test id, cause, issue`; three at most. Listed tests run, are
-printed, and never decide the run: one that fails now and then can be listed too.
+Each line of KNOWN-RED.txt is `test id, cause, issue`; at most three. Listed tests are run
+and reported but never affect the exit code, so flaky tests can be listed too.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ModuleResult:
-    """Outcome of one test module."""
+    """Result of running one test module."""
 
     name: str
     ran: int
@@ -32,7 +32,7 @@
 
 
 def run_module(name: str) -> ModuleResult:
-    """Run the tests of one module."""
+    """Run the tests of a module and collect its failures, errors and unexpected successes."""
     output = io.StringIO()
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     result = unittest.TextTestRunner(stream=output, verbosity=1).run(suite)
@@ -44,7 +44,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Test id to its line."""
+    """Return the lines of KNOWN-RED.txt by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED.read_text(encoding="utf-8").splitlines()]
@@ -52,7 +52,7 @@
 
 
 def exit_code(failed: frozenset[str], known: Iterable[str], ran: int) -> int:
-    """The exit code: 0 when tests ran and all that failed are listed.
+    """Return the exit code: 0 if tests ran and all failed ones are listed.
 
     Args:
         red: Ids of the tests that failed.
@@ -63,10 +63,10 @@
 
 
 def main() -> int:
-    """Run; returns 0 when everything passed but for the known failures."""
+    """Run all tests and return 0 if there are no failures other than the listed ones."""
     known = known_red()
     if len(known) > MAX_KNOWN_RED:
-        print(f"KNOWN-RED.txt has {len(known)} lines; {MAX_KNOWN_RED} at most")
+        print(f"KNOWN-RED.txt has {len(known)} lines; the maximum is {MAX_KNOWN_RED}")
         return 1
     names = [f"tests.{path.stem}" for path in sorted((ROOT / "tests").glob("test_*.py"))]
     results = []
@@ -80,7 +80,7 @@
     for test_id in sorted(failed & known.keys()):
         print(f"known red: {known[test_id]}")
     for test_id in sorted(known.keys() - failed):
-        print(f"listed in KNOWN-RED.txt, but it passes: {test_id}")
+        print(f"listed in KNOWN-RED.txt, but passed: {test_id}")
     ran = sum(result.ran for result in results)
     skipped = sum(result.skipped for result in results)
     print(f"{ran - len(failed) - skipped} passed, {len(failed)} failed, {skipped} skipped")
