--- a/postvalve/bench/relay.py
+++ b/postvalve/bench/relay.py
@@ -58,7 +58,7 @@
     Chunks and failures are summed.
     """
     reports = [_measure_round(targets, load, number) for number in range(rounds)]
-    fields = {name: [getattr(one, name) for one in reports] for name in asdict(reports[0])}
+    fields = {name: [getattr(report, name) for report in reports] for name in asdict(reports[0])}
     medians = {name: median(values) for name, values in fields.items()}
     medians["chunks"] = sum(fields["chunks"])
     medians["failures"] = sum(fields["failures"])
--- a/postvalve/cli/config.py
+++ b/postvalve/cli/config.py
@@ -178,11 +178,11 @@
     )
     rows = [
         {
-            "kind": one.kind,
-            "in_force": one.winner or "-",
-            "also_covering": ", ".join(one.matching[1:]) or "-",
+            "kind": explanation.kind,
+            "in_force": explanation.winner or "-",
+            "also_covering": ", ".join(explanation.matching[1:]) or "-",
         }
-        for one in explanations
+        for explanation in explanations
     ]
     print_rows(rows, ("kind", "in_force", "also_covering"), arguments.output)
     return ExitCode.OK
--- a/postvalve/cli/drain.py
+++ b/postvalve/cli/drain.py
@@ -58,7 +58,7 @@
     )
 
     def add(configuration: FleetConfiguration) -> list[DrainSpec]:
-        if any(one.name == drain.name for one in configuration.drains):
+        if any(existing.name == drain.name for existing in configuration.drains):
             raise ConflictError(f"there is a drain {drain.name!r} already")
         return [*configuration.drains, drain]
 
@@ -73,7 +73,9 @@
     """
 
     def remove(configuration: FleetConfiguration) -> list[DrainSpec]:
-        remaining = [one for one in configuration.drains if one.name != arguments.name]
+        remaining = [
+            existing for existing in configuration.drains if existing.name != arguments.name
+        ]
         if len(remaining) == len(configuration.drains):
             raise NotFoundError(f"there is no drain {arguments.name!r}")
         return remaining
--- a/postvalve/cli/status.py
+++ b/postvalve/cli/status.py
@@ -96,12 +96,12 @@
         lambda node: _try_fetch_status(node, arguments.key), arguments.node
     )
     # The same node may be given twice, or by several of its addresses.
-    by_node = {one["node_id"]: one for one in outcomes if isinstance(one, dict)}
+    by_node = {document["node_id"]: document for document in outcomes if isinstance(document, dict)}
     documents = list(by_node.values())
     unanswered = [
-        {"node": node, "error": one.message}
-        for node, one in zip(arguments.node, outcomes, strict=True)
-        if isinstance(one, PostvalveError)
+        {"node": node, "error": outcome.message}
+        for node, outcome in zip(arguments.node, outcomes, strict=True)
+        if isinstance(outcome, PostvalveError)
     ]
     for error in unanswered:
         print(f"not included: {error['error']}", file=sys.stderr)
@@ -114,7 +114,9 @@
         }
         print(json.dumps(summed, indent=2))
     else:
-        print_rows([_node_summary_row(one) for one in documents], NODE_SUMMARY_COLUMNS, "table")
+        print_rows(
+            [_node_summary_row(document) for document in documents], NODE_SUMMARY_COLUMNS, "table"
+        )
         _print_tenants(documents, since_start=arguments.since_start)
     return ExitCode.OK if documents else ExitCode.UNAVAILABLE
 
@@ -151,7 +153,7 @@
 
 
 def _is_table(value: Any) -> bool:
-    return isinstance(value, list) and any(isinstance(one, dict) for one in value)
+    return isinstance(value, list) and any(isinstance(row, dict) for row in value)
 
 
 def _node_rows(document: dict[str, Any]) -> list[dict[str, Any]]:
--- a/postvalve/cli/tenants.py
+++ b/postvalve/cli/tenants.py
@@ -39,11 +39,11 @@
     rows = [
         Row(
             tenant,
-            total_of(Counts.from_fields(one["total"]) for one in parts),
-            total_of(Counts.from_fields(one["lately"]) for one in parts),
-            sum(one.get("running", 0) for one in parts),
+            total_of(Counts.from_fields(node_row["total"]) for node_row in node_rows),
+            total_of(Counts.from_fields(node_row["lately"]) for node_row in node_rows),
+            sum(node_row.get("running", 0) for node_row in node_rows),
         )
-        for tenant, parts in found.items()
+        for tenant, node_rows in found.items()
     ]
     return sorted(
         rows, key=lambda row: (row.tenant == OTHERS, row.recent.in_time_score, row.tenant)
--- a/postvalve/emulator/engine_model.py
+++ b/postvalve/emulator/engine_model.py
@@ -233,7 +233,7 @@
         Args:
             pace: Factor by which the step takes longer than usual.
         """
-        self._running = sorted(self._sequences.values(), key=lambda one: one.sort_key)
+        self._running = sorted(self._sequences.values(), key=lambda sequence: sequence.sort_key)
         del self._running[self.parameters.slots :]
         result = StepResult()
         if not self._running:
@@ -248,7 +248,9 @@
 
     def _step_duration(self) -> float:
         parameters = self.parameters
-        uncached = sum(self._prefill(one) for one in self._running if not one.prefilled)
+        uncached = sum(
+            self._prefill(sequence) for sequence in self._running if not sequence.prefilled
+        )
         return (
             parameters.step_base
             + parameters.step_per_sequence * len(self._running)
--- a/postvalve/emulator/keyed_topics.py
+++ b/postvalve/emulator/keyed_topics.py
@@ -31,7 +31,9 @@
 
     def newest(self) -> list[KeyedRecord]:
         by_key = {record.key: record for record in self.log}
-        return sorted((one for one in by_key.values() if one.value), key=lambda one: one.key)
+        return sorted(
+            (record for record in by_key.values() if record.value), key=lambda record: record.key
+        )
 
 
 class MemoryTopics:
@@ -122,7 +124,7 @@
 
     def all_records(self) -> list[tuple[str, list[KeyedRecord]]]:
         """Return all records by partition, with their topic, including superseded ones."""
-        return [(topic, one.log) for (topic, _), one in self._partitions.items()]
+        return [(topic, partition.log) for (topic, _), partition in self._partitions.items()]
 
     def drop_history(self) -> None:
         """Drop all records except the newest of each key; older offsets can't be read any more."""
--- a/postvalve/emulator/virtual_engine.py
+++ b/postvalve/emulator/virtual_engine.py
@@ -91,8 +91,7 @@
         self.attempts: list[AttemptRecord] = []
         self.alive = True
         self.cut_prompt = ""
-        """Last message of the requests whose streams are always cut after one token; "" for none.
-        """
+        """Last message of the requests whose streams are cut after one token; empty for none."""
         self.orders: list[str] = []
         self.fencing_token = 0
         self._load_lag = load_lag
--- a/postvalve/emulator/virtual_fleet.py
+++ b/postvalve/emulator/virtual_fleet.py
@@ -304,7 +304,9 @@
 
     def mark_leaving(self, machine_id: str) -> None:
         """Mark a machine as leaving on the platform's machine list."""
-        machines = {one.machine_id: one for one in self.machines.model.visible(self.loop.now())}
+        machines = {
+            listed.machine_id: listed for listed in self.machines.model.visible(self.loop.now())
+        }
         machine = machines[machine_id].model_copy(update={"state": MachineState.LEAVING})
         self.machines.model.put(machine, self.loop.now())
 
--- a/postvalve/emulator/virtual_network.py
+++ b/postvalve/emulator/virtual_network.py
@@ -83,7 +83,9 @@
         names_first = {first.owner, first.zone}
         names_second = {second.owner, second.zone}
         return not any(
-            frozenset((one, other)) in self._cuts for one in names_first for other in names_second
+            frozenset((name, other_name)) in self._cuts
+            for name in names_first
+            for other_name in names_second
         )
 
     def delay(self, first: Location, second: Location) -> float:
@@ -99,7 +101,7 @@
         endpoint = self._endpoints.pop(address, None)
         if endpoint is None:
             return
-        for call in [one for one in self._pending if one.callee == endpoint.location]:
+        for call in [call for call in self._pending if call.callee == endpoint.location]:
             error = PeerUnavailableError("the connection was reset", Verdict.MAY_HAVE_RUN)
             self.loop.call_for(call.caller.owner, 0.0, call.result.set_exception, error)
 
--- a/postvalve/experiment/run.py
+++ b/postvalve/experiment/run.py
@@ -116,7 +116,7 @@
         return self._figures(control / len(self._fleet.nodes), batch_tokens)
 
     def _datagram_bytes(self) -> int:
-        return sum(one.datagram_bytes for one in self._fleet.network.traffic.values())
+        return sum(traffic.datagram_bytes for traffic in self._fleet.network.traffic.values())
 
     # Online
 
@@ -257,7 +257,7 @@
             batch_tokens=batch_tokens,
             online_tokens=counters.tokens,
             jobs_late=late,
-            preemptions=sum(one.event is Event.ITEM_PREEMPTED for one in self._fleet.events),
+            preemptions=sum(logged.event is Event.ITEM_PREEMPTED for logged in self._fleet.events),
             control_bytes_per_node_second=control_bytes,
         )
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -202,8 +202,8 @@
         status = self.status(node)
         if status is None:
             return False
-        alive = [one for one in status["nodes"] if one["state"] == "alive"]
-        engines = {engine["engine_id"] for one in alive for engine in one["engines"]}
+        alive = [entry for entry in status["nodes"] if entry["state"] == "alive"]
+        engines = {engine["engine_id"] for entry in alive for engine in entry["engines"]}
         return len(alive) >= nodes and len(engines) >= self.shape.engines
 
     def status(self, node: NodeAddress) -> dict[str, Any] | None:
@@ -249,7 +249,7 @@
             "gateways": self.gateways,
             "api_keys": self.api_keys,
             "model": self.shape.model,
-            "processes": {name: one.pid for name, one in self.processes.items()},
+            "processes": {name: process.pid for name, process in self.processes.items()},
             "log_url": self.log_url,
             "operator_key": self.operator_key,
         }
--- a/tests/bench_readers.py
+++ b/tests/bench_readers.py
@@ -1,7 +1,8 @@
-"""Measures what clients that read slowly cost the others at one node.
+"""Measures how much slow clients delay the other clients of a node.
 
-A store, an engine and a node run as processes, as in the soak. Most clients read at once; some, in
-every other round, read at a hundredth of the speed at which their answers come.
+A store, an engine and a node run as processes, as in the soak test. Fast clients read their
+responses as they arrive; in every other round there are also slow clients, which read at a
+hundredth of the speed at which their responses are produced.
 """
 
 import argparse
@@ -28,59 +29,59 @@
 from tests.stand_in_engine import Behaviour, StandInEngine
 
 FAST_STREAMS, SLOW_STREAMS = 56, 8
-"""Streams of a round."""
+"""Concurrent streams in a round."""
 REQUESTS_PER_STREAM = 3
-"""Of each quick stream, one after the other."""
+"""Requests that each fast stream sends one after the other."""
 EVENTS, EVENT_BYTES, EVENT_PAUSE = 100, 4_000, 0.02
-"""Of an answer: events, bytes and seconds of each."""
+"""Events of a response, bytes of each, and seconds between them."""
 START_INTERVAL = 0.003
-"""Seconds between the starts of quick streams: the first events of all at once would wait for each
-other, whoever is slow."""
+"""Seconds between the starts of fast streams. If all started together, their first events would
+delay each other even without slow clients."""
 SLOW_RATIO = 1 / 100
 ROUNDS = 3
-"""Of each kind, in turn."""
+"""Rounds without slow clients and rounds with them, alternating."""
 RECEIVE_BUFFER_BYTES, MAX_SEGMENT_BYTES = 4_096, 1_400
-"""Bytes that a slow client's socket holds, and of its segments: loopback's own take a whole answer
-at once, which networks don't."""
+"""Receive buffer and maximum segment size of a slow client, in bytes. With the defaults of the
+loopback interface a socket buffers a complete response at once, unlike on a real network."""
 MAX_SLOWDOWN = 1.1
-"""Times that the quick clients may take of what they take alone."""
+"""Target: fast clients' latencies beside slow clients, relative to those without them."""
 
 
 @dataclass(slots=True)
 class RoundResult:
-    """What the quick clients of one round saw; seconds."""
+    """Latencies of the fast clients in one round, in seconds, and state of the node at its end."""
 
     first: list[float] = field(default_factory=list)
     gaps: list[float] = field(default_factory=list)
     failures: int = 0
     held_bytes: int = 0
-    """Bytes held for slow clients at its end."""
+    """Bytes that the node buffered for slow clients at the end of the round."""
     occupied_slots: int = 0
-    """Places at the engine that the node still counted when the quick clients had ended."""
+    """Engine slots that the node still counted as occupied when the fast clients had finished."""
 
 
 class SteadyEngine(Engine):
-    """An engine that is as fast for many streams as for one."""
+    """Engine whose speed does not depend on the number of streams."""
 
     module = "tests.bench_readers"
     slots = 2 * (FAST_STREAMS + SLOW_STREAMS)
 
     def __init__(self, folder):
         super().__init__(0, folder)
-        # Straight to it: bytes that this process carries would slow its clients.
+        # The node connects directly to the engine: a proxy in this process would slow its clients.
         self.link.stop()
         self.link = SimpleNamespace(port=self.port, stop=lambda: None)
 
 
 def run_engine(engine_id, port):
-    """Serve until the process is ended."""
+    """Run a stand-in engine until the process is terminated."""
     engine = StandInEngine(engine_id, port)
     engine.usual = Behaviour(events=EVENTS, padding=EVENT_BYTES, pause=EVENT_PAUSE)
     gevent.wait()
 
 
 def open_stream(port, request_id, buffer=0):
-    """Send a request; returns the connection."""
+    """Send a request, and return the connection on which its response arrives."""
     connection = socket.socket()
     if buffer:
         connection.setsockopt(sockets.SOL_SOCKET, sockets.SO_RCVBUF, buffer)
@@ -92,7 +93,7 @@
 
 
 def read_at_once(port, request_id, result):
-    """Read one answer as it comes."""
+    """Read one response as it arrives, and record its latencies."""
     events, previous = 0, time.monotonic()
     with contextlib.closing(open_stream(port, request_id)) as connection:
         connection.settimeout(30.0)
@@ -108,17 +109,17 @@
 
 
 def read_slowly(port, request_id):
-    """Read at a part of the speed, until the round ends."""
+    """Read one response at `SLOW_RATIO` of its speed; killed at the end of the round."""
     with contextlib.closing(open_stream(port, request_id, RECEIVE_BUFFER_BYTES)) as connection:
         while connection.recv(int(EVENT_BYTES * SLOW_RATIO)):
             gevent.sleep(EVENT_PAUSE)
 
 
 class SteadyFleet(Fleet):
-    """A store, one node, and the steady engine."""
+    """A store, a node and a `SteadyEngine`."""
 
     def start(self):
-        """Start them; returns when the node takes clients."""
+        """Start the processes, and wait until the node is ready."""
         self.store.start()
         self._until(lambda: self.fault())
         engine = SteadyEngine(self.folder)
@@ -132,7 +133,7 @@
 
 
 class Bench:
-    """The processes, and what the rounds saw."""
+    """Runs the clients of each round against the node of a fleet."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -140,13 +141,13 @@
         self._numbers = iter(range(1_000_000))
 
     def run_round(self, slow):
-        """One round."""
+        """Run a round with `slow` slow clients and return its result."""
         result = RoundResult()
         slow_clients = [
             gevent.spawn(read_slowly, self._node.front, f"s-{next(self._numbers)}")
             for _ in range(slow)
         ]
-        # Until the slow ones lag; the others start alike in all rounds.
+        # Lets the slow clients fall behind; the pause is the same in rounds without them.
         gevent.sleep(1.0)
         fast_clients = [
             gevent.spawn(self._run_fast_client, number, result) for number in range(FAST_STREAMS)
@@ -173,39 +174,39 @@
             return read_answer(connection).document
 
     def memory(self):
-        """Bytes of the node."""
+        """Return the resident memory of the node, in bytes."""
         return int(psutil.Process(self._node.process.pid).memory_info().rss)
 
 
 def p95(values):
-    """Milliseconds."""
+    """Return the 95th percentile in milliseconds, of values in seconds."""
     return sorted(values)[int(0.95 * (len(values) - 1))] * 1000
 
 
 def measure(fleet):
-    """Rounds with and without slow clients in turn; medians of each kind."""
+    """Run rounds with and without slow clients alternately, and return the medians of each kind."""
     bench = Bench(fleet)
     bench.run_round(0)
     before, rounds = bench.memory(), []
     for _ in range(ROUNDS):
         rounds.append((bench.run_round(0), bench.run_round(SLOW_STREAMS)))
-    row = {"failures": sum(one.failures for pair in rounds for one in pair)}
+    row = {"failures": sum(result.failures for pair in rounds for result in pair)}
     for name in ("first", "gaps"):
-        alone = median(p95(getattr(one, name)) for one, _ in rounds)
-        beside = median(p95(getattr(one, name)) for _, one in rounds)
+        alone = median(p95(getattr(result, name)) for result, _ in rounds)
+        beside = median(p95(getattr(result, name)) for _, result in rounds)
         row |= {f"{name}_p95_alone_ms": alone, f"{name}_p95_beside_slow_ms": beside}
         row[f"{name}_ratio"] = beside / alone
-    row["held_bytes"] = max(one.held_bytes for _, one in rounds)
-    row["places_still_held"] = max(one.occupied_slots for _, one in rounds)
+    row["held_bytes"] = max(result.held_bytes for _, result in rounds)
+    row["places_still_held"] = max(result.occupied_slots for _, result in rounds)
     row["node_grew_bytes"] = bench.memory() - before
     row["machine_load"] = os.getloadavg()[0]
     return {name: round(value, 3) for name, value in row.items()}
 
 
 def main():
-    """Run it, and print a row."""
+    """Run the benchmark and print its results; with arguments, run its engine process instead."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("engine", nargs="*", help="be the engine of this id, at this port")
+    parser.add_argument("engine", nargs="*", help="run the engine with this id, at this port")
     engine = parser.parse_args().engine
     if engine:
         run_engine(engine[0], int(engine[1]))
@@ -220,7 +221,7 @@
     for name, value in row.items():
         print(f"readers {name} {value}")
     met = max(row["first_ratio"], row["gaps_ratio"]) <= MAX_SLOWDOWN
-    print(f"readers aim {MAX_SLOWDOWN}: {'met' if met else 'not met'}")
+    print(f"readers target {MAX_SLOWDOWN}: {'met' if met else 'not met'}")
     return 0 if not row["failures"] else 1
 
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,4 +1,4 @@
-"""Ports of tests: none that the system, or another process of tests, may give to somebody else."""
+"""Ports for tests, which neither the system nor another test process uses."""
 
 import contextlib
 import itertools
@@ -6,27 +6,28 @@
 from scripts import ports
 
 _restricted_ports = None
-"""Ports that were named on the command line."""
+"""Ports given on the command line, in turn; None to allocate from this process's block."""
 
 
 def free_port():
-    """A port that nobody listens at, and that no other process is given."""
+    """Return a free port that no other test process uses."""
     if _restricted_ports is None:
         return ports.free_port()
     return next(port for port in _restricted_ports if ports.is_free(port))
 
 
 def restrict_ports(first, last):
-    """Give `free_port` these ports only."""
+    """Make `free_port` return only ports from `first` up to, not including, `last`."""
     global _restricted_ports
     _restricted_ports = itertools.cycle(range(first, last))
 
 
 @contextlib.contextmanager
 def separate_port_block():
-    """Let `free_port` give none that it has given before, or gives afterwards.
+    """Make `free_port` allocate from another block, so that no port is reused inside and outside.
 
-    What ends and starts again at its port leaves it for a moment.
+    A process that restarts at its port leaves the port unbound for a moment, in which it would
+    otherwise look free.
     """
     former, ports._block = ports._block, ports.reserve_block()
     try:
--- a/tests/profile_nodes.py
+++ b/tests/profile_nodes.py
@@ -1,9 +1,8 @@
-"""Where the processor time of nodes goes: `python -m tests.profile_nodes`.
+"""Profiles the processor time of nodes by component: `python -m tests.profile_nodes`.
 
-Nodes, engines and a store run in one process over loopback. A sample is taken each millisecond of
-processor time, by `ITIMER_PROF`; those that lie in engines and clients don't count. What a sample
-belongs to is told by the first of `PARTS` on its stack, so what a request does is not counted as
-a report's.
+Nodes, engines and a store run in one process over loopback. `ITIMER_PROF` takes a sample per
+millisecond of processor time; samples in engines and clients are excluded. A sample counts for the
+first of `PARTS` with a frame on its stack, so the work of a request is not attributed to reports.
 """
 
 import argparse
@@ -27,35 +26,35 @@
 SAMPLE_INTERVAL = 0.001
 """Seconds of processor time between samples."""
 SETTLE_SECONDS = 4.0
-"""Seconds until nodes know each other."""
+"""Seconds until all nodes have received each other's reports."""
 BODY = b"b" * 400
 EVENT_PAUSE = 0.02
 FEW_EVENTS, MANY_EVENTS = 5, 65
-"""Events of the answers whose costs are compared."""
+"""Events per response in the two loads whose costs are compared."""
 START_RUNS = 5
 PARTS = (
-    ("reports taken in", "load_reports.py", "receive"),
-    ("digests taken in", "zone_digests.py", "receive"),
-    ("reports made", "load_reports.py", "run"),
-    ("words to watchers", "engine_watch.py", "_tell"),
+    ("load reports received", "load_reports.py", "receive"),
+    ("zone digests received", "zone_digests.py", "receive"),
+    ("load reports made", "load_reports.py", "run"),
+    ("engine watch", "engine_watch.py", "_tell"),
     ("log lines", "events.py", "emit"),
-    ("waiting reads", "topic_follower.py", "run"),
-    ("looks of items", "item_runner.py", "run"),
+    ("long polls", "topic_follower.py", "run"),
+    ("item runner", "item_runner.py", "run"),
     ("requests", "pywsgi.py", "handle"),
 )
-"""Name, file and function that stands for each part."""
-OTHER_PART = "loop and the rest"
+"""Components: name, and the file and function that identify it on a stack."""
+OTHER_PART = "event loop and other"
 
 
 class Samples:
-    """What nodes spend processor time on."""
+    """Counts samples of nodes by component while it is used as a context manager."""
 
     def __init__(self):
         self.parts = collections.Counter()
         self.excluded = 0
         self._started = 0.0
         self.seconds = 0.0
-        """Processor time of nodes while it was watched."""
+        """Processor time that nodes used while sampled."""
 
     def __enter__(self):
         signal.signal(signal.SIGPROF, self._record_sample)
@@ -89,7 +88,7 @@
 
 
 class Traffic:
-    """Requests at a rate, each at any node."""
+    """Poisson requests at a given rate, each to a random node."""
 
     def __init__(self, fleet, seed=1):
         self._fleet = fleet
@@ -111,7 +110,7 @@
 
 
 def start_fleet(nodes, engines, zones):
-    """Nodes and engines, spread over zones."""
+    """Start nodes and engines, distributed over zones, and wait until the nodes are ready."""
     fleet = GatewayFleet(nodes=0, engines=0)
     names = [f"z{number}" for number in range(zones)]
     for number in range(engines):
@@ -127,14 +126,14 @@
 
 
 def profile(nodes, engines, zones, seconds, rate):
-    """Print what nodes spend at rest, on a request and on an event of it."""
+    """Print the processor time of idle nodes, of a request, and of an event of its response."""
     fleet = start_fleet(nodes, engines, zones)
     try:
         gevent.sleep(SETTLE_SECONDS)
-        with Samples() as rest:
+        with Samples() as idle:
             gevent.sleep(seconds)
-        print(f"at rest: {100 * rest.seconds / seconds / nodes:.2f}% of a core a node")
-        print(f"  {rest.shares()}")
+        print(f"idle: {100 * idle.seconds / seconds / nodes:.2f}% of a core per node")
+        print(f"  {idle.shares()}")
         costs = {}
         for events in (FEW_EVENTS, MANY_EVENTS):
             for engine in fleet.engines:
@@ -142,38 +141,41 @@
             traffic = Traffic(fleet)
             with Samples() as busy:
                 traffic.send(seconds, rate)
-            idle = rest.seconds
-            costs[events] = (busy.seconds - idle) / traffic.sent
-            each = f"{1e6 * costs[events]:.0f} us a request of {events} events"
-            print(f"{traffic.sent} requests: {each}, without what rest costs")
+            idle_seconds = idle.seconds
+            costs[events] = (busy.seconds - idle_seconds) / traffic.sent
+            each = f"{1e6 * costs[events]:.0f} us per request of {events} events"
+            print(f"{traffic.sent} requests, {each}, without the idle cost")
             print(f"  {busy.shares()}")
         event = (costs[MANY_EVENTS] - costs[FEW_EVENTS]) / (MANY_EVENTS - FEW_EVENTS)
-        print(f"an event of an answer: {1e6 * event:.0f} us")
+        print(f"per event of a response: {1e6 * event:.0f} us")
         print(
-            f"a request without its events: {1e6 * (costs[FEW_EVENTS] - FEW_EVENTS * event):.0f} us"
+            f"per request without its events: "
+            f"{1e6 * (costs[FEW_EVENTS] - FEW_EVENTS * event):.0f} us"
         )
     finally:
         fleet.stop()
 
 
 def profile_start():
-    """Print what a start takes until everything is imported."""
+    """Print the processor time of a start, up to the end of all imports."""
     used = []
     for _ in range(START_RUNS):
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         subprocess.run([sys.executable, "-c", "import postvalve.node_process"], check=True)
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
         used.append(after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime)
-    print(f"a start: {1e3 * min(used):.0f} ms, the least of {START_RUNS}")
+    print(f"start: {1e3 * min(used):.0f} ms, minimum of {START_RUNS}")
 
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m tests.profile_nodes", description=__doc__)
-    parser.add_argument("--nodes", type=int, default=20, help="in all zones")
-    parser.add_argument("--engines", type=int, default=24, help="likewise")
+    parser.add_argument("--nodes", type=int, default=20, help="nodes in all zones together")
+    parser.add_argument("--engines", type=int, default=24, help="engines in all zones together")
     parser.add_argument("--zones", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=10.0, help="of each measurement")
-    parser.add_argument("--rate", type=float, default=76.0, help="requests a second, all nodes")
+    parser.add_argument("--seconds", type=float, default=10.0, help="duration of each measurement")
+    parser.add_argument(
+        "--rate", type=float, default=76.0, help="requests per second to all nodes together"
+    )
     args = parser.parse_args()
     if min(args.nodes, args.engines, args.zones) < 1 or min(args.seconds, args.rate) <= 0:
         parser.error("all numbers must be positive")
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, forms of output, and no traceback for a user's error."""
+"""Command line: exit codes, output formats, and errors without a traceback."""
 
 import json
 import subprocess
@@ -11,14 +11,14 @@
 
 
 def run(*arguments, text=None):
-    """Run one command."""
+    """Run a `postvalve` command and return its result."""
     return subprocess.run(
         postvalve(*arguments), capture_output=True, text=True, input=text, timeout=60
     )
 
 
 class OfflineTest(unittest.TestCase):
-    def assert_mistakes(self, result, *places):
+    def assert_errors(self, result, *places):
         self.assertEqual(result.returncode, 2, result.stderr)
         self.assertNotIn("Traceback", result.stderr)
         for place in places:
@@ -31,28 +31,28 @@
         path.write_text(content, encoding="utf-8")
         return str(path)
 
-    def test_node_check_reports_every_mistake_with_its_place(self):
+    def test_node_check_reports_every_error_with_its_location(self):
         path = self.write(
             "node.toml", 'node_id = "n"\nlisten = "host:1"\nshards = 0\n[http]\nidle = 1\n'
         )
         result = run("node", "--config", path, "--check")
-        self.assert_mistakes(
+        self.assert_errors(
             result, "zone", "listen", "shards", "http.idle", "peer_listen", "log_url"
         )
 
-    def test_settings_file_that_is_no_toml(self):
-        self.assert_mistakes(
+    def test_settings_file_that_is_not_toml(self):
+        self.assert_errors(
             run("node", "--config", self.write("n.toml", "= ="), "--check"), "n.toml"
         )
-        self.assert_mistakes(run("node", "--config", "missing.toml", "--check"), "missing.toml")
+        self.assert_errors(run("node", "--config", "missing.toml", "--check"), "missing.toml")
 
     def test_config_validate(self):
         good = run("config", "validate", str(ROOT / "examples" / "apcf.toml"))
         self.assertEqual(good.returncode, 0, good.stderr)
         bad = self.write("f.toml", '[[pools]]\nname = "p"\nengines = "a in"\nmodels = ["m"]\n')
-        self.assert_mistakes(run("config", "validate", bad), "pools.0.engines")
+        self.assert_errors(run("config", "validate", bad), "pools.0.engines")
 
-    def test_examples_hold_the_documented_keys(self):
+    def test_examples_contain_the_documented_keys(self):
         digest = run("config", "hash-key", text="sk-demo-member-desk").stdout.strip()
         self.assertIn(digest, (ROOT / "examples" / "apcf.toml").read_text(encoding="utf-8"))
 
@@ -79,10 +79,10 @@
     def log(self, *arguments):
         return run(*arguments, "--log-url", self.fleet.log_url)
 
-    def test_a_race_has_a_winner_and_a_conflict(self):
+    def test_the_second_of_two_changes_to_a_revision_conflicts(self):
         example = str(ROOT / "examples" / "apcf.toml")
         history = json.loads(self.log("config", "history", "--output", "json").stdout)
-        base = str(max(one["offset"] for one in history if one["outcome"] == "accepted"))
+        base = str(max(change["offset"] for change in history if change["outcome"] == "accepted"))
         first = self.log("config", "apply", example, "--base", base, "--output", "json")
         self.assertEqual(first.returncode, 0, first.stderr)
         second = self.log("config", "apply", example, "--base", base)
@@ -101,7 +101,7 @@
             *("config", "explain", "--tenant", "pricing", "--workload", "price-check"),
             *("--engine", "zone=zone-0", "--output", "json"),
         )
-        kinds = {one["kind"]: one["in_force"] for one in json.loads(rules.stdout)}
+        kinds = {rule["kind"]: rule["in_force"] for rule in json.loads(rules.stdout)}
         self.assertEqual(kinds, {"limits": "every-tenant", "pools": "all"})
 
     def test_status_and_jobs(self):
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""The emulated platform: what its engines, log, list and weight store do."""
+"""Emulated engines, log, machine list and weight store."""
 
 import json
 import unittest
@@ -138,7 +138,7 @@
             log.append("s", b"c")
         self.assertEqual(down.exception.verdict, "not_run")
         log.faults.fault = LogFault.NONE
-        self.assertEqual([one.payload for one in log.read("s", 0).entries], [b"a", b"b"])
+        self.assertEqual([entry.payload for entry in log.read("s", 0).entries], [b"a", b"b"])
         log.faults.cut_zones = {"z"}
         with self.assertRaises(LogUnavailableError):
             log.read("s", 0, zone="z")
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a short one, and the scenarios that come with postvalve."""
+"""A short experiment, and validity of the scenarios that come with postvalve."""
 
 import unittest
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""`postvalve explain` finds the way of a request through logs."""
+"""`postvalve explain` selects the log lines of a request, and their context."""
 
 import contextlib
 import io
@@ -41,10 +41,10 @@
                 code = main(["explain", *arguments, str(path)])
         return code, output.getvalue().splitlines()
 
-    def test_lines_of_a_request_with_what_befell_its_node_and_engine(self):
+    def test_lines_of_a_request_with_context_of_its_node_and_engine(self):
         code, printed = self.explain("r1")
         self.assertEqual(code, 0)
-        self.assertEqual([one[0] for one in printed], [" ", "*", "*"])
+        self.assertEqual([printed_line[0] for printed_line in printed], [" ", "*", "*"])
         self.assertIn("412 event 412: engine=e1", printed[0])
         self.assertIn("n1 213 event 213: request=r1 status=502", printed[2])
 
@@ -52,16 +52,16 @@
         _, printed = self.explain("--alone", "r1")
         self.assertEqual(len(printed), 2)
 
-    def test_a_refused_request_with_those_in_front_of_it(self):
+    def test_a_refused_request_with_the_requests_ahead_of_it(self):
         _, printed = self.explain("q3")
-        self.assertEqual([one[0] for one in printed], [" ", " ", "*", " ", " "])
+        self.assertEqual([printed_line[0] for printed_line in printed], [" ", " ", "*", " ", " "])
         self.assertIn("216 event 216: request=q1", printed[3])
         self.assertIn("230 event 230", printed[4])
 
-    def test_a_request_with_those_that_waited_behind_it(self):
+    def test_a_request_with_the_requests_behind_it(self):
         _, printed = self.explain("--alone", "q1")
-        named = [one.split("request=")[1].split()[0] for one in printed]
-        self.assertEqual(named, ["q1", "q2", "q3", "q1"])
+        request_ids = [printed_line.split("request=")[1].split()[0] for printed_line in printed]
+        self.assertEqual(request_ids, ["q1", "q2", "q3", "q1"])
 
     def test_unknown_id(self):
         code, printed = self.explain("none")
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of tests that run beside each other."""
+"""Allocation of ports by tests and fleets that run at the same time."""
 
 import multiprocessing
 import socket
@@ -8,49 +8,53 @@
 from scripts.fleet import free_address
 from tests.ports import free_port, separate_port_block
 
-PROCESSES, DRAWN = 8, 300
+PROCESSES, PORTS_PER_PROCESS = 8, 300
 
 
-def allocate_ports(told, all_drawn):
-    """Tell ports as tests and fleets draw them; lives until all processes have drawn theirs."""
-    addresses = [free_address() for _ in range(DRAWN // 2)]
-    told.put(
-        [free_port() for _ in range(DRAWN // 2)] + [int(one.split(":")[1]) for one in addresses]
+def allocate_ports(results, all_allocated):
+    """Send ports allocated as by tests and by fleets; wait until all processes have allocated."""
+    addresses = [free_address() for _ in range(PORTS_PER_PROCESS // 2)]
+    results.put(
+        [free_port() for _ in range(PORTS_PER_PROCESS // 2)]
+        + [int(address.split(":")[1]) for address in addresses]
     )
-    all_drawn.wait()
+    all_allocated.wait()
 
 
 class PortsTest(unittest.TestCase):
-    """Guards against a fleet that does not start since another process took one of its ports."""
+    """Guards against fleets that fail to start because another process took one of their ports.
 
-    def test_processes_beside_each_other_draw_none_twice(self):
-        spawning = multiprocessing.get_context("spawn")
-        told, all_drawn = spawning.Queue(), spawning.Barrier(PROCESSES)
+    Ports that were only checked to be free, not reserved, could be given to two processes.
+    """
+
+    def test_concurrent_processes_allocate_distinct_ports(self):
+        context = multiprocessing.get_context("spawn")
+        results, all_allocated = context.Queue(), context.Barrier(PROCESSES)
         processes = [
-            spawning.Process(target=allocate_ports, args=(told, all_drawn))
+            context.Process(target=allocate_ports, args=(results, all_allocated))
             for _ in range(PROCESSES)
         ]
-        for one in processes:
-            one.start()
-        drawn = [port for _ in processes for port in told.get(timeout=60)]
-        for one in processes:
-            one.join()
-        self.assertEqual(len(set(drawn)), PROCESSES * DRAWN)
-
-    def test_a_process_draws_each_once_before_it_begins_anew(self):
+        for process in processes:
+            process.start()
+        allocated = [port for _ in processes for port in results.get(timeout=60)]
+        for process in processes:
+            process.join()
+        self.assertEqual(len(set(allocated)), PROCESSES * PORTS_PER_PROCESS)
+
+    def test_a_process_allocates_each_port_once_before_it_wraps_around(self):
         block = ports.reserve_block()
         self.addCleanup(block.close)
-        drawn = [block.allocate() for _ in range(ports.BLOCK_SIZE - 1)]
-        self.assertEqual(len(set(drawn)), len(drawn))
+        allocated = [block.allocate() for _ in range(ports.BLOCK_SIZE - 1)]
+        self.assertEqual(len(set(allocated)), len(allocated))
 
-    def test_one_that_is_in_use_is_passed_over(self):
+    def test_a_port_in_use_is_skipped(self):
         block = ports.reserve_block()
         self.addCleanup(block.close)
-        with socket.socket() as taken:
-            taken.bind((ports.HOST, block.first + 1))
+        with socket.socket() as listener:
+            listener.bind((ports.HOST, block.first + 1))
             self.assertEqual(block.allocate(), block.first + 2)
 
-    def test_a_soak_has_a_block_of_its_own(self):
+    def test_a_soak_test_has_its_own_block(self):
         before = free_port() // ports.BLOCK_SIZE
         with separate_port_block():
             self.assertNotEqual(free_port() // ports.BLOCK_SIZE, before)
--- a/tests/test_profile_nodes.py
+++ b/tests/test_profile_nodes.py
@@ -1,4 +1,4 @@
-"""The profile of nodes counts what nodes do, and not what engines and clients do."""
+"""The profiler counts the processor time of nodes, and excludes that of engines and clients."""
 
 import contextlib
 import io
@@ -11,19 +11,19 @@
 
 
 class ProfileTest(unittest.TestCase):
-    def test_a_short_profile_tells_each_cost(self):
-        out = io.StringIO()
+    def test_a_short_profile_prints_each_cost(self):
+        output = io.StringIO()
         with (
-            contextlib.redirect_stdout(out),
+            contextlib.redirect_stdout(output),
             mock.patch.object(profile_nodes, "SETTLE_SECONDS", 0.5),
         ):
             profile_nodes.profile(nodes=2, engines=2, zones=2, seconds=1.0, rate=20.0)
-        told = out.getvalue()
-        for name in ("at rest", "an event of an answer", "a request without its events"):
-            self.assertIn(name, told)
-        self.assertIn("requests ", told)
+        printed = output.getvalue()
+        for name in ("idle: ", "per event of a response: ", "per request without its events: "):
+            self.assertIn(name, printed)
+        self.assertIn("requests, ", printed)
 
-    def test_time_of_tests_is_none_of_theirs(self):
+    def test_time_of_test_code_is_excluded(self):
         with Samples() as samples:
             deadline = time.process_time() + 0.1
             while time.process_time() < deadline:
@@ -32,7 +32,7 @@
         self.assertGreater(samples.excluded, 10)
         self.assertEqual(samples.seconds, 0.0)
 
-    def test_numbers_that_make_no_sense_are_refused(self):
+    def test_invalid_numbers_are_rejected(self):
         for arguments in (["--nodes", "0"], ["--zones", "0"], ["--seconds", "0"], ["--rate", "-1"]):
             with (
                 mock.patch("sys.argv", ["profile_nodes", *arguments]),
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -1,4 +1,4 @@
-"""What decides a run of all tests: failures that KNOWN-RED.txt does not list."""
+"""Exit code of a run of all tests: failures not listed in KNOWN-RED.txt fail it."""
 
 import unittest
 
@@ -6,12 +6,12 @@
 
 
 class ExitCodeTest(unittest.TestCase):
-    def test_failures_decide(self):
+    def test_unlisted_failures_fail_the_run(self):
         self.assertEqual(exit_code(frozenset(), [], 5), 0)
         self.assertEqual(exit_code(frozenset({"a"}), [], 5), 1)
         self.assertEqual(exit_code(frozenset({"a", "b"}), ["a"], 5), 1)
 
-    def test_listed_tests_never_decide(self):
+    def test_listed_tests_never_fail_the_run(self):
         self.assertEqual(exit_code(frozenset({"a"}), ["a"], 5), 0)
         self.assertEqual(exit_code(frozenset(), ["a"], 5), 0)
 
