--- a/postvalve/emulator/virtual_fleet.py
+++ b/postvalve/emulator/virtual_fleet.py
@@ -41,7 +41,7 @@
 from postvalve.states import MachineKind, MachineState
 
 KEY_PREFIX = "sk-virtual-"
-CALLER_OWNER = ""
+CLIENT_OWNER = ""
 """Owner of the clients' callbacks in the event loop; it is never frozen or killed."""
 
 
@@ -61,11 +61,11 @@
     def __init__(self, node_id: str, loop: VirtualLoop, recorded: list[LoggedEvent]) -> None:
         self._node_id = node_id
         self._loop = loop
-        self._sink = recorded
+        self._recorded = recorded
 
     def emit(self, event: Event, **fields: Any) -> None:
         """See `EventLog`."""
-        self._sink.append(LoggedEvent(self._loop.now(), self._node_id, event, fields))
+        self._recorded.append(LoggedEvent(self._loop.now(), self._node_id, event, fields))
 
 
 @dataclass(frozen=True, slots=True)
@@ -269,7 +269,7 @@
             engine.cancel_client(node.location.owner)
         for result in node.pending:
             self.loop.call_for(
-                CALLER_OWNER,
+                CLIENT_OWNER,
                 LOCAL_DELAY,
                 result.set_exception,
                 ConnectionResetByNodeError(node_id),
@@ -370,7 +370,7 @@
             if chunk:
                 answer.chunks.append(chunk)
                 answer.times.append(self.loop.now() + LOCAL_DELAY)
-        self.loop.call_for(CALLER_OWNER, LOCAL_DELAY, result.set, answer)
+        self.loop.call_for(CLIENT_OWNER, LOCAL_DELAY, result.set, answer)
 
     def wall(self) -> float:
         """Return the virtual wall-clock time, in seconds since the Unix epoch."""
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -167,7 +167,7 @@
 
     def put_machines(self, machines: list[dict[str, Any]]) -> None:
         """Add or change machines on the platform's machine list."""
-        call(f"{self.machines_url}/machines", "PUT", machines)
+        request_json(f"{self.machines_url}/machines", "PUT", machines)
 
     def start_node(self, node: NodeAddress) -> None:
         """Start or restart a node at its address."""
@@ -290,7 +290,7 @@
         time.sleep(0.05)
 
 
-def call(url: str, method: str, document: Any) -> Any:
+def request_json(url: str, method: str, document: Any) -> Any:
     """Send a JSON document and return the JSON response."""
     request = urllib.request.Request(
         url,
--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -8,7 +8,7 @@
 
 import openai
 
-from scripts.fleet import SHAPES, Fleet, call, wait_until
+from scripts.fleet import SHAPES, Fleet, request_json, wait_until
 from tests.support import answer_text, batch_lines, expected_start
 
 FAST_TIMING = """
@@ -73,7 +73,7 @@
 
     def served(self):
         return sum(
-            call(f"http://{address}/statistics", "GET", None)["served"]
+            request_json(f"http://{address}/statistics", "GET", None)["served"]
             for address in self.fleet.engines.values()
         )
 
