--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -49,13 +49,13 @@
         """Lose the first replies to pulls that carry items; returns them as they are lost."""
         lost = []
 
-        def loses_reply(reply):
+        def drops_reply(reply):
             if len(lost) < count and isinstance(reply, peer.ItemPullReply) and reply.items:
                 lost.append(reply)
                 return True
             return False
 
-        fleet.network.loses_reply = loses_reply
+        fleet.network.drops_reply = drops_reply
         return lost
 
     def owner_with_items(self, fleet, excluded=()):
--- a/tests/test_real_processes.py
+++ b/tests/test_real_processes.py
@@ -54,7 +54,7 @@
         def ended():
             return client.batches.retrieve(job_id).status == "completed"
 
-        wait_until(ended, "batch", patience=120)
+        wait_until(ended, "batch", timeout=120)
         batch = client.batches.retrieve(job_id)
         output = client.files.content(batch.output_file_id).iter_lines()
         lines = [json.loads(line) for line in output]
