--- a/postvalve/emulator/engine_model.py
+++ b/postvalve/emulator/engine_model.py
@@ -41,7 +41,7 @@
     prefill_per_token: float = 0.00002
     """Seconds for each prompt token that is not in the prefix cache."""
     cache_blocks: int = 4096
-    """Capacity of the prefix cache, blocks of 256 characters."""
+    """Capacity of the prefix cache, in blocks of 256 characters."""
     base_pace: float = 1.0
     """Factor by which all work takes longer than usual, before noise."""
     noise: EngineNoise = EngineNoise()
--- a/postvalve/emulator/keyed_topics.py
+++ b/postvalve/emulator/keyed_topics.py
@@ -127,7 +127,7 @@
         return [(topic, partition.log) for (topic, _), partition in self._partitions.items()]
 
     def drop_history(self) -> None:
-        """Drop all records except the newest of each key; older offsets can't be read any more."""
+        """Drop all records except the newest of each key; older offsets can no longer be read."""
         for partition in self._partitions.values():
             partition.first_offset = len(partition.log)
 
--- a/postvalve/emulator/virtual_network.py
+++ b/postvalve/emulator/virtual_network.py
@@ -63,7 +63,7 @@
         self.loop = loop
         self.traffic: dict[str, Traffic] = {}
         self.drops_reply: Callable[[betterproto.Message], bool] = lambda reply: False
-        """Return whether this reply is to be lost; a test may replace it."""
+        """Decides whether a reply is lost; tests may replace it."""
         self._endpoints: dict[str, Endpoint] = {}
         self._pending: list[PendingCall] = []
         self._cuts: set[frozenset[str]] = set()
