--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -1,4 +1,4 @@
-"""The emulated platform: what its engines, log, list and weight store do."""
+"""Emulated engines, log, machine list and weight store."""
 
 import json
 import unittest
@@ -14,7 +14,7 @@
 from postvalve.exceptions import LogUnavailableError
 from postvalve.services.machines import Machine
 from postvalve.states import MachineKind
-from tests.support import expected_first_token
+from tests.support import expected_start
 
 
 def request(text, max_tokens=3):
@@ -46,7 +46,7 @@
         submit(model, "whole", text="hi")
         submit(model, "resumed", text="hi", offset=2)
         tokens = self.run_to_end(model)
-        self.assertEqual(tokens["whole"][0], expected_first_token("hi"))
+        self.assertEqual(tokens["whole"][0], expected_start("hi"))
         self.assertEqual(tokens["resumed"], tokens["whole"][2:])
 
     def test_steps_grow_with_the_batch_and_with_uncached_prompts(self):
@@ -138,7 +138,7 @@
             log.append("s", b"c")
         self.assertEqual(down.exception.verdict, "not_run")
         log.faults.fault = LogFault.NONE
-        self.assertEqual([one.payload for one in log.read("s", 0).entries], [b"a", b"b"])
+        self.assertEqual([entry.payload for entry in log.read("s", 0).entries], [b"a", b"b"])
         log.faults.cut_zones = {"z"}
         with self.assertRaises(LogUnavailableError):
             log.read("s", 0, zone="z")
