--- a/postvalve/emulator/service.py
+++ b/postvalve/emulator/service.py
@@ -13,7 +13,7 @@
 from werkzeug.routing import Map, Rule
 from werkzeug.wrappers import Request, Response
 
-from postvalve.sockets import send_at_once
+from postvalve.sockets import disable_nagle
 
 Handler = Callable[..., Response]
 
@@ -49,7 +49,7 @@
 
 class _Handler(WSGIHandler):
     def __init__(self, connection: Any, *arguments: Any, **options: Any) -> None:
-        send_at_once(connection)
+        disable_nagle(connection)
         super().__init__(connection, *arguments, **options)
 
 
--- a/postvalve/emulator/virtual_engine.py
+++ b/postvalve/emulator/virtual_engine.py
@@ -309,7 +309,7 @@
             )
         yield DONE_EVENT
 
-    def whole(self) -> bytes:
+    def read_body(self) -> bytes:
         """See `EngineStream`."""
         text = "".join(emission.text for emission in self._emissions())
         return completion_document(
--- a/tests/bench_readers.py
+++ b/tests/bench_readers.py
@@ -24,8 +24,8 @@
 from tests.answers import read_answer
 from tests.gateway_support import HOST, STREAM_PATH
 from tests.soak.fleet import Fleet
+from tests.soak.invariants import InvariantChecker
 from tests.soak.processes import ZONES, Engine, Node
-from tests.soak.promises import Promises
 from tests.stand_in_engine import Behaviour, StandInEngine
 
 FAST_STREAMS, SLOW_STREAMS = 56, 8
@@ -76,7 +76,7 @@
 def run_engine(engine_id, port):
     """Run a stand-in engine until the process is terminated."""
     engine = StandInEngine(engine_id, port)
-    engine.usual = Behaviour(events=EVENTS, padding=EVENT_BYTES, pause=EVENT_PAUSE)
+    engine.default_behaviour = Behaviour(events=EVENTS, padding=EVENT_BYTES, pause=EVENT_PAUSE)
     gevent.wait()
 
 
@@ -121,10 +121,10 @@
     def start(self):
         """Start the processes, and wait until the node is ready."""
         self.store.start()
-        self._until(lambda: self.fault())
+        self._until(lambda: self.set_store_fault())
         engine = SteadyEngine(self.folder)
         self.engines = [engine]
-        self.list(engine)
+        self.list_engine(engine)
         self.publish()
         node = Node("n0", ZONES[0], self.folder, self.store_port)
         self.nodes = [node]
@@ -212,7 +212,7 @@
         run_engine(engine[0], int(engine[1]))
         return 0
     with tempfile.TemporaryDirectory() as folder:
-        fleet = SteadyFleet(Path(folder), Promises())
+        fleet = SteadyFleet(Path(folder), InvariantChecker())
         try:
             fleet.start()
             row = measure(fleet)
--- a/tests/profile_nodes.py
+++ b/tests/profile_nodes.py
@@ -36,7 +36,7 @@
     ("load reports received", "load_reports.py", "receive"),
     ("zone digests received", "zone_digests.py", "receive"),
     ("load reports made", "load_reports.py", "run"),
-    ("engine watch", "engine_watch.py", "_tell"),
+    ("engine watch", "engine_watch.py", "_report_to_watchers"),
     ("log lines", "events.py", "emit"),
     ("long polls", "topic_follower.py", "run"),
     ("item runner", "item_runner.py", "run"),
@@ -137,7 +137,10 @@
         costs = {}
         for events in (FEW_EVENTS, MANY_EVENTS):
             for engine in fleet.engines:
-                engine.usual.events, engine.usual.pause = events, EVENT_PAUSE
+                engine.default_behaviour.events, engine.default_behaviour.pause = (
+                    events,
+                    EVENT_PAUSE,
+                )
             traffic = Traffic(fleet)
             with Samples() as busy:
                 traffic.send(seconds, rate)
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -14,7 +14,7 @@
 from postvalve.exceptions import LogUnavailableError
 from postvalve.services.machines import Machine
 from postvalve.states import MachineKind
-from tests.support import expected_start
+from tests.support import expected_first_token
 
 
 def request(text, max_tokens=3):
@@ -46,7 +46,7 @@
         submit(model, "whole", text="hi")
         submit(model, "resumed", text="hi", offset=2)
         tokens = self.run_to_end(model)
-        self.assertEqual(tokens["whole"][0], expected_start("hi"))
+        self.assertEqual(tokens["whole"][0], expected_first_token("hi"))
         self.assertEqual(tokens["resumed"], tokens["whole"][2:])
 
     def test_steps_grow_with_the_batch_and_with_uncached_prompts(self):
