--- a/postvalve/core/membership/view.py
+++ b/postvalve/core/membership/view.py
@@ -30,11 +30,11 @@
     incarnation: int
     sequence: int
     state: NodeState
-    last_heard: float
+    last_seen_at: float
     configuration_revision: int
     summary: peer.NodeSummary = field(default_factory=peer.NodeSummary)
     summary_version: int = 0
-    heard_directly: bool = True
+    reported_directly: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,10 +99,10 @@
             incarnation=heartbeat.incarnation,
             sequence=heartbeat.sequence,
             state=NodeState.LEAVING if leaving else NodeState.ALIVE,
-            last_heard=now,
+            last_seen_at=now,
             configuration_revision=heartbeat.configuration_revision,
             summary_version=heartbeat.summary_version,
-            heard_directly=direct,
+            reported_directly=direct,
         )
         if heartbeat.summary:
             member.summary = peer.NodeSummary().parse(heartbeat.summary)
@@ -123,13 +123,13 @@
         """Declare silent nodes dead."""
         changes = []
         for member in self.members():
-            if now - member.last_heard >= self._silence_limit(member):
+            if now - member.last_seen_at >= self._silence_limit(member):
                 member.state = NodeState.DEAD
                 changes.append(StateChanged(member.node_id, member.incarnation, member.state))
         return changes
 
     def _silence_limit(self, member: Member) -> float:
-        if member.heard_directly:
+        if member.reported_directly:
             return self._timing.dead_after
         return self._timing.dead_after + DIGEST_SILENCE_FACTOR * self._timing.digest_interval
 
--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -165,7 +165,7 @@
         self.log = RecordingEventLog()
         self.callers = CallerAccounts(self.clock, self.log)
 
-    def tell(self, now):
+    def log_summary_at(self, now):
         """Return the events logged when `tell` is called at a given time."""
         self.log.written.clear()
         self.clock.monotonic.return_value = now
@@ -174,21 +174,21 @@
 
     def test_summary_is_periodic_and_only_after_new_counts(self):
         self.callers.accounts.record_request("ann", End.IN_TIME, 0.0)
-        self.assertEqual(self.tell(SUMMARY_INTERVAL - 0.1), [])
-        (line,) = self.tell(SUMMARY_INTERVAL)
+        self.assertEqual(self.log_summary_at(SUMMARY_INTERVAL - 0.1), [])
+        (line,) = self.log_summary_at(SUMMARY_INTERVAL)
         self.assertEqual(line["worst"], [{"tenant": "ann", "asked": 1, "in_time": 1}])
-        self.assertEqual(self.tell(2 * SUMMARY_INTERVAL), [])
+        self.assertEqual(self.log_summary_at(2 * SUMMARY_INTERVAL), [])
 
     def test_no_summary_without_named_tenants(self):
         self.callers.accounts.record_request("", End.NO_ROOM, 0.0)
-        self.assertEqual(self.tell(SUMMARY_INTERVAL), [])
+        self.assertEqual(self.log_summary_at(SUMMARY_INTERVAL), [])
 
     def test_summary_size_is_bounded(self):
         for number in range(500):
             self.callers.accounts.record_request(f"t{number}", End.IN_TIME, 0.0)
         for _ in range(9):
             self.callers.accounts.record_request("worst", End.NO_ROOM, 0.0)
-        (line,) = self.tell(SUMMARY_INTERVAL)
+        (line,) = self.log_summary_at(SUMMARY_INTERVAL)
         self.assertEqual(
             (len(line["largest"]), len(line["worst"])), (TENANTS_PER_LIST, TENANTS_PER_LIST)
         )
@@ -215,7 +215,7 @@
         full = EngineOccupancy(slots=1, online=2, batch=0, unread=0)
         self.fleet = mock.Mock(
             **{
-                "has_room.return_value": False,
+                "has_capacity.return_value": False,
                 "occupancies.return_value": [full],
                 "pace.return_value": ServiceLatency(),
             }
@@ -369,8 +369,8 @@
         patched = mock.patch.object(
             CallerAccounts, "log_summary", autospec=True, side_effect=CallerAccounts.log_summary
         )
-        with patched as tell:
-            wait_until(lambda: tell.call_count == 2)
+        with patched as log_summary_at:
+            wait_until(lambda: log_summary_at.call_count == 2)
         self.assertEqual(self.fleet.events("n0", Event.TENANTS_SERVED), [])
 
 
