--- a/postvalve/core/admission/service_latency.py
+++ b/postvalve/core/admission/service_latency.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class _DecayedLine:
+class _DecayedLinearFit:
     """Least-squares line through samples with exponentially decaying weights."""
 
     weight: float = 0.0
@@ -60,10 +60,10 @@
 class ServiceLatency:
     """Latency estimates for one service; times in seconds."""
 
-    _first_event: _DecayedLine = field(default_factory=_DecayedLine)
-    _slot_time: _DecayedLine = field(default_factory=_DecayedLine)
-    _pause: _DecayedLine = field(default_factory=_DecayedLine)
-    _longest_pause: _DecayedLine = field(default_factory=_DecayedLine)
+    _first_event: _DecayedLinearFit = field(default_factory=_DecayedLinearFit)
+    _slot_time: _DecayedLinearFit = field(default_factory=_DecayedLinearFit)
+    _pause: _DecayedLinearFit = field(default_factory=_DecayedLinearFit)
+    _longest_pause: _DecayedLinearFit = field(default_factory=_DecayedLinearFit)
     _error: float = 0.0
     _queue_factor: float = 1.0
 
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -31,7 +31,7 @@
     """Another node's last report, or what its zone's digest contains about it."""
 
     report: LoadReport
-    heard_at: float
+    last_seen_at: float
     waiting: list[tuple[int, int]]
     """Urgencies and numbers of the items waiting at the node. Empty for nodes of a zone known by
     digests, which contain only the sum."""
@@ -53,7 +53,7 @@
     """Another zone, as known from its last digest."""
 
     digest: ZoneDigest
-    heard_at: float
+    last_seen_at: float
     waiting: list[tuple[int, int]] = field(default_factory=list)
     members_version: int = 0
     """Version of the list from which the members were taken; 0 before the first list."""
@@ -115,7 +115,7 @@
             return False
         if zone is None:
             zone = self._zones[digest.zone] = RemoteZone(digest, now)
-        zone.digest, zone.heard_at = digest, now
+        zone.digest, zone.last_seen_at = digest, now
         zone.waiting = decode_groups(digest.items_waiting)
         if digest.members is not None and digest.members_version != zone.members_version:
             zone.members_version = digest.members_version
@@ -126,7 +126,7 @@
                 if member.node_id != self.node_id
             }
         for peer in zone.members.values():
-            peer.heard_at = now
+            peer.last_seen_at = now
         self.gate.restrict(features_of(digest.extensions))
         return True
 
@@ -143,19 +143,21 @@
         """
         if self._updated_at is not None and now - self._updated_at > STALL_THRESHOLD:
             for peer in self._peers.values():
-                peer.heard_at = now
+                peer.last_seen_at = now
             for zone in self._zones.values():
-                zone.heard_at = now
+                zone.last_seen_at = now
         self._updated_at = now
         nodes = [
-            node_id for node_id, peer in self._peers.items() if now - peer.heard_at > SILENT_AFTER
+            node_id
+            for node_id, peer in self._peers.items()
+            if now - peer.last_seen_at > SILENT_AFTER
         ]
         for node_id in nodes:
             self.drop(node_id)
         zones = [
             name
             for name, remote in self._zones.items()
-            if now - remote.heard_at > ZONE_SILENT_AFTER
+            if now - remote.last_seen_at > ZONE_SILENT_AFTER
         ]
         for name in zones:
             del self._zones[name]
@@ -272,4 +274,4 @@
     if (digest.reporter, digest.incarnation) == (known.reporter, known.incarnation):
         return digest.sequence > known.sequence
     # A node that hears few of its neighbours considers itself their reporter.
-    return digest.size >= known.size or now - zone.heard_at > REPORTER_SILENT_AFTER
+    return digest.size >= known.size or now - zone.last_seen_at > REPORTER_SILENT_AFTER
--- a/postvalve/core/membership/store_reachability.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -15,7 +15,7 @@
 """Consecutive failed calls after which the store counts as unreachable from this node."""
 PROBE_INTERVAL = 0.8
 """Seconds between attempts to call an unreachable store directly."""
-HEARD_WITHIN = 1.1
+RECENT_REPORT_AGE = 1.1
 """Seconds since a peer was last heard within which it may be asked. One of the
 reports, which come at least every 0.5 s, may be lost. It also bounds how long a suspended peer is
 asked."""
@@ -110,7 +110,7 @@
         peer.node_id: peer.report
         for peer in peers.all()
         if not (peer.report.store_failing or peer.report.leaving)
-        and now - peer.heard_at <= HEARD_WITHIN
+        and now - peer.last_seen_at <= RECENT_REPORT_AGE
         and peer.report.peer_address not in avoided
     }
     near = [node_id for node_id, report in candidates.items() if report.zone == zone]
--- a/postvalve/core/membership/view.py
+++ b/postvalve/core/membership/view.py
@@ -34,7 +34,7 @@
     configuration_revision: int
     summary: peer.NodeSummary = field(default_factory=peer.NodeSummary)
     summary_version: int = 0
-    heard_directly: bool = True
+    reported_directly: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
             last_heard=now,
             configuration_revision=heartbeat.configuration_revision,
             summary_version=heartbeat.summary_version,
-            heard_directly=direct,
+            reported_directly=direct,
         )
         if heartbeat.summary:
             member.summary = peer.NodeSummary().parse(heartbeat.summary)
@@ -129,7 +129,7 @@
         return changes
 
     def _silence_limit(self, member: Member) -> float:
-        if member.heard_directly:
+        if member.reported_directly:
             return self._timing.dead_after
         return self._timing.dead_after + DIGEST_SILENCE_FACTOR * self._timing.digest_interval
 
--- a/postvalve/core/membership/zone_reporting.py
+++ b/postvalve/core/membership/zone_reporting.py
@@ -49,7 +49,7 @@
 """Seconds after which the list of members is sent again although it has not changed."""
 LISTEN_TIME = 1.0
 """Seconds after its start in which a node sends no digest: it must first hear its neighbours."""
-HEARD_WITHIN = 1.2
+RECENT_REPORT_AGE = 1.2
 """Seconds without a report after which a neighbour is not considered for reporter."""
 MAX_DUE_GROUPS = 48
 """Most due times of waiting items in a digest."""
@@ -90,7 +90,7 @@
         heard = [
             peer.node_id
             for peer in neighbours
-            if now - peer.heard_at <= HEARD_WITHIN and not peer.report.leaving
+            if now - peer.last_seen_at <= RECENT_REPORT_AGE and not peer.report.leaving
         ]
         return reporter_of(self._zone, [*heard, self._node_id]) == self._node_id
 
--- a/postvalve/core/routing/engine_pace.py
+++ b/postvalve/core/routing/engine_pace.py
@@ -169,7 +169,7 @@
         self._evaluated_at = _restrict(self._evaluated_at, self._lives)
         self._update_services()
 
-    def knows(self, life: int) -> bool:
+    def is_listed(self, life: int) -> bool:
         """Return whether the directory lists an engine whose life has this hash."""
         return life in self._lives
 
--- a/postvalve/core/scheduling/zone_queue.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -220,7 +220,7 @@
     """State of one node at the coordinator."""
 
     state: QueueState
-    heard_at: float
+    last_seen_at: float
     given: list[_PendingGrant] = field(default_factory=list)
     ungranted: list[_SortKey] = field(default_factory=list)
     """Requests that wait without a grant."""
@@ -261,7 +261,7 @@
             return False
         if not same_incarnation:
             known.given = []
-        known.state, known.heard_at = state, now
+        known.state, known.last_seen_at = state, now
         # The node's load report, which shows the grants it has used, goes out before each of these
         # reports.
         known.given = [entry for entry in known.given if entry.grant > state.last_grant]
@@ -272,7 +272,9 @@
         """Drop reports and grants that have expired, in a zone of so many nodes."""
         oldest = now - max(STATE_TIME, 2 * state_interval(nodes))
         self._members = {
-            node_id: entry for node_id, entry in self._members.items() if entry.heard_at > oldest
+            node_id: entry
+            for node_id, entry in self._members.items()
+            if entry.last_seen_at > oldest
         }
         for member in self._members.values():
             if member.given and now - member.given[0].at >= GRANT_TIME:
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -128,7 +128,7 @@
         capacity_model = self._capacity_of(service)
         return [capacity_model.occupancy(entry, self.use.total(entry.life)) for entry in entries]
 
-    def has_room(self, service: str) -> bool:
+    def has_capacity(self, service: str) -> bool:
         """Whether a healthy engine has a slot without online work, or no engine is listed.
 
         Agrees with `occupancies`, but stops at the first such engine.
--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -36,7 +36,7 @@
 class PaceSummary:
     """What is known of one engine's pace; ages in seconds, None if nothing is known."""
 
-    learnt: PaceFactors
+    estimated: PaceFactors
     weight: float
     """Total weight of the samples of all nodes."""
     age: float | None = None
@@ -60,7 +60,7 @@
         self._clock = clock
         self._events = events
         self._services: dict[str, ServiceLatency] = {}
-        self.learnt = PaceEstimator()
+        self.estimator = PaceEstimator()
         self._readings_by_service: dict[str, PaceReadings] = {}
         self._counts = CountCorrection()
         self._near = PacePartWriter()
@@ -83,7 +83,7 @@
 
     def retain(self, services: Mapping[EngineLife, str]) -> None:
         """Drop what is known of engines, or earlier lives of them, that are no longer listed."""
-        self.learnt.retain(services)
+        self.estimator.retain(services)
         lives = {engine_hash(life) for life in services}
         self._counts.retain(lives)
         self._bad_loads &= lives
@@ -102,7 +102,7 @@
     def factors(self, service: str, life: EngineLife, now: float) -> PaceFactors:
         """Return how much longer than the service's average an engine takes at present."""
         key = engine_hash(life)
-        factors = self.learnt.factors(key)
+        factors = self.estimator.factors(key)
         pace_readings = self._readings_by_service.get(service)
         reported = pace_readings.factor(key, now) if pace_readings is not None else 1.0
         return factors if reported == 1.0 else factors.scaled(reported)
@@ -110,16 +110,16 @@
     def summary(self, service: str, life: EngineLife, now: float) -> PaceSummary:
         """Return what is known of an engine's pace, for status and logs."""
         key = engine_hash(life)
-        samples = self.learnt.all_samples(key, now)
+        samples = self.estimator.all_samples(key, now)
         pace_readings = self._readings_by_service.get(service)
         reading = pace_readings.readings().get(key) if pace_readings is not None else None
         if pace_readings is None or reading is None:
             return PaceSummary(
-                self.learnt.factors(key), samples.weight, _age(samples.newest_at, now)
+                self.estimator.factors(key), samples.weight, _age(samples.newest_at, now)
             )
         reported_age = now - reading.at
         return PaceSummary(
-            self.learnt.factors(key),
+            self.estimator.factors(key),
             samples.weight,
             _age(samples.newest_at, now),
             math.exp(reading.value),
@@ -140,7 +140,7 @@
             return
         life = placement.engine.life
         key = engine_hash(life)
-        if not self.learnt.knows(key):
+        if not self.estimator.is_listed(key):
             return
         service = placement.engine.service
         self._readings_by_service.setdefault(service, PaceReadings()).record(
@@ -151,7 +151,7 @@
     def record_bad_load(self, life: EngineLife, reported: str) -> None:
         """Log an unreadable load report, once per engine."""
         key = engine_hash(life)
-        known = self.learnt.knows(key)
+        known = self.estimator.is_listed(key)
         if not known or key in self._bad_loads or len(self._bad_loads) >= MAX_BAD_LOADS_LOGGED:
             return
         self._bad_loads.add(key)
@@ -166,7 +166,9 @@
             expected = pace.first_event(placement.to_read)
             self._observe(placement, PaceMetric.FIRST, seconds, expected)
 
-    def record_end(self, placement: Placement, times: AttemptTimes, *, whole: bool = True) -> None:
+    def record_end(
+        self, placement: Placement, times: AttemptTimes, *, complete: bool = True
+    ) -> None:
         """Record the timings of an attempt that did not fail because of its engine.
 
         Args:
@@ -188,7 +190,7 @@
         if not usual:
             return
         self._observe(placement, PaceMetric.PAUSE, pause, usual)
-        if whole and pace.known and placement.found_slot:
+        if complete and pace.known and placement.found_slot:
             held = self._clock.monotonic() - times.placed_at
             expected = pace.first_event(placement.to_read) + usual * (times.events - 1)
             self._observe(placement, PaceMetric.HELD, held, expected)
@@ -197,7 +199,7 @@
         self, placement: Placement, metric: PaceMetric, seconds: float, expected: float
     ) -> None:
         now = self._clock.monotonic()
-        self.learnt.observe(placement.engine.life, metric, seconds, expected, now)
+        self.estimator.observe(placement.engine.life, metric, seconds, expected, now)
 
     # Exchange with peers
 
@@ -211,8 +213,8 @@
         now = self._clock.monotonic()
         writer = self._far if far else self._near
         return writer.next_part(
-            self._reporting_engines(self.learnt.own_sample_times()),
-            lambda life: self.learnt.own_samples(life, now),
+            self._reporting_engines(self.estimator.own_sample_times()),
+            lambda life: self.estimator.own_samples(life, now),
             self._readings(lambda peer: not peer),
             peers,
             now,
@@ -228,8 +230,8 @@
         now = self._clock.monotonic()
         names = set(peers)
         return self._zone.next_part(
-            self._reporting_engines(self.learnt.sample_times()),
-            lambda life: self.learnt.samples_of(life, names, now),
+            self._reporting_engines(self.estimator.sample_times()),
+            lambda life: self.estimator.samples_of(life, names, now),
             self._readings(lambda peer: not peer or peer in names),
             zones,
             now,
@@ -237,7 +239,7 @@
 
     def _reporting_engines(self, lives: Iterator[tuple[int, float]]) -> Iterator[tuple[int, float]]:
         """Select the engines of services whose engines report their pace."""
-        return (one for one in lives if self.reports_pace(self.learnt.service_of(one[0])))
+        return (one for one in lives if self.reports_pace(self.estimator.service_of(one[0])))
 
     def _readings(self, is_source: Callable[[str], bool]) -> Iterator[tuple[int, PaceReading]]:
         """Yield the newest reading of each engine if its source satisfies `is_source`.
@@ -261,16 +263,16 @@
             self._events.emit(Event.PEER_MESSAGE_INVALID, peer=peer, error=str(exc))
             return
         for life, samples in reported.lives:
-            self.learnt.receive_samples(peer, life, samples)
+            self.estimator.receive_samples(peer, life, samples)
         for life, value, at in reported.readings:
-            if service := self.learnt.service_of(life):
+            if service := self.estimator.service_of(life):
                 self._readings_by_service.setdefault(service, PaceReadings()).record(
                     life, value, at, peer
                 )
 
     def forget(self, peer: str) -> None:
         """Drop the samples received from a peer, which its zone's digests contain from now on."""
-        self.learnt.drop_peer(peer)
+        self.estimator.drop_peer(peer)
 
     # Evaluation
 
@@ -282,8 +284,8 @@
         self._evaluated_at = now
         changes = [
             one
-            for one in self.learnt.update(now)
-            if self.reports_pace(self.learnt.service_of(engine_hash(one.life)))
+            for one in self.estimator.update(now)
+            if self.reports_pace(self.estimator.service_of(engine_hash(one.life)))
         ]
         for change in changes[:MAX_CHANGES_LOGGED]:
             self._events.emit(
--- a/postvalve/gateway/fleet/load_reports.py
+++ b/postvalve/gateway/fleet/load_reports.py
@@ -102,11 +102,11 @@
         self.watch = EngineWatch(services, self.items)
         self.watch.own_report = self.next_report
         self.on_report: Callable[[LoadReport], None] = lambda report: None
-        self.on_quarantine_news: Callable[[gateway.QuarantineNews, str], None] = (
+        self.on_quarantine_update: Callable[[gateway.QuarantineNews, str], None] = (
             lambda msg, address: None
         )
-        self.on_line_state: Callable[[gateway.LineState, str], None] = lambda msg, address: None
-        self.on_line_grant: Callable[[gateway.LineGrant, str], None] = lambda msg, address: None
+        self.on_queue_state: Callable[[gateway.LineState, str], None] = lambda msg, address: None
+        self.on_queue_grant: Callable[[gateway.LineGrant, str], None] = lambda msg, address: None
         self._fleet.on_change = self._changed.set
 
     def schedule_report(self) -> None:
@@ -250,7 +250,7 @@
 
     @_handle.register
     def _(self, msg: gateway.QuarantineNews, address: str) -> None:
-        self.on_quarantine_news(msg, address)
+        self.on_quarantine_update(msg, address)
 
     @_handle.register
     def _(self, msg: gateway.GiveWay, address: str) -> None:
@@ -258,11 +258,11 @@
 
     @_handle.register
     def _(self, msg: gateway.LineState, address: str) -> None:
-        self.on_line_state(msg, address)
+        self.on_queue_state(msg, address)
 
     @_handle.register
     def _(self, msg: gateway.LineGrant, address: str) -> None:
-        self.on_line_grant(msg, address)
+        self.on_queue_grant(msg, address)
 
     @_handle.register
     def _(self, msg: PackedReport, address: str) -> None:
--- a/postvalve/gateway/gateway.py
+++ b/postvalve/gateway/gateway.py
@@ -263,13 +263,13 @@
         self._reports.store_failing = lambda: self._topics.failing
         self._reports.directory = self._directory.state
         self._reports.on_refresh = self._refresh
-        self._reports.on_line_state = self._zone_queue.receive_state
-        self._reports.on_line_grant = self._zone_queue.receive_grant
+        self._reports.on_queue_state = self._zone_queue.receive_state
+        self._reports.on_queue_grant = self._zone_queue.receive_grant
         self._zone_queue.own_report = self._reports.next_report
         self._zone_queue.on_granted = self._admission_queue.reevaluate
         self._reports.extensions[Extension.SHARE_CLOCK] = self._shares.pack
         self._reports.enable_pace_reports()
-        self._reports.on_quarantine_news = self._quarantine_gossip.receive
+        self._reports.on_quarantine_update = self._quarantine_gossip.receive
         self._quarantine_gossip.on_learned = self._update_usable
         self._topics.on_change = self._reports.schedule_report
         self._transport.gather_time = self._reports.gather_time
--- a/postvalve/gateway/jobs/item_attempts.py
+++ b/postvalve/gateway/jobs/item_attempts.py
@@ -246,7 +246,7 @@
         if item.guard is not None:
             item.guard.record_failure(error)
         if item.preempted:
-            self._fleet.paces.record_end(placement, item.times, whole=False)
+            self._fleet.paces.record_end(placement, item.times, complete=False)
             self._log_preempted(item, life)
             return
         item.failed_engine = life
--- a/postvalve/gateway/serving/admission_queue.py
+++ b/postvalve/gateway/serving/admission_queue.py
@@ -162,7 +162,7 @@
             self._may_retry(route, terms, deadline - arrived_at),
         )
         place = QueuePosition(rank, arrived_at if tag is None else tag, deadline)
-        if self._fleet.has_room(service) and (tag is None or self._is_first(service, place)):
+        if self._fleet.has_capacity(service) and (tag is None or self._is_first(service, place)):
             self._start(place, service, tag is not None)
             return
         number = next(self._numbers)
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -21,7 +21,7 @@
     LimitBounds,
     LimitTerms,
 )
-from postvalve.core.membership.store_reachability import HEARD_WITHIN
+from postvalve.core.membership.store_reachability import RECENT_REPORT_AGE
 from postvalve.core.membership.zone_reporting import MAX_DIGEST_INTERVAL
 from postvalve.core.scheduling.fair_share import Work
 from postvalve.events import Event
@@ -106,12 +106,14 @@
         heard = [
             one
             for one in self._peers.all()
-            if not one.report.leaving and now - one.heard_at <= LENDER_TIMEOUT
+            if not one.report.leaving and now - one.last_seen_at <= LENDER_TIMEOUT
         ]
         own = [] if self.leaving else [self._node_id]
         live = [one.node_id for one in heard] + own
         near = [one.node_id for one in heard if one.report.zone == zone] + own
-        certain = [one.node_id for one in heard if now - one.heard_at <= LENDER_SUSPECT_AFTER] + own
+        certain = [
+            one.node_id for one in heard if now - one.last_seen_at <= LENDER_SUSPECT_AFTER
+        ] + own
         announced = len(self._services.announced_nodes())
         if self.limits.update_view(live, announced, now, near, certain):
             self.shares.reset()
@@ -185,9 +187,9 @@
         now = self._clock.monotonic()
         if first is None or not self._unanswered_recently(first.node_id, now):
             return UNKNOWN_RETRY_AFTER
-        if not self._hears_zone_peers():
+        if not self._has_recent_zone_peers():
             return UNKNOWN_RETRY_AFTER
-        left = first.heard_at + LENDER_TIMEOUT + VIEW_UPDATE_INTERVAL - now
+        left = first.last_seen_at + LENDER_TIMEOUT + VIEW_UPDATE_INTERVAL - now
         most = (deadline - now) * RETRY_AFTER_SHARE
         if not 0 < left <= most:
             return UNKNOWN_RETRY_AFTER
@@ -226,10 +228,12 @@
         """
         return self._unresponsive_until.get(node_id, 0.0) > now - self.call_timeout
 
-    def _hears_zone_peers(self) -> bool:
+    def _has_recent_zone_peers(self) -> bool:
         """Whether this node hears peers of its zone, and so is not the one that is cut off."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
-        return any(now - one.heard_at <= HEARD_WITHIN for one in self._peers.neighbours(zone))
+        return any(
+            now - one.last_seen_at <= RECENT_REPORT_AGE for one in self._peers.neighbours(zone)
+        )
 
     def _log_over_limit(
         self, tenant: RoutedTenant, request_id: str, lender: str, decision: CreditDecision
--- a/postvalve/gateway/status.py
+++ b/postvalve/gateway/status.py
@@ -20,7 +20,7 @@
             "state": "leaving" if peer.report.leaving else "running",
             "configuration_revision": peer.report.revision,
             "store": "by a peer" if peer.report.store_failing else "own",
-            "age": round(now - peer.heard_at, 2),
+            "age": round(now - peer.last_seen_at, 2),
         }
         for peer in sorted(peers.all(), key=lambda one: one.node_id)
     ]
@@ -33,9 +33,9 @@
     """
     facts = fleet.paces.summary(entry.service, entry.life, now)
     return {
-        "pace_first": round(facts.learnt.first, 2),
-        "pace_pause": round(facts.learnt.pause, 2),
-        "pace_held": round(facts.learnt.held, 2),
+        "pace_first": round(facts.estimated.first, 2),
+        "pace_pause": round(facts.estimated.pause, 2),
+        "pace_held": round(facts.estimated.held, 2),
         "pace_weight": round(facts.weight, 1),
         "pace_age": _rounded(facts.age),
         "pace_told": _rounded(facts.reported),
--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -165,7 +165,7 @@
         self.log = RecordingEventLog()
         self.callers = CallerAccounts(self.clock, self.log)
 
-    def tell(self, now):
+    def log_summary_at(self, now):
         """Return the events logged when `tell` is called at a given time."""
         self.log.written.clear()
         self.clock.monotonic.return_value = now
@@ -174,21 +174,21 @@
 
     def test_summary_is_periodic_and_only_after_new_counts(self):
         self.callers.accounts.record_request("ann", End.IN_TIME, 0.0)
-        self.assertEqual(self.tell(SUMMARY_INTERVAL - 0.1), [])
-        (line,) = self.tell(SUMMARY_INTERVAL)
+        self.assertEqual(self.log_summary_at(SUMMARY_INTERVAL - 0.1), [])
+        (line,) = self.log_summary_at(SUMMARY_INTERVAL)
         self.assertEqual(line["worst"], [{"tenant": "ann", "asked": 1, "in_time": 1}])
-        self.assertEqual(self.tell(2 * SUMMARY_INTERVAL), [])
+        self.assertEqual(self.log_summary_at(2 * SUMMARY_INTERVAL), [])
 
     def test_no_summary_without_named_tenants(self):
         self.callers.accounts.record_request("", End.NO_ROOM, 0.0)
-        self.assertEqual(self.tell(SUMMARY_INTERVAL), [])
+        self.assertEqual(self.log_summary_at(SUMMARY_INTERVAL), [])
 
     def test_summary_size_is_bounded(self):
         for number in range(500):
             self.callers.accounts.record_request(f"t{number}", End.IN_TIME, 0.0)
         for _ in range(9):
             self.callers.accounts.record_request("worst", End.NO_ROOM, 0.0)
-        (line,) = self.tell(SUMMARY_INTERVAL)
+        (line,) = self.log_summary_at(SUMMARY_INTERVAL)
         self.assertEqual(
             (len(line["largest"]), len(line["worst"])), (TENANTS_PER_LIST, TENANTS_PER_LIST)
         )
@@ -215,12 +215,12 @@
         full = EngineOccupancy(slots=1, online=2, batch=0, unread=0)
         self.fleet = mock.Mock(
             **{
-                "has_room.return_value": False,
+                "has_capacity.return_value": False,
                 "occupancies.return_value": [full],
                 "pace.return_value": ServiceLatency(),
             }
         )
-        self.room = AdmissionQueue(SystemClock(), self.log, self.fleet, mock.Mock(), mock.Mock())
+        self.queue = AdmissionQueue(SystemClock(), self.log, self.fleet, mock.Mock(), mock.Mock())
         self.waiting = []
         self.addCleanup(lambda: gevent.killall(self.waiting))
 
@@ -230,7 +230,7 @@
         terms = mock.Mock(request_id=f"r{number}", own_tokens=1, allowed=None, last_event_id=None)
         self.waiting.append(
             gevent.spawn(
-                self.room.admit, route, service, terms, rank, now, now + 60, lambda: False, tenant
+                self.queue.admit, route, service, terms, rank, now, now + 60, lambda: False, tenant
             )
         )
         gevent.sleep(0)
@@ -240,7 +240,7 @@
         self.enter(2)
         self.enter(3, tenant="bob")
         self.enter(4, service="other")
-        rows = {row["request"]: row for row in self.room.rows()}
+        rows = {row["request"]: row for row in self.queue.rows()}
         self.assertEqual(list(rows), ["r2", "r3", "r4", "r1"])
         behind = {name: row["behind"] for name, row in rows.items()}
         self.assertEqual(behind, {"r2": "", "r3": "r2", "r4": "", "r1": "r3"})
@@ -251,14 +251,14 @@
     def test_rows_and_log_fields_are_bounded(self):
         for number in range(MAX_ROWS + 10):
             self.enter(number)
-        self.assertEqual(len(self.room.rows()), MAX_ROWS)
+        self.assertEqual(len(self.queue.rows()), MAX_ROWS)
         _, last = self.log.written[-1]
         self.assertEqual(last["before"], MAX_ROWS + 9)
         self.assertEqual(len(last["ahead"]), MAX_LOGGED_AHEAD)
         self.assertEqual(last["ahead"][-1], f"r{MAX_ROWS + 8}")
 
     def test_log_fields_name_running_tenants(self):
-        self.room.holders = lambda: {"bob": 4}
+        self.queue.holders = lambda: {"bob": 4}
         self.enter(1)
         self.assertEqual(self.log.written[-1][1]["holders"], {"bob": 4})
 
@@ -369,8 +369,8 @@
         patched = mock.patch.object(
             CallerAccounts, "log_summary", autospec=True, side_effect=CallerAccounts.log_summary
         )
-        with patched as tell:
-            wait_until(lambda: tell.call_count == 2)
+        with patched as log_summary_at:
+            wait_until(lambda: log_summary_at.call_count == 2)
         self.assertEqual(self.fleet.events("n0", Event.TENANTS_SERVED), [])
 
 
--- a/tests/test_engine_watch.py
+++ b/tests/test_engine_watch.py
@@ -86,7 +86,7 @@
         self.network.deliver()
         self.assertEqual(requests, [(holder.name, engine, 90)])
 
-    def test_a_node_of_another_zone_tells_items_to_go_and_logs_it(self):
+    def test_a_node_of_another_zone_preempts_items_and_logs_it(self):
         holder = next(node for node in self.nodes if node.identity.zone == "z0")
         far = next(node for node in self.nodes if node.identity.zone == "z1")
         requests = []
--- a/tests/test_fair_share.py
+++ b/tests/test_fair_share.py
@@ -222,7 +222,7 @@
 SERVES = st.lists(st.tuples(st.just("serve"), NODE, st.booleans()), min_size=10, max_size=60)
 
 
-class ApartTest(unittest.TestCase):
+class FairnessBoundTest(unittest.TestCase):
     @settings(max_examples=300, deadline=None)
     @given(st.lists(STEPS, max_size=80))
     def test_waiting_tenants_differ_by_at_most_one_request_each_plus_faults(self, steps):
@@ -295,7 +295,7 @@
         self.assertAlmostEqual(tags[-1], INITIAL_TIME + MAX_COST + 9 * 1.0)
 
 
-class BookTest(unittest.TestCase):
+class TagAssignerTest(unittest.TestCase):
     def setUp(self):
         self.clock = ShareClock()
         self.assigner = TagAssigner(self.clock)
--- a/tests/test_feature_status.py
+++ b/tests/test_feature_status.py
@@ -28,7 +28,7 @@
         self.now, self.sequence, self.log = 0.0, 0, RecordingEventLog()
         self.peers = PeerView("me")
         self.peers.gate = FeatureGate(OWN)
-        self.heard = {}
+        self.peer_features = {}
         """Features of each reporting peer, by its name."""
         clock = mock.Mock(monotonic=lambda: self.now)
         self.feature_status = FeatureStatus(self.peers, clock, self.log)
@@ -43,10 +43,10 @@
             report = LoadReport(name, 1, self.sequence, zone="z", extensions=parts)
             self.peers.observe(report, self.now)
 
-    def play(self, seconds):
+    def advance(self, seconds):
         for _ in range(round(seconds / UPDATE_INTERVAL)):
             self.now += UPDATE_INTERVAL
-            for name, features in self.heard.items():
+            for name, features in self.peer_features.items():
                 self.report(name, features)
             self.peers.expire(self.now)
             self.feature_status.update()
@@ -57,64 +57,64 @@
 
 class EnablingTest(FeatureStatusCase):
     def test_a_starting_node_enables_nothing_before_it_has_settled(self):
-        self.heard = {"a": OWN}
-        self.play(SETTLE_TIME)
+        self.peer_features = {"a": OWN}
+        self.advance(SETTLE_TIME)
         self.assertEqual(self.peers.features(), Feature.NONE)
-        self.play(2 * UPDATE_INTERVAL)
+        self.advance(2 * UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), OWN)
 
     def test_the_first_report_of_an_older_build_disables_all_features(self):
-        self.heard = {"a": OWN}
-        self.play(2 * SETTLE_TIME)
+        self.peer_features = {"a": OWN}
+        self.advance(2 * SETTLE_TIME)
         self.report("old", None)
         self.assertEqual(self.peers.features(), Feature.NONE)
 
     def test_a_digest_without_features_disables_all_features(self):
-        self.heard = {"zone:far": OWN}
-        self.play(2 * SETTLE_TIME)
+        self.peer_features = {"zone:far": OWN}
+        self.advance(2 * SETTLE_TIME)
         self.assertEqual(self.peers.features(), OWN)
         self.report("zone:far", None)
         self.assertEqual(self.peers.features(), Feature.NONE)
 
     def test_only_features_that_a_peer_lacks_are_disabled(self):
-        self.heard = {"a": OWN}
-        self.play(2 * SETTLE_TIME)
+        self.peer_features = {"a": OWN}
+        self.advance(2 * SETTLE_TIME)
         self.report("old", SHARES)
         self.assertEqual(self.peers.features(), SHARES)
 
     def test_a_newer_build_disables_nothing(self):
-        self.heard = {"a": sum(Feature) | 1 << 30}
-        self.play(2 * SETTLE_TIME)
+        self.peer_features = {"a": sum(Feature) | 1 << 30}
+        self.advance(2 * SETTLE_TIME)
         self.assertEqual(self.peers.features(), OWN)
 
     def test_features_are_enabled_when_the_last_older_node_is_gone(self):
-        self.heard = {"a": OWN, "old": None}
-        self.play(2 * SETTLE_TIME)
-        del self.heard["old"]
-        self.play(SILENT_AFTER + SETTLE_TIME - UPDATE_INTERVAL)
+        self.peer_features = {"a": OWN, "old": None}
+        self.advance(2 * SETTLE_TIME)
+        del self.peer_features["old"]
+        self.advance(SILENT_AFTER + SETTLE_TIME - UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), Feature.NONE)
-        self.play(4 * UPDATE_INTERVAL)
+        self.advance(4 * UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), OWN)
 
     def test_a_starting_node_with_support_disables_nothing(self):
-        self.heard = {"a": OWN}
-        self.play(2 * SETTLE_TIME)
-        self.heard["new"] = OWN
-        self.play(UPDATE_INTERVAL)
+        self.peer_features = {"a": OWN}
+        self.advance(2 * SETTLE_TIME)
+        self.peer_features["new"] = OWN
+        self.advance(UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), OWN)
 
     def test_a_node_that_was_suspended_settles_again(self):
-        self.heard = {"a": OWN}
-        self.play(2 * SETTLE_TIME)
+        self.peer_features = {"a": OWN}
+        self.advance(2 * SETTLE_TIME)
         self.now += SETTLE_TIME
-        self.play(UPDATE_INTERVAL)
+        self.advance(UPDATE_INTERVAL)
         self.assertEqual(self.peers.features(), Feature.NONE)
 
-    def test_an_older_node_heard_intermittently_enables_nothing(self):
-        self.heard = {"a": OWN}
+    def test_an_older_node_seen_intermittently_enables_nothing(self):
+        self.peer_features = {"a": OWN}
         for _ in range(20):
             self.report("old", None)
-            self.play(SETTLE_TIME - UPDATE_INTERVAL)
+            self.advance(SETTLE_TIME - UPDATE_INTERVAL)
         self.assertEqual(self.logged_features(), [])
 
     def test_features_change_seldom_while_nodes_come_and_go(self):
@@ -123,10 +123,10 @@
         for _ in range(2_000):
             name = draw.choice(["a", "b", "c", "zone:far"])
             if draw.random() < 0.5:
-                self.heard.pop(name, None)
+                self.peer_features.pop(name, None)
             else:
-                self.heard[name] = draw.choice([OWN, OWN, OWN, SHARES, None])
-            self.play(draw.choice([UPDATE_INTERVAL, 2.0, 9.0]))
+                self.peer_features[name] = draw.choice([OWN, OWN, OWN, SHARES, None])
+            self.advance(draw.choice([UPDATE_INTERVAL, 2.0, 9.0]))
             self.assertFalse(self.peers.features() & ~self.peers.common_features())
         changes = len(self.logged_features())
         self.assertGreater(changes, 20)
@@ -135,27 +135,31 @@
 
 class ReportingTest(FeatureStatusCase):
     def test_each_change_is_logged_once_with_the_peers_that_lack_support(self):
-        self.heard = {"a": OWN}
-        self.play(2 * SETTLE_TIME)
-        self.heard["old"] = SHARES
-        self.play(SETTLE_TIME)
+        self.peer_features = {"a": OWN}
+        self.advance(2 * SETTLE_TIME)
+        self.peer_features["old"] = SHARES
+        self.advance(SETTLE_TIME)
         events = [event for event, _ in self.log.written]
         self.assertEqual(events, [Event.FEATURES_CHANGED] * 2)
         self.assertEqual(self.logged_features(), [["line", "batch_shares"], ["batch_shares"]])
         self.assertEqual(self.log.written[1][1]["lacking"], {"line": ["old"]})
 
     def test_status_shows_features_and_peers_that_lack_some(self):
-        self.heard = {"a": OWN, "zone:far": None}
-        self.play(UPDATE_INTERVAL)
+        self.peer_features = {"a": OWN, "zone:far": None}
+        self.advance(UPDATE_INTERVAL)
         far = ["zone:far"]
         peers = {"line batch_shares": 1, "none": 1}
-        wanted = {"own": ["line", "batch_shares"], "peers": peers, "lesser_peers": {"zone:far": []}}
-        wanted |= {"on": [], "off": {"line": far, "batch_shares": far}}
-        self.assertEqual(self.feature_status.fields(), wanted)
+        expected = {
+            "own": ["line", "batch_shares"],
+            "peers": peers,
+            "lesser_peers": {"zone:far": []},
+        }
+        expected |= {"on": [], "off": {"line": far, "batch_shares": far}}
+        self.assertEqual(self.feature_status.fields(), expected)
 
     def test_status_shows_that_a_feature_settles(self):
-        self.heard = {"a": LINE | SHARES}
-        self.play(UPDATE_INTERVAL)
+        self.peer_features = {"a": LINE | SHARES}
+        self.advance(UPDATE_INTERVAL)
         self.assertEqual(self.feature_status.fields()["off"]["line"], ["settling, 10 s"])
 
     def test_status_document_of_a_node_includes_the_features(self):
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -143,7 +143,7 @@
         one.observe("two", two.report())
         self.assertEqual(one.total("e").memory, 100)
 
-    def test_more_unread_tokens_than_a_report_can_tell(self):
+    def test_more_unread_tokens_than_a_report_can_hold(self):
         one, two = EngineUse(), EngineUse()
         two.enter("e", batch=False, unread=1 << 40)
         one.observe("two", two.report())
@@ -189,25 +189,25 @@
         short = EngineOption("a", "near", 10, 1, memory_short=50)
         self.assertEqual(self.choose([short, option("b", "near", 8)]), "b")
 
-    def test_an_engine_that_is_still_cold_is_left_alone_while_others_have_room(self):
+    def test_a_cold_engine_is_avoided_while_others_have_capacity(self):
         cold = EngineOption("a", "near", 10, 0, cold=True)
         self.assertEqual(self.choose([cold, option("b", "near", 8)]), "b")
         self.assertEqual(self.choose([cold, option("b", "near", 10)]), "a")
 
     def test_a_cached_prefix_is_given_up_when_processing_it_again_costs_less(self):
-        keeper = EngineChooser("near", random.Random(1))
+        chooser = EngineChooser("near", random.Random(1))
         options = [option("a", "near", 0), option("b", "near", 0)]
-        best = keeper.choose(options, "key", 5_000)
+        best = chooser.choose(options, "key", 5_000)
         self.assertEqual(best.shared_unread, 0)
         busy = [
             option(one.life, "near", 0, unread=6_000 if one == best.option else 0)
             for one in options
         ]
-        other = keeper.choose(busy, "key", 5_000)
+        other = chooser.choose(busy, "key", 5_000)
         self.assertNotEqual(other.life, best.life)
         self.assertEqual(other.shared_unread, 5_000)
 
-    def test_an_engine_that_this_node_watches_over_goes_first_while_it_has_room(self):
+    def test_a_watched_engine_is_preferred_while_it_has_capacity(self):
         def choose(in_flight, zone="near", key="", tokens=0):
             others = [option(f"e{number}", "near", 1) for number in range(20)]
             chooser = EngineChooser("near", random.Random(1))
@@ -304,7 +304,7 @@
             counts[fleet.place_batch("s", 100, 100, (), pressing=False).engine.life] += 1
         self.assertLessEqual(max(counts.values()), 8)
 
-    def test_items_that_have_time_leave_cold_engines_alone(self):
+    def test_items_that_are_not_pressing_avoid_cold_engines(self):
         entries = [
             EngineEntry(
                 EngineLife(name), "s", f"{name}:1", "near", 10, EngineState.READY, warm_in=warm_in
@@ -313,16 +313,16 @@
         ]
         self.fleet.update(entries)
 
-        def rooms():
+        def capacities():
             # Listing the same entries again must not change anything.
             self.fleet.update(entries)
             return [self.fleet.batch_capacity("s", pressing=one) for one in (False, True)]
 
-        self.assertEqual(rooms(), [6, 18])
+        self.assertEqual(capacities(), [6, 18])
         self.clock.monotonic.return_value = 4.9
-        self.assertEqual(rooms(), [6, 18])
+        self.assertEqual(capacities(), [6, 18])
         self.clock.monotonic.return_value = 5.1
-        self.assertEqual(rooms(), [12, 18])
+        self.assertEqual(capacities(), [12, 18])
 
     def test_an_item_larger_than_the_memory_is_left_to_an_empty_engine(self):
         self.assertEqual(self.place(50_000), "n")
--- a/tests/test_item_decisions.py
+++ b/tests/test_item_decisions.py
@@ -36,7 +36,7 @@
         st.lists(st.lists(st.integers(0, 50), max_size=10), min_size=1, max_size=5),
         st.integers(0, 20),
     )
-    def test_nodes_with_the_same_view_start_no_more_than_the_free_slots(self, nodes, room):
+    def test_nodes_with_the_same_view_start_no_more_than_the_free_slots(self, nodes, free_slots):
         """Compares with a reference model that orders all items in one list."""
         # Due times are distinct between nodes: equal ones form one group, and a tie counts for all
         # nodes.
@@ -51,8 +51,8 @@
                 if other != number
                 for group in group_by_due(due)
             ]
-            started += count_startable(own, others, room)
-        naive = min(room, sum(len(own) for own in distinct))
+            started += count_startable(own, others, free_slots)
+        naive = min(free_slots, sum(len(own) for own in distinct))
         self.assertEqual(started, naive)
 
 
@@ -96,7 +96,7 @@
         self.victims.select(1, running, 1, 0.0)
         self.assertEqual(self.victims.select(1, running, 1, PREEMPT_NOTICE_TIMEOUT + 0.01), running)
 
-    def test_engines_are_independent_and_no_excess_notifies_nobody(self):
+    def test_engines_are_independent_and_no_excess_preempts_nothing(self):
         self.assertEqual(self.victims.select(1, [(5, "a")], 0, 0.0), [])
         self.victims.select(1, [(5, "a")], 1, 0.0)
         self.assertEqual(self.victims.select(2, [(5, "a")], 1, 0.0), [(5, "a")])
--- a/tests/test_latency_estimate.py
+++ b/tests/test_latency_estimate.py
@@ -198,7 +198,7 @@
     def observe_factor(self, life, factor):
         for _ in range(20):
             for aspect in PaceMetric:
-                self.fleet.paces.learnt.observe(life, aspect, 0.05 * factor, 0.05, 100.0)
+                self.fleet.paces.estimator.observe(life, aspect, 0.05 * factor, 0.05, 100.0)
         self.clock.monotonic.return_value += 1.0
         self.fleet.paces.update()
 
@@ -224,13 +224,13 @@
         self.assertGreaterEqual(counts[self.lives[0]], SLOTS // 2)
 
     def test_zone_queue_grants_no_more_than_the_capacity(self):
-        """A grant goes to an engine at once, whether or not `has_room` is true."""
+        """A grant goes to an engine at once, whether or not `has_capacity` is true."""
         self.fleet.pause_aim = lambda service: 0.15
         for life in self.lives:
             self.observe_factor(life, 2.5)
         identity = mock.Mock(zone="z")
         line = SharedZoneQueue(mock.Mock(fleet=self.fleet, identity=identity, clock=self.clock))
-        while self.fleet.has_room(SERVICE):
+        while self.fleet.has_capacity(SERVICE):
             self.place()
         online = sum(self.fleet.use.total(life).online for life in self.lives)
         self.assertLess(online, len(self.lives) * SLOTS)
@@ -281,5 +281,5 @@
             EngineEntry(life, SERVICE, f"{life}:1", "z", SLOTS, EngineState.READY)
             for life in (again, *self.lives[1:])
         )
-        self.assertFalse(self.fleet.paces.learnt.differs(SERVICE))
-        self.assertEqual(self.fleet.paces.learnt.factors(engine_hash(again)).pause, 1.0)
+        self.assertFalse(self.fleet.paces.estimator.differs(SERVICE))
+        self.assertEqual(self.fleet.paces.estimator.factors(engine_hash(again)).pause, 1.0)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -42,8 +42,8 @@
 from postvalve.gateway.serving.peer_queue_heads import MAX_REPORT_AGE
 from tests.gateway_support import RecordingEventLog
 from tests.test_fair_share import bursts, skewed
-from tests.test_holding import DEADLINE, TARGET_LATENCY, request, room, trained
 from tests.test_latency_estimate import make_latency
+from tests.test_online_admission import DEADLINE, TARGET_LATENCY, make_occupancy, request, trained
 
 ENGINES, SLOTS, SLOT_TIME = 5, 8, 0.8
 CAPACITY = ENGINES * SLOTS / SLOT_TIME
@@ -58,7 +58,7 @@
         return decide_in_order(request(**terms), occupancies, trained(), now, ahead)
 
     def test_requests_start_while_there_is_capacity(self):
-        occupancies = [room(8 + MAX_ENGINE_QUEUE), room(6)]
+        occupancies = [make_occupancy(8 + MAX_ENGINE_QUEUE), make_occupancy(6)]
         places = free_capacity(occupancies, trained())
         self.assertIs(self.decide(occupancies, ahead=places - 1), AdmissionAction.START)
         self.assertIs(self.decide(occupancies, ahead=places), AdmissionAction.HOLD)
@@ -75,16 +75,20 @@
         self.assertIs(decide_in_order(request(), [slow], pace, 0.0, 0), AdmissionAction.START)
 
     def test_request_too_far_behind_is_refused_at_once(self):
-        self.assertIs(self.decide([room(9)], ahead=50, may_retry=True), AdmissionAction.REFUSE)
-        self.assertIs(self.decide([room(9)], ahead=50), AdmissionAction.HOLD)
+        self.assertIs(
+            self.decide([make_occupancy(9)], ahead=50, may_retry=True), AdmissionAction.REFUSE
+        )
+        self.assertIs(self.decide([make_occupancy(9)], ahead=50), AdmissionAction.HOLD)
 
     def test_first_request_is_held_while_it_can_be_in_time(self):
         for now in (0.0, 0.05):
-            self.assertIs(self.decide([room(9)], now=now, may_retry=True), AdmissionAction.HOLD)
+            self.assertIs(
+                self.decide([make_occupancy(9)], now=now, may_retry=True), AdmissionAction.HOLD
+            )
 
     def test_hold_limit_equals_that_without_shares(self):
         for now in [number / 100 for number in range(100)]:
-            action = self.decide([room(30)], 500, now)
+            action = self.decide([make_occupancy(30)], 500, now)
             self.assertIs(action is AdmissionAction.START, now >= TARGET_LATENCY * HOLD_SHARE, now)
 
     def test_retry_after_is_not_negative(self):
@@ -248,7 +252,7 @@
                 self.assertGreater(others[False], others[True])
 
 
-class NewsTest(unittest.TestCase):
+class ShareUpdateTest(unittest.TestCase):
     def test_update_round_trip_and_merge(self):
         key = service_hash("s")
         update = ShareUpdate(5.0, {key: QueuePosition((0, 1), 7.0)})
@@ -264,7 +268,7 @@
             self.assertIsNone(unpack_share_update(data))
 
 
-class RoomCase(unittest.TestCase):
+class AdmissionQueueCase(unittest.TestCase):
     """An admission queue, with engines that a test fills and frees, and a clock that it
     advances."""
 
@@ -274,16 +278,16 @@
         self.started, self.refused = [], []
         self.clock = mock.Mock(monotonic=lambda: self.now)
         self.fleet = mock.Mock(
-            occupancies=lambda service: [room(self.online)],
-            has_room=lambda service: self.online < 8,
+            occupancies=lambda service: [make_occupancy(self.online)],
+            has_capacity=lambda service: self.online < 8,
             pace=lambda service: self.pace,
         )
         self.pace = trained()
-        self.room = AdmissionQueue(
+        self.queue = AdmissionQueue(
             self.clock, RecordingEventLog(), self.fleet, random.Random(1), mock.Mock()
         )
         # Tests trigger evaluations themselves.
-        self.room._evaluator = mock.Mock()
+        self.queue._evaluator = mock.Mock()
 
     def send(self, name, tag=None, rank=(0, 0), allowed=None, age=0.0):
         terms = RequestTerms(name, allowed, None, "", 0, 450, 0)
@@ -293,7 +297,7 @@
 
         def admit():
             try:
-                self.room.admit(route, "s", terms, rank, at, at + DEADLINE, lambda: False, tag=tag)
+                self.queue.admit(route, "s", terms, rank, at, at + DEADLINE, lambda: False, tag=tag)
             except RefusedError:
                 self.refused.append(name)
             else:
@@ -305,27 +309,27 @@
 
     def evaluate(self, now=None):
         self.now = self.now if now is None else now
-        self.room._reevaluate()
+        self.queue._reevaluate()
         for _ in range(3):
             gevent.sleep(0)
 
     def receive_queue_head(self, tag, peer="p"):
-        self.room.peer_queue_heads.update(
+        self.queue.peer_queue_heads.update(
             peer, ShareUpdate(1.0, {service_hash("s"): QueuePosition((0, 0), tag)})
         )
 
 
-class TurnTest(RoomCase):
+class TurnTest(AdmissionQueueCase):
     def test_slots_beyond_capacity_are_not_drawn_for(self):
         """Otherwise nodes would draw for slots that no request may use."""
         self.pace = make_latency(longest=0.4)
         slow = EngineOccupancy(SLOTS, SLOTS // 2, 0, 0, PaceFactors(2.0, 2.0, 2.0), 0.41)
-        self.room.nodes = lambda: 100
+        self.queue.nodes = lambda: 100
         entry = mock.Mock(service="s")
-        self.assertTrue(all(self.room._is_turn(entry, [slow]) for _ in range(50)))
+        self.assertTrue(all(self.queue._is_turn(entry, [slow]) for _ in range(50)))
 
 
-class OrderTest(RoomCase):
+class OrderTest(AdmissionQueueCase):
     def test_priority_then_share_then_time_left(self):
         self.send("late", 5.0)
         self.send("share", 3.0, age=0.0)
@@ -369,7 +373,7 @@
 
     def test_started_requests_report_the_first_waiting_tag(self):
         served = []
-        self.room.on_started = lambda tag, first: served.append((tag, first))
+        self.queue.on_started = lambda tag, first: served.append((tag, first))
         self.receive_queue_head(4.0)
         self.send("a", 3.0)
         self.send("b", 6.0)
@@ -387,10 +391,10 @@
         self.assertFalse(set(kept) & set(self.refused))
 
 
-class LookerTest(RoomCase):
+class EvaluatorTest(AdmissionQueueCase):
     def test_request_that_arrives_while_the_evaluator_ends_is_evaluated(self):
         """An update may block on a full socket buffer, while other greenlets go on."""
-        self.room._evaluator = None
+        self.queue._evaluator = None
         updates = []
 
         def update_waiting(waiting):
@@ -401,7 +405,7 @@
                 self.send("second", 2.0)
                 self.online = 7
 
-        self.room.zone_queue = mock.Mock(
+        self.queue.zone_queue = mock.Mock(
             is_coordinated=lambda service: False,
             is_granted=lambda service, number: False,
             requests_ahead=lambda service, number: None,
@@ -413,11 +417,11 @@
         self.assertEqual(self.started, ["first", "second"])
 
 
-class WithoutSharesTest(RoomCase):
+class WithoutSharesTest(AdmissionQueueCase):
     """Without tags the order is by priority and arrival, with draws; a plain copy must decide
     alike."""
 
-    def plain(self, held, occupancies, draws):
+    def decide_without_shares(self, held, occupancies, draws):
         """Return which requests `(rank, arrived at, can retry)` start and which are refused."""
         started, refused = [], []
         for name, (_, at, can_retry) in sorted(held.items(), key=lambda item: item[1][:2]):
@@ -438,7 +442,7 @@
     def test_decisions_without_shares_equal_plain_copy(self):
         for seed in range(30):
             self.setUp()
-            self.room.nodes = lambda: 5
+            self.queue.nodes = lambda: 5
             draw = random.Random(seed)
             held = {}
             for number in range(12):
@@ -452,13 +456,13 @@
             self.now = draw.uniform(0.12, 0.3)
             self.online = draw.choice((6, 7, 8, 9, 30))
             draws = random.Random(1)
-            expected = self.plain(held, [room(self.online)], draws)
+            expected = self.decide_without_shares(held, [make_occupancy(self.online)], draws)
             self.evaluate()
             self.assertEqual(sorted(self.started), sorted(expected[0]))
             self.assertEqual(sorted(self.refused), sorted(expected[1]))
 
 
-class HeldTest(unittest.TestCase):
+class HoldLimitTest(unittest.TestCase):
     def test_hold_limit(self):
         self.assertFalse(hold_expired(request(), TARGET_LATENCY * HOLD_SHARE - 0.001))
         self.assertTrue(hold_expired(request(), TARGET_LATENCY * HOLD_SHARE))
--- a/tests/test_many_engines.py
+++ b/tests/test_many_engines.py
@@ -67,23 +67,23 @@
                 )
                 self.assertLessEqual(considered, MAX_CONSIDERED, engines)
 
-    def test_the_check_for_room_stops_at_the_first_engine_that_has_some(self):
+    def test_the_capacity_check_stops_at_the_first_engine_with_capacity(self):
         fleet = self.fleet_of(MANY)
         self.assertEqual(
-            self.count_considered(fleet, lambda: self.assertTrue(fleet.has_room("s"))), 1
+            self.count_considered(fleet, lambda: self.assertTrue(fleet.has_capacity("s"))), 1
         )
         self.fill(fleet, [one.life for one in fleet.engines("s")])
-        self.assertFalse(fleet.has_room("s"))
-        self.assertTrue(fleet.has_room("nobody serves this"))
+        self.assertFalse(fleet.has_capacity("s"))
+        self.assertTrue(fleet.has_capacity("nobody serves this"))
 
-    def test_room_at_failed_engines_counts_if_no_engine_is_healthy(self):
+    def test_capacity_of_failed_engines_counts_if_no_engine_is_healthy(self):
         fleet = self.fleet_of(2)
         first, second = (one.life for one in fleet.engines("s"))
         self.fill(fleet, [second])
         fleet.record_failure(first, "closed")
-        self.assertFalse(fleet.has_room("s"))
+        self.assertFalse(fleet.has_capacity("s"))
         fleet.record_failure(second, "closed")
-        self.assertTrue(fleet.has_room("s"))
+        self.assertTrue(fleet.has_capacity("s"))
 
     def test_requests_spread_over_all_engines_of_the_zone(self):
         fleet = self.fleet_of(MANY)
@@ -122,8 +122,8 @@
         owners = Owners()
         for keys, nodes in changes:
             owners.update(sorted(keys), sorted(nodes))
-            wanted = {key: preferred_owner(key, nodes) for key in keys} if nodes else {}
-            self.assertEqual(owners.of, wanted)
+            expected = {key: preferred_owner(key, nodes) for key in keys} if nodes else {}
+            self.assertEqual(owners.of, expected)
 
     def test_the_cost_of_a_change_depends_on_the_change(self):
         keys = [f"e{number}" for number in range(1_000)]
--- a/tests/test_holding.py
+++ b/tests/test_online_admission.py
@@ -45,7 +45,7 @@
     return pace
 
 
-def room(online, batch=0, slots=8, unread=0):
+def make_occupancy(online, batch=0, slots=8, unread=0):
     return EngineOccupancy(slots, online, batch, unread)
 
 
@@ -108,44 +108,46 @@
 class WaitTest(unittest.TestCase):
     def test_free_slots_cost_nothing_and_queues_by_their_length(self):
         pace = trained()
-        self.assertEqual(queue_wait(room(7), pace), 0.0)
-        self.assertAlmostEqual(queue_wait(room(8), pace), 0.1)
-        self.assertAlmostEqual(queue_wait(room(11), pace), 0.4)
+        self.assertEqual(queue_wait(make_occupancy(7), pace), 0.0)
+        self.assertAlmostEqual(queue_wait(make_occupancy(8), pace), 0.1)
+        self.assertAlmostEqual(queue_wait(make_occupancy(11), pace), 0.4)
 
     def test_batch_items_are_preempted(self):
         pace = trained()
-        self.assertLessEqual(queue_wait(room(4, batch=4), pace), 0.15)
-        self.assertLessEqual(queue_wait(room(7, batch=8), pace), 0.15)
+        self.assertLessEqual(queue_wait(make_occupancy(4, batch=4), pace), 0.15)
+        self.assertLessEqual(queue_wait(make_occupancy(7, batch=8), pace), 0.15)
 
     def test_prompts_ahead_are_processed_first(self):
         pace = ServiceLatency()
         for tokens in range(0, 40_000, 500):
             pace.observe_first_event(tokens, 0.05 + tokens / 60_000)
             pace.observe_slot_time(0.5)
-        first = expected_first_event(room(1, unread=30_000), 6_000, pace)
+        first = expected_first_event(make_occupancy(1, unread=30_000), 6_000, pace)
         self.assertAlmostEqual(first, 0.65, delta=0.01)
 
 
 class DecisionTest(unittest.TestCase):
-    def decide(self, rooms, now=0.0, pace=None, **terms):
-        return decide(request(**terms), rooms, pace or trained(), now)
+    def decide(self, occupancies, now=0.0, pace=None, **terms):
+        return decide(request(**terms), occupancies, pace or trained(), now)
 
     def test_a_free_slot_is_taken(self):
         for now in (0.0, 0.9, 4.0):
-            self.assertIs(self.decide([room(8), room(7)], now), AdmissionAction.START)
+            self.assertIs(
+                self.decide([make_occupancy(8), make_occupancy(7)], now), AdmissionAction.START
+            )
         self.assertIs(self.decide([]), AdmissionAction.START)
 
     def test_a_short_queue_is_joined_while_the_request_can_be_in_time(self):
-        self.assertIs(self.decide([room(9)]), AdmissionAction.START)
-        self.assertIs(self.decide([room(10)]), AdmissionAction.HOLD)
-        self.assertIs(self.decide([room(9)], now=0.1), AdmissionAction.HOLD)
+        self.assertIs(self.decide([make_occupancy(9)]), AdmissionAction.START)
+        self.assertIs(self.decide([make_occupancy(10)]), AdmissionAction.HOLD)
+        self.assertIs(self.decide([make_occupancy(9)], now=0.1), AdmissionAction.HOLD)
 
     def test_online_work_does_not_wait_behind_batch(self):
         for now in (0.0, 0.5):
-            self.assertIs(self.decide([room(3, batch=9)], now), AdmissionAction.START)
+            self.assertIs(self.decide([make_occupancy(3, batch=9)], now), AdmissionAction.START)
 
     def test_a_client_that_can_retry_is_refused_soon_or_not_at_all(self):
-        full = [room(12)]
+        full = [make_occupancy(12)]
         times = [number / 1000 for number in range(0, 1_250, 5)]
         rulings = [self.decide(full, now, may_retry=True) for now in times]
         refused = [
@@ -156,15 +158,16 @@
 
     def test_a_client_that_cannot_retry_is_never_refused(self):
         for now in (0.0, 0.03, 0.05, 0.5, 2.0):
-            self.assertIsNot(self.decide([room(30)], now), AdmissionAction.REFUSE)
+            self.assertIsNot(self.decide([make_occupancy(30)], now), AdmissionAction.REFUSE)
 
     def test_no_request_is_held_forever(self):
         self.assertIs(
-            self.decide([room(30)], TARGET_LATENCY * HOLD_SHARE + 0.01), AdmissionAction.START
+            self.decide([make_occupancy(30)], TARGET_LATENCY * HOLD_SHARE + 0.01),
+            AdmissionAction.START,
         )
         unknown = ServiceLatency()
         self.assertIs(
-            self.decide([room(30)], TARGET_LATENCY * HOLD_SHARE + 0.01, pace=unknown),
+            self.decide([make_occupancy(30)], TARGET_LATENCY * HOLD_SHARE + 0.01, pace=unknown),
             AdmissionAction.START,
         )
 
@@ -172,30 +175,38 @@
         for can_retry in (False, True):
             for now in (0.0, 0.04, 1.0):
                 terms = request(may_retry=can_retry)
-                ruling = decide(terms, [room(30)], trained(), now, persistent=True)
+                ruling = decide(terms, [make_occupancy(30)], trained(), now, persistent=True)
                 self.assertIs(ruling, AdmissionAction.START)
 
     def test_without_estimates_a_queue_of_one_is_allowed(self):
         unknown = ServiceLatency()
-        self.assertIs(self.decide([room(8)], pace=unknown), AdmissionAction.START)
-        self.assertIs(self.decide([room(9), room(9)], pace=unknown), AdmissionAction.HOLD)
+        self.assertIs(self.decide([make_occupancy(8)], pace=unknown), AdmissionAction.START)
+        self.assertIs(
+            self.decide([make_occupancy(9), make_occupancy(9)], pace=unknown), AdmissionAction.HOLD
+        )
 
     @given(
-        st.lists(st.builds(room, st.integers(0, 30), st.integers(0, 8)), min_size=1, max_size=6),
+        st.lists(
+            st.builds(make_occupancy, st.integers(0, 30), st.integers(0, 8)), min_size=1, max_size=6
+        ),
         st.floats(0, 6),
         st.booleans(),
     )
-    def test_refusals_are_only_made_where_all_slots_serve_online_work(self, rooms, now, can_retry):
-        ruling = self.decide(rooms, now, may_retry=can_retry)
+    def test_refusals_are_only_made_where_all_slots_serve_online_work(
+        self, occupancies, now, can_retry
+    ):
+        ruling = self.decide(occupancies, now, may_retry=can_retry)
         if ruling is AdmissionAction.REFUSE:
-            self.assertTrue(all(one.online >= one.slots for one in rooms))
+            self.assertTrue(all(one.online >= one.slots for one in occupancies))
             self.assertTrue(can_retry)
 
-    def test_nobody_is_refused_beside_a_free_slot_however_slow_the_engines_are(self):
+    def test_no_request_is_refused_while_a_slot_is_free(self):
         slow = trained(first=1.0)
-        for rooms in ([room(30), room(7)], [room(7, batch=9)]):
+        for occupancies in ([make_occupancy(30), make_occupancy(7)], [make_occupancy(7, batch=9)]):
             for now in (0.0, 0.04, 0.05):
-                self.assertIs(self.decide(rooms, now, slow, may_retry=True), AdmissionAction.START)
+                self.assertIs(
+                    self.decide(occupancies, now, slow, may_retry=True), AdmissionAction.START
+                )
 
     def test_more_requests_are_in_time_than_first_come_first_served(self):
         """Compares the rule with a plain queue in front of one engine, on the same arrivals."""
@@ -223,7 +234,7 @@
             backlog = online if last <= now + 0.8 else 8 + round((last - now - 0.8) / 0.1)
             if ruled:
                 terms = PendingRequest(arrived_at, TARGET_LATENCY, arrived_at + DEADLINE, 450, True)
-                ruling = decide(terms, [room(max(online, backlog))], pace, now)
+                ruling = decide(terms, [make_occupancy(max(online, backlog))], pace, now)
                 if ruling is AdmissionAction.REFUSE:
                     queue.remove(arrived_at)  # the client retries after the burst
                 if ruling is not AdmissionAction.START:
@@ -237,7 +248,7 @@
 
 
 class EpisodeTest(unittest.TestCase):
-    def test_overload_lengths_are_learnt_after_an_initial_guess(self):
+    def test_overload_lengths_are_estimated_after_an_initial_guess(self):
         episodes = OverloadEpisodes()
         self.assertEqual(episodes.seconds_left(0.0), 0.0)
         now = 0.0
@@ -251,7 +262,7 @@
         self.assertAlmostEqual(episodes.seconds_left(now), 1.8, delta=0.1)
         self.assertEqual(episodes.seconds_left(now + EPISODE_GAP + 0.1), 0.0)
 
-    def test_an_overload_persists_until_everybody_finds_room_for_a_while(self):
+    def test_an_overload_persists_until_slots_have_been_free_for_a_while(self):
         episodes = OverloadEpisodes()
         now = 0.0
         while now < 10.0:
@@ -305,7 +316,7 @@
     def running(self):
         wait_until(lambda: self.engine.running == 1)
 
-    def test_what_cannot_be_in_time_is_refused_with_a_time_to_come_back(self):
+    def test_a_request_that_cannot_be_in_time_is_refused_with_a_retry_time(self):
         self.train()
         first = self.send(1)
         self.running()
--- a/tests/test_online_means.py
+++ b/tests/test_online_averages.py
@@ -8,34 +8,34 @@
 
 class OnlineAveragesTest(unittest.TestCase):
     def test_the_average_is_that_of_the_previous_window(self):
-        means = OnlineAverages()
+        averages = OnlineAverages()
         for online in (2, 4, 6):
-            means.record(1, online)
-        self.assertEqual(means.average(1), 0.0)
-        means.advance(WINDOW)
-        means.record(1, 8)
-        self.assertEqual(means.average(1), 4.0)
-        means.advance(2 * WINDOW)
-        self.assertEqual(means.average(1), 8.0)
+            averages.record(1, online)
+        self.assertEqual(averages.average(1), 0.0)
+        averages.advance(WINDOW)
+        averages.record(1, 8)
+        self.assertEqual(averages.average(1), 4.0)
+        averages.advance(2 * WINDOW)
+        self.assertEqual(averages.average(1), 8.0)
 
     def test_an_unchanged_count_persists(self):
-        means = OnlineAverages()
+        averages = OnlineAverages()
         for online in (9, 3):
-            means.record(1, online)
-        means.advance(5 * WINDOW)
-        self.assertEqual(means.average(1), 3.0)
+            averages.record(1, online)
+        averages.advance(5 * WINDOW)
+        self.assertEqual(averages.average(1), 3.0)
 
-    def test_engines_without_online_work_are_forgotten(self):
-        means = OnlineAverages()
+    def test_engines_without_online_work_are_removed(self):
+        averages = OnlineAverages()
         for engine in range(100):
-            means.record(engine, 1)
-            means.record(engine, 0)
-        means.record(7, 1)
-        means.advance(WINDOW * (KEPT_WINDOWS + 1))
-        self.assertEqual(list(means._engines), [7])
+            averages.record(engine, 1)
+            averages.record(engine, 0)
+        averages.record(7, 1)
+        averages.advance(WINDOW * (KEPT_WINDOWS + 1))
+        self.assertEqual(list(averages._engines), [7])
 
 
-class RoomInBurstTest(unittest.TestCase):
+class CapacityInBurstTest(unittest.TestCase):
     def use(self, before, now):
         use = EngineUse()
         for _ in range(before):
@@ -86,8 +86,8 @@
             steady, fresh = self.use(3, 3), EngineUse()
             for _ in range(3):
                 fresh.enter("e", batch=False)
-            rooms = [one.batch_capacity("e", 8, pressing=pressing) for one in (steady, fresh)]
-            self.assertEqual(rooms[0], rooms[1])
+            capacities = [one.batch_capacity("e", 8, pressing=pressing) for one in (steady, fresh)]
+            self.assertEqual(capacities[0], capacities[1])
 
 
 if __name__ == "__main__":
--- a/tests/test_pace_reports.py
+++ b/tests/test_pace_reports.py
@@ -40,8 +40,8 @@
     def make_slow(self, node):
         paces = node.reports._fleet.paces
         for _ in range(20):
-            paces.learnt.observe(SLOW, PaceMetric.PAUSE, 0.1, 0.05, self.clock.now)
-        paces.learnt.update(self.clock.now)
+            paces.estimator.observe(SLOW, PaceMetric.PAUSE, 0.1, 0.05, self.clock.now)
+        paces.estimator.update(self.clock.now)
         self.assertTrue(paces.reports_pace(SERVICE))
 
     def check_all_received(self, sender):
--- a/tests/test_read_ahead.py
+++ b/tests/test_read_ahead.py
@@ -187,7 +187,7 @@
         self.budget.take(first, 200, 100.0)
         self.assertEqual(self.budget.take(first, 150, 100.5), [second])
 
-    def test_request_beyond_the_budget_evicts_nobody_else(self):
+    def test_request_beyond_the_budget_evicts_no_other_request(self):
         other, asking = self.hold("a", 100, 0.0), BufferAccount("b")
         self.assertEqual(self.budget.take(asking, LIMIT + 1, 1.0), [asking])
         self.assertIsNone(other.cause)
--- a/tests/test_relayed_topics.py
+++ b/tests/test_relayed_topics.py
@@ -12,8 +12,8 @@
 from postvalve.core.membership.store_reachability import (
     AVOID_TIME,
     FAILING_AFTER,
-    HEARD_WITHIN,
     PROBE_INTERVAL,
+    RECENT_REPORT_AGE,
     AvoidedPeers,
     RelayTimeout,
     StoreReachability,
@@ -82,8 +82,8 @@
 
     def test_a_silent_peer_is_not_used(self):
         peers = view(report("a"))
-        self.assertEqual(relay_address(peers, "z", HEARD_WITHIN), "at-a")
-        self.assertIsNone(relay_address(peers, "z", HEARD_WITHIN + 0.1))
+        self.assertEqual(relay_address(peers, "z", RECENT_REPORT_AGE), "at-a")
+        self.assertIsNone(relay_address(peers, "z", RECENT_REPORT_AGE + 0.1))
 
     def test_a_peer_that_did_not_answer_is_avoided_for_a_while(self):
         avoided = AvoidedPeers()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -28,24 +28,24 @@
 
 
 class AnswerTimeoutTest(unittest.TestCase):
-    def patience(self, *latencies):
-        patience = AnswerTimeout()
+    def make_timeout(self, *latencies):
+        timeout = AnswerTimeout()
         for seconds in latencies:
-            patience.record(seconds)
-        return patience
+            timeout.record(seconds)
+        return timeout
 
     def test_a_fast_store_gets_a_short_timeout_also_for_long_polls(self):
-        patience = self.patience(*[0.01] * 5)
-        self.assertEqual(patience.seconds(0.0), QUICK_ANSWER_TIMEOUT)
-        self.assertEqual(patience.seconds(0.8), 0.8 + QUICK_ANSWER_TIMEOUT)
+        timeout = self.make_timeout(*[0.01] * 5)
+        self.assertEqual(timeout.seconds(0.0), QUICK_ANSWER_TIMEOUT)
+        self.assertEqual(timeout.seconds(0.8), 0.8 + QUICK_ANSWER_TIMEOUT)
 
     def test_a_slow_or_unknown_store_gets_the_full_timeout(self):
-        for patience in (self.patience(), self.patience(*[0.01] * 5, 0.4)):
-            self.assertEqual(patience.seconds(0.8), 0.8 + ANSWER_TIMEOUT)
+        for timeout in (self.make_timeout(), self.make_timeout(*[0.01] * 5, 0.4)):
+            self.assertEqual(timeout.seconds(0.8), 0.8 + ANSWER_TIMEOUT)
 
     def test_the_timeout_is_short_again_after_a_few_fast_answers(self):
-        patience = self.patience(*[0.01] * 5, QUICK_ANSWER_TIMEOUT, *[0.005] * 3)
-        self.assertEqual(patience.seconds(0.0), QUICK_ANSWER_TIMEOUT)
+        timeout = self.make_timeout(*[0.01] * 5, QUICK_ANSWER_TIMEOUT, *[0.005] * 3)
+        self.assertEqual(timeout.seconds(0.0), QUICK_ANSWER_TIMEOUT)
 
 
 class StoreTest(unittest.TestCase):
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -204,22 +204,22 @@
 
     def watch_budget(self):
         """Return a list whose last entry is the most that was held so far."""
-        most = [0]
+        peak = [0]
 
-        def look():
+        def sample():
             while True:
-                most.append(max(most.pop(), self.budget.held))
+                peak.append(max(peak.pop(), self.budget.held))
                 gevent.sleep(0.002)
 
-        greenlet = gevent.spawn(look)
+        greenlet = gevent.spawn(sample)
         self.addCleanup(greenlet.kill)
-        return most
+        return peak
 
     def test_largest_and_oldest_is_disconnected(self):
         self.budget.limit = 3 * (SIZE + EVENTS * EVENT_OVERHEAD)
         # Lets one buffer hold a complete response here.
         self.budget.stream_share = 1.0
-        most = self.watch_budget()
+        peak = self.watch_budget()
         connections = {}
         for name in ("first", "second", "third", "fourth"):
             connections[name] = self.send(name)
@@ -232,7 +232,7 @@
         self.assertFalse(read_answer(connections.pop("first")).whole)
         for name, connection in connections.items():
             self.assertEqual(read_answer(connection).body, whole_stream(name))
-        self.assertLessEqual(most[-1], self.budget.limit)
+        self.assertLessEqual(peak[-1], self.budget.limit)
         wait_until(lambda: not self.node.application.in_progress)
         self.assertEqual(self.budget.held, 0)
 
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -133,7 +133,7 @@
         gevent.sleep(2.0)
         self.assertEqual({self.send(other).status for _ in range(3)}, {200})
 
-    def test_a_second_choice_without_credit_tells_no_limit(self):
+    def test_a_secondary_lender_without_credit_reports_no_limit(self):
         """Nodes of some builds refuse with 429 if it says so, even far below the limit."""
         credit = self.fleet.nodes[self.choices()[1]]._limits
         ask = gateway.CreditAsk(tenant="ann", rate=RATE, burst=BURST, revision=1)
@@ -184,9 +184,9 @@
         answer = self.fleet.request(self.node, STREAM_PATH + "x", headers=headers, body=b"b")
         self.assertLess(float(answer.headers["retry-after"]), 0.2)
 
-    def test_node_that_hears_no_peers_sends_clients_away_at_once(self):
+    def test_node_without_recent_peers_refuses_clients_at_once(self):
         self.refuse()
-        self.credit._hears_zone_peers = lambda: False
+        self.credit._has_recent_zone_peers = lambda: False
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_client_retries_at_once_if_the_lender_is_not_silent(self):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -179,7 +179,7 @@
             node, BATCH_PATH + "x", headers=key(sent), body=body, request_id=job_id
         )
 
-    def look(self, path, sent, method="GET", node="n1"):
+    def query_job(self, path, sent, method="GET", node="n1"):
         headers = key(sent) if sent else ()
         return self.fleet.request(node, path, method=method, headers=headers)
 
@@ -195,10 +195,10 @@
             ("/api/items/j?id=j-0", "GET"),
             ("/api/lots/j", "DELETE"),
         ):
-            self.assertEqual(self.look(path, OTHER_KEY, method).status, 404, path)
-            self.assertEqual(self.look(path, "nobody's", method).status, 401, path)
-            self.assertEqual(self.look(path, "", method).status, 401, path)
-        self.assertEqual(self.look("/api/lots/j?watchAfter=0", SECOND_KEY).status, 200)
+            self.assertEqual(self.query_job(path, OTHER_KEY, method).status, 404, path)
+            self.assertEqual(self.query_job(path, "nobody's", method).status, 401, path)
+            self.assertEqual(self.query_job(path, "", method).status, 401, path)
+        self.assertEqual(self.query_job("/api/lots/j?watchAfter=0", SECOND_KEY).status, 200)
 
     def test_two_tenants_may_use_the_same_id(self):
         for engine in self.fleet.engines:
@@ -206,7 +206,7 @@
         self.assertEqual(self.submit(KEY).status, 202)
         self.assertEqual(self.submit(OTHER_KEY, body=job_body("k", items=2)).status, 202)
         for sent, total in ((KEY, 3), (OTHER_KEY, 2)):
-            page = self.look("/api/lots/j?watchAfter=0", sent).document
+            page = self.query_job("/api/lots/j?watchAfter=0", sent).document
             self.assertEqual(page["total"], total)
 
     def test_removing_a_key_ends_no_job(self):
@@ -216,8 +216,8 @@
         self.fleet.configure(tenants=[{"name": "ann", "apiKeys": [SECOND_KEY]}])
         self.in_force(4)
         path = "/api/lots/j?watchAfter=0"
-        self.assertEqual(self.look(path, KEY).status, 401)
-        wait_until(lambda: len(self.look(path, SECOND_KEY).document["results"]) == 3)
+        self.assertEqual(self.query_job(path, KEY).status, 401)
+        wait_until(lambda: len(self.query_job(path, SECOND_KEY).document["results"]) == 3)
 
     def test_no_stored_record_contains_the_key(self):
         document = json.loads(job_body("j"))
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -148,14 +148,14 @@
             fleet.pace(SERVICE).observe_first_event(placement.to_read, seconds)
 
 
-def play(speeds, noise, seed=1, **changes):
+def run_session(speeds, noise, seed=1, **changes):
     return run_virtual(lambda loop: Session(loop, Load(speeds, noise, seed=seed, **changes)).run())
 
 
 def p99(speeds, noise, **changes):
     """Return the p99 of the first events of all seeds together."""
     firsts = sorted(
-        first for seed in SEEDS for first in play(speeds, noise, seed, **changes).firsts
+        first for seed in SEEDS for first in run_session(speeds, noise, seed, **changes).firsts
     )
     return firsts[int(len(firsts) * 0.99)]
 
@@ -173,7 +173,7 @@
 
     def test_load_follows_engine_speed(self):
         """Requests must not crowd at the fast engines, and the slow ones must get some too."""
-        placed = play(SPEEDS, EngineNoise()).placed
+        placed = run_session(SPEEDS, EngineNoise()).placed
         share = [count / sum(placed.values()) for count in placed.values()]
         for speed, fraction in zip(SPEEDS, share, strict=True):
             fair = speed / sum(SPEEDS)
@@ -181,7 +181,7 @@
 
     def test_engines_without_reported_pace_count_as_uniform(self):
         """In bursts, the samples of attempts make uniform engines look as if they differed."""
-        session = play(UNIFORM_SPEEDS, NOISE, report_pace=False)
+        session = run_session(UNIFORM_SPEEDS, NOISE, report_pace=False)
         for fleet in session.nodes:
             self.assertFalse(fleet.paces.reports_pace(SERVICE))
             self.assertEqual(fleet.paces.pack_report(NODES - 1), b"")
--- a/tests/test_zone_digest.py
+++ b/tests/test_zone_digest.py
@@ -26,11 +26,11 @@
     unpack_digest,
 )
 from postvalve.core.membership.zone_reporting import (
-    HEARD_WITHIN,
     LISTEN_TIME,
     MAX_DIGEST_INTERVAL,
     MAX_DIRECT_PEERS,
     MEMBERS_INTERVAL,
+    RECENT_REPORT_AGE,
     ZoneReporting,
     uses_digests,
 )
@@ -182,14 +182,14 @@
 
 
 class ReporterTest(unittest.TestCase):
-    def reporters(self, nodes, now, heard_at=None):
+    def reporters(self, nodes, now, last_seen_at=None):
         """Return the nodes that consider themselves the reporter, while each hears all others."""
         found = []
         for own in nodes:
             view = PeerView(own)
             for other in nodes:
                 report = LoadReport(other, 1, 1, zone="z")
-                view.observe(report, (heard_at or {}).get(other, now))
+                view.observe(report, (last_seen_at or {}).get(other, now))
             reporting = ZoneReporting(own, "z", 1, 0.0)
             if reporting.is_reporter(view.neighbours("z"), now):
                 found.append(own)
@@ -204,10 +204,10 @@
     def test_another_node_reports_when_the_reporter_is_silent(self):
         nodes = [f"n{number}" for number in range(9)]
         first = self.reporters(nodes, 9.0)
-        silent = {first[0]: 9.0 - HEARD_WITHIN - 0.1}
+        silent = {first[0]: 9.0 - RECENT_REPORT_AGE - 0.1}
         others = [one for one in self.reporters(nodes, 9.0, silent) if one not in first]
         self.assertEqual(len(others), 1)
-        self.assertLess(HEARD_WITHIN, SILENT_AFTER)
+        self.assertLess(RECENT_REPORT_AGE, SILENT_AFTER)
 
     def test_few_nodes_get_reports_instead_of_digests(self):
         self.assertFalse(uses_digests(MAX_DIRECT_PEERS))
--- a/tests/test_line.py
+++ b/tests/test_zone_queue.py
@@ -182,7 +182,7 @@
     def setUp(self):
         self.new = NewNodes(0.0)
 
-    def test_nodes_heard_during_start_are_not_new(self):
+    def test_nodes_seen_during_start_are_not_new(self):
         self.new.record("a", 1, LISTEN_TIME / 2)
         self.assertFalse(self.new.includes("a", LISTEN_TIME))
 
@@ -227,7 +227,7 @@
         fleet.state_of = lambda entry: network.states.get(entry.life, "ready")
         transport = SimpleNamespace(send=lambda address, data: network.send(name, address, data))
         identity = gateway.NodeStarted(name, 1, name, "z")
-        self.line = SharedZoneQueue(
+        self.zone_queue = SharedZoneQueue(
             SimpleNamespace(
                 identity=identity,
                 clock=self.clock,
@@ -237,7 +237,7 @@
                 peers=self.peers,
             )
         )
-        self.line.on_granted = self.take
+        self.zone_queue.on_granted = self.take
         self.numbers, self.incarnation = 0, 1
 
     def report(self, leaving=False):
@@ -251,24 +251,24 @@
     def receive(self, report):
         """Process a load report as the gateway does."""
         if self.peers.observe(report, self.network.now):
-            self.line.receive_report(report)
+            self.zone_queue.receive_report(report)
 
     def ask(self, number, tag):
         self.waiting[number] = QueuePosition((0, 0), tag)
 
     def take(self):
         """Start the granted requests as the admission queue does."""
-        for number in [one for one in self.waiting if self.line.is_granted("s", one)]:
+        for number in [one for one in self.waiting if self.zone_queue.is_granted("s", one)]:
             del self.waiting[number]
             self.started.append(number)
             self.network.online += 1
             self.network.order.append((self.name, number))
 
-    def look(self):
+    def update_queue(self):
         entries = sorted(self.waiting.items(), key=lambda one: one[1])
-        self.line.update_waiting({"s": entries} if entries else {})
+        self.zone_queue.update_waiting({"s": entries} if entries else {})
         self.take()
-        self.line.grant_free_slots()
+        self.zone_queue.grant_free_slots()
 
 
 class Network:
@@ -308,16 +308,16 @@
         for source, target, data in queue:
             if target not in self.nodes or target in self.frozen:
                 continue
-            line, msg = self.nodes[target].line, decode_datagram(data)
+            zone_queue, msg = self.nodes[target].zone_queue, decode_datagram(data)
             if isinstance(msg, gateway.LineState):
-                line.receive_state(msg, source)
+                zone_queue.receive_state(msg, source)
             elif isinstance(msg, gateway.LineGrant):
-                line.receive_grant(msg, source)
+                zone_queue.receive_grant(msg, source)
         for one in list(self.nodes.values()):
             if one.name not in self.frozen:
-                one.look()
+                one.update_queue()
 
-    def play(self, seconds):
+    def advance(self, seconds):
         for _ in range(round(seconds / 0.015)):
             self.step()
 
@@ -329,42 +329,42 @@
         return [one for name, one in self.nodes.items() if name != self.coordinator]
 
 
-class ZoneLineTest(unittest.TestCase):
+class SharedZoneQueueTest(unittest.TestCase):
     def setUp(self):
         self.network = Network()
         self.first, self.second, self.third = self.network.others()
 
     def coordinated(self, *nodes):
-        return [one.line.is_coordinated("s") for one in nodes]
+        return [one.zone_queue.is_coordinated("s") for one in nodes]
 
     def test_slots_go_to_the_first_in_order_over_all_nodes(self):
         self.first.ask(1, 9.0)
         self.second.ask(1, 3.0)
         self.second.ask(2, 7.0)
         self.network.nodes[self.network.coordinator].ask(5, 5.0)
-        self.network.play(0.15)
+        self.network.advance(0.15)
         self.assertEqual(self.network.order, [])
         for _ in range(4):
             self.network.online -= 1
-            self.network.play(GRANT_TIME + 0.1)
+            self.network.advance(GRANT_TIME + 0.1)
         names = (self.second.name, self.network.coordinator, self.second.name, self.first.name)
         self.assertEqual(self.network.order, list(zip(names, (1, 5, 2, 1), strict=True)))
 
     def test_nodes_learn_how_many_requests_are_ahead(self):
         self.first.ask(1, 9.0)
         self.second.ask(1, 3.0)
-        self.network.play(0.2)
-        self.assertEqual(self.first.line.requests_ahead("s", 1), 1)
-        self.assertEqual(self.second.line.requests_ahead("s", 1), 0)
+        self.network.advance(0.2)
+        self.assertEqual(self.first.zone_queue.requests_ahead("s", 1), 1)
+        self.assertEqual(self.second.zone_queue.requests_ahead("s", 1), 0)
 
     def test_without_an_answer_nodes_use_their_own_order(self):
         """The coordinator has died, and no node has noticed yet."""
         dead = self.network.coordinator
         self.network.frozen.add(dead)
         self.first.ask(1, 1.0)
-        self.network.play(COORDINATOR_TIMEOUT - 0.03)
+        self.network.advance(COORDINATOR_TIMEOUT - 0.03)
         self.assertEqual(self.coordinated(self.first), [True])
-        self.network.play(0.06)
+        self.network.advance(0.06)
         self.assertEqual(self.coordinated(self.first), [False])
         self.assertEqual(len(self.first.log.written), 1)
         self.assertIs(self.first.log.written[0][0], Event.LINE_SILENT)
@@ -372,22 +372,22 @@
         for one in self.network.others():
             one.peers.drop(dead)
         del self.network.nodes[dead]
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.online -= 1
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.assertEqual(len(self.network.order), 1)
 
     def test_suspended_coordinator_grants_by_new_reports_only(self):
         coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.frozen.add(coordinator)
         self.first.waiting.clear()
-        self.network.play(STATE_TIME + 0.1)
+        self.network.advance(STATE_TIME + 0.1)
         self.network.frozen.clear()
         self.second.ask(1, 5.0)
         self.network.online -= 1
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
     def test_two_coordinators_grant_each_request_once(self):
@@ -395,9 +395,9 @@
         self.third.peers.drop(self.network.coordinator)
         for number, one in enumerate((self.first, self.second, self.third)):
             one.ask(1, float(number))
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.online -= 3
-        self.network.play(0.6)
+        self.network.advance(0.6)
         started = [(one.name, 1) for one in (self.first, self.second, self.third)]
         self.assertEqual(sorted(self.network.order), sorted(started))
 
@@ -405,69 +405,71 @@
         coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.lost = lambda source, target: (
             (source, target) == (coordinator, self.first.name)
         )
         self.network.online -= 1
-        self.network.play(0.06)
+        self.network.advance(0.06)
         self.assertEqual(self.network.order, [])
         self.network.lost = lambda source, target: False
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.assertEqual(self.network.order, [(self.first.name, 1)])
 
     def test_node_dying_with_a_grant_delays_others_only_until_it_expires(self):
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.frozen.add(self.first.name)
         self.network.online -= 1
-        self.network.play(STATE_TIME + 0.1)
+        self.network.advance(STATE_TIME + 0.1)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
     def test_grants_of_a_new_coordinator_with_lower_numbers_count(self):
         """Grants received from a previous coordinator must not acknowledge those of the new one."""
         former = self.network.coordinator
         self.first.ask(1, 1.0)
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.online -= 1
-        self.network.play(0.1)
-        self.first.line._queues[SERVICE].last_grant += 1_000_000
+        self.network.advance(0.1)
+        self.first.zone_queue._queues[SERVICE].last_grant += 1_000_000
         del self.network.nodes[former]
         for one in self.network.nodes.values():
             one.peers.drop(former)
         coordinator = self.network.coordinator
         asking = next(one for name, one in self.network.nodes.items() if name != coordinator)
-        asking.line._queues.setdefault(SERVICE, self.first.line._queues[SERVICE])
+        asking.zone_queue._queues.setdefault(SERVICE, self.first.zone_queue._queues[SERVICE])
         asking.ask(2, 1.0)
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.network.lost = lambda source, target: source == coordinator
         self.network.online -= 1
-        self.network.play(0.03)
-        member = self.network.nodes[coordinator].line._coordinators[SERVICE]._members[asking.name]
+        self.network.advance(0.03)
+        member = (
+            self.network.nodes[coordinator].zone_queue._coordinators[SERVICE]._members[asking.name]
+        )
         given = list(member.given)
         self.assertEqual(len(given), 1)
-        self.network.play(0.15)
+        self.network.advance(0.15)
         self.assertEqual(member.given, given)
 
     def test_engines_that_just_failed_count_only_if_all_did(self):
-        line = self.first.line
+        zone_queue = self.first.zone_queue
         entry = SimpleNamespace(life="f", slots=4, zone="z", service="s")
         dark = SimpleNamespace(life="d", slots=4, zone="z", service="s")
-        line._fleet.engines = lambda service: [entry, dark]
+        zone_queue._fleet.engines = lambda service: [entry, dark]
         self.network.online = 2
         self.network.states = {"d": "suspect"}
-        self.assertEqual(line._free_slots("s"), 2 + MAX_ENGINE_QUEUE)
+        self.assertEqual(zone_queue._free_slots("s"), 2 + MAX_ENGINE_QUEUE)
         self.network.states = {"d": "suspect", "f": "suspect"}
-        self.assertEqual(line._free_slots("s"), 2 * (2 + MAX_ENGINE_QUEUE))
+        self.assertEqual(zone_queue._free_slots("s"), 2 * (2 + MAX_ENGINE_QUEUE))
 
     def test_unused_grant_is_returned(self):
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.first.waiting.clear()  # the client disconnected
         self.network.online -= 1
-        self.network.play(0.1)
+        self.network.advance(0.1)
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
     def test_all_requests_are_served_with_a_third_of_datagrams_lost(self):
@@ -480,22 +482,22 @@
                 one.ask(2, float(number))
             for _ in range(8):
                 network.online -= 1
-                network.play(0.4)
+                network.advance(0.4)
             self.assertEqual(len(network.order), 8)
 
     def test_coordinator_that_starts_or_drains_grants_nothing(self):
-        coordinator = self.network.nodes[self.network.coordinator].line
+        coordinator = self.network.nodes[self.network.coordinator].zone_queue
         coordinator._started_at = self.network.now
         self.first.ask(1, 1.0)
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.assertEqual(self.coordinated(self.first), [False])
         coordinator._started_at, coordinator.leaving = 0.0, True
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.assertEqual(self.coordinated(self.first), [False])
         report = self.network.nodes[self.network.coordinator].report(leaving=True)
         for one in self.network.others():
             one.peers.observe(report, self.network.now)
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.assertEqual(self.coordinated(self.first), [True])
 
     def test_restarted_coordinator_leaves_no_zone_without_a_queue(self):
@@ -507,69 +509,69 @@
         self.first.ask(1, 1.0)
         self.second.ask(1, 2.0)
         for _ in range(3):
-            network.play(1.0)
+            network.advance(1.0)
             self.assertEqual(self.coordinated(self.first, self.second), [True, True])
         network.online -= 1
-        network.play(0.2)
+        network.advance(0.2)
         self.assertEqual(network.order, [(self.first.name, 1)])
         network.settle()
-        network.play(0.2)
-        self.assertEqual(self.second.line._queues[SERVICE].coordinator, coordinator)
+        network.advance(0.2)
+        self.assertEqual(self.second.zone_queue._queues[SERVICE].coordinator, coordinator)
         self.assertEqual(self.coordinated(self.second), [True])
 
     def test_one_node_without_the_feature_disables_it_for_all(self):
         self.third.features = Feature.NONE
         self.network.exchange_reports()
         self.first.ask(1, 1.0)
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.assertEqual((self.coordinated(self.first), self.network.sent), ([False], 0))
         self.third.features = Feature.LINE
         self.network.exchange_reports()
         self.network.settle()
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.assertEqual(self.coordinated(self.first), [True])
 
-    def test_nothing_is_sent_once_a_node_without_the_feature_is_heard(self):
+    def test_nothing_is_sent_once_a_node_lacks_the_feature(self):
         """An older build does not know these messages, and may have replaced a node of the zone."""
         self.first.ask(1, 1.0)
-        self.network.play(0.2)
+        self.network.advance(0.2)
         self.third.features = Feature.NONE
         self.network.exchange_reports()
         self.network.queue.clear()
         self.network.sent = 0
         self.network.online -= 1
-        self.network.play(0.3)
+        self.network.advance(0.3)
         self.assertEqual((self.coordinated(self.first), self.network.sent), ([False], 0))
 
     def test_draining_coordinator_grants_nothing_by_earlier_reports(self):
         """From its last report on, other nodes coordinate the queue and grant the same slots."""
         coordinator = self.network.coordinator
         self.first.ask(1, 1.0)
-        self.network.play(0.2)
-        self.network.nodes[coordinator].line.leaving = True
+        self.network.advance(0.2)
+        self.network.nodes[coordinator].zone_queue.leaving = True
         self.network.online -= 1
-        self.network.play(0.3)
+        self.network.advance(0.3)
         self.assertEqual(self.network.order, [])
 
     def test_single_free_slot_elsewhere_is_granted_without_local_engines(self):
-        line = self.first.line
+        zone_queue = self.first.zone_queue
         far = SimpleNamespace(life="f", slots=4, zone="y", service="s")
-        line._fleet.engines = lambda service: [far]
-        line._zone_count = 3
+        zone_queue._fleet.engines = lambda service: [far]
+        zone_queue._zone_count = 3
         for online, places in ((5, 0), (4, 0), (3, 1), (0, 1)):
             self.network.online = online
-            self.assertEqual(line._free_slots("s"), places)
-        line._zone_count = 2
-        self.assertEqual(line._free_slots("s"), 2)
+            self.assertEqual(zone_queue._free_slots("s"), places)
+        zone_queue._zone_count = 2
+        self.assertEqual(zone_queue._free_slots("s"), 2)
 
     def test_nothing_is_sent_while_no_request_waits(self):
-        self.network.play(1.0)
+        self.network.advance(1.0)
         self.assertEqual(self.network.sent, 0)
 
     def test_status_shows_the_queue(self):
         self.first.ask(1, 1.0)
-        self.network.play(0.1)
-        kept = self.network.nodes[self.network.coordinator].line.fields()["kept"]
+        self.network.advance(0.1)
+        kept = self.network.nodes[self.network.coordinator].zone_queue.fields()["kept"]
         self.assertEqual(kept, [{"service": "s", "waiting": 1, "granted": 0}])
 
 
@@ -590,9 +592,9 @@
         for one in network.nodes.values():
             for number in range(20):
                 one.ask(number, float(number))
-        network.play(0.3)
+        network.advance(0.3)
         network.sent = 0
-        network.play(3.0)
+        network.advance(3.0)
         planned = 3.0 * 7 / state_interval(8)
         # Each report and its answer.
         self.assertLessEqual(network.sent, 2 * planned * 1.1)
