--- a/postvalve/core/admission/engine_slots.py
+++ b/postvalve/core/admission/engine_slots.py
@@ -16,7 +16,7 @@
 ONLINE_MEMORY = 2.0
 """Seconds after its last online request for which an engine counts as serving online work."""
 FULL_RETRY_AFTER = 0.5
-"""Retry time in seconds told to a gateway when online work fills every slot."""
+"""Retry time in seconds sent to a gateway when online work fills every slot."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,11 +130,11 @@
     def batch_capacity(self, now: float) -> int:
         """Return how many more batch items may start."""
         used = self.online_count + self.batch_count
-        room = self.slots - self.headroom(now) - used
+        free = self.slots - self.headroom(now) - used
         bound = self.policy.batch_beside_online
         if bound is not None and now - self._online_at < ONLINE_MEMORY:
-            room = min(room, bound - self.batch_count)
-        return max(0, room)
+            free = min(free, bound - self.batch_count)
+        return max(0, free)
 
     def admit_batch(self, attempt_id: str, rank: int, now: float) -> bool:
         """Take a slot for a batch item; returns False if there is none."""
--- a/postvalve/core/admission/fleet_limits.py
+++ b/postvalve/core/admission/fleet_limits.py
@@ -6,9 +6,9 @@
 
 - A bucket has a rate and a capacity, so a node that takes a tenant over starts with an empty one:
   the former and the new lender together never grant more than one bucket would over the same time.
-- A lender's rate and capacity are scaled by the share of the fleet that it hears. The sides of a
-  network partition together stay within the whole limit, and a node that has just started or hears
-  nobody grants next to nothing.
+- A lender's rate and capacity are scaled by the share of the fleet that it reaches. The sides of a
+  network partition together stay within the whole limit, and a node that has just started or is
+  isolated grants almost nothing.
 - Until it is certain that the primary lender is gone, a secondary one grants a little. There is one
   in each zone, for requests that arrive there, with a share in proportion to the zone's size. A
   zone that is cut off therefore has a lender at once, and all secondary lenders together grant no
@@ -47,7 +47,7 @@
 """Seconds of past membership views kept, to find since when this node has been a tenant's
 lender."""
 FLEET_SIZE_RETENTION = 30.0
-"""Seconds for which a node that is no longer heard counts in the size of the fleet. It must
+"""Seconds for which a node that no longer reports counts in the size of the fleet. It must
 exceed the length of a partition: once it has passed, each of the two sides would count the other
 as gone."""
 STALL_THRESHOLD = 1.5
@@ -55,11 +55,11 @@
 lend in its place. They count it as gone 2 s after its last report, which may be half a second old.
 Updates normally come every 0.5 to 1 s."""
 MAX_RETRY_AFTER = 5.0
-"""Longest retry time, in seconds, told to a refused client."""
+"""Longest retry time, in seconds, sent to a refused client."""
 SETTLE_TIME = 1.5
-"""Seconds after its start until a node hears all others. Nodes of other zones are announced a
-second after the nodes of their own zone have started, at the earliest. Until then this node grants
-next to nothing, and refused clients are told to retry when this time is over instead of when a
+"""Seconds after its start until a node has reports of all others. Nodes of other zones are
+announced a second after the nodes of their own zone have started, at the earliest. Until then this
+node grants almost nothing, and refused clients are told to retry when this time is over instead of when a
 bucket of that small share has refilled."""
 
 
@@ -188,17 +188,17 @@
         return len(self._views[-1].live)
 
     def is_starting(self, now: float) -> bool:
-        """Return whether this node started so recently that it may not hear all others yet."""
+        """Return whether this node started so recently that it may lack reports of some others."""
         return now < self._started_at + SETTLE_TIME
 
     @property
     def share(self) -> float:
-        """Share of the fleet that this node has heard recently."""
+        """Share of the fleet whose reports reached this node recently."""
         return min(1.0, len(self._recently_heard) / max(1, self.fleet_size))
 
     @property
     def zone_share(self) -> float:
-        """Share of the fleet that this node has heard recently in its own zone."""
+        """Share of the fleet whose recent reports come from this node's zone."""
         near = self._views[-1].near & self._recently_heard
         return min(1.0, len(near) / max(1, self.fleet_size))
 
@@ -222,7 +222,7 @@
                 started.
             now: Monotonic seconds.
             neighbours: Those of the live nodes that are in this node's zone; None if all are.
-            certain: Those that were heard so recently that nobody lends in their place yet; None if
+            certain: Those that reported so recently that no node lends in their place yet; None if
                 all were. Of the two sides of a partition, one detects it up to a report interval
                 before the other: its lender starts only after the other side's share has ended.
         """
@@ -249,12 +249,12 @@
         while len(history) > 1 and history[1].since < now - VIEW_RETENTION:
             history.popleft()
 
-    def _record_size(self, heard: int, announced: int, now: float) -> None:
+    def _record_size(self, reachable: int, announced: int, now: float) -> None:
         while self._sizes and self._sizes[0][0] < now - FLEET_SIZE_RETENTION:
             self._sizes.popleft()
-        while self._sizes and self._sizes[-1][1] <= heard:
+        while self._sizes and self._sizes[-1][1] <= reachable:
             self._sizes.pop()
-        self._sizes.append((now, heard))
+        self._sizes.append((now, reachable))
         started_recently = now - self._started_at < FLEET_SIZE_RETENTION
         self.fleet_size = max(self._sizes[0][1], announced if started_recently else 0)
 
@@ -303,7 +303,7 @@
         """Refill a bucket at each share that applied since its last use; returns the current share.
 
         What a smaller share left to other lenders was granted by them, and does not become this
-        node's credit when it hears them again.
+        node's credit when their reports arrive again.
         """
         bucket, set_share = (
             account.bucket,
--- a/postvalve/core/admission/service_latency.py
+++ b/postvalve/core/admission/service_latency.py
@@ -1,4 +1,4 @@
-"""Latency estimates of a service's engines, learnt from this node's attempts.
+"""Latency estimates of a service's engines, derived from this node's attempts.
 
 The latency of a first event is modelled as a constant part plus a part per prompt token that the
 engine processes before it. Both parts, and how long a request occupies a slot, are estimated from
--- a/postvalve/core/membership/peers.py
+++ b/postvalve/core/membership/peers.py
@@ -19,7 +19,7 @@
 zone is lost, another node must first detect that, which takes `SILENT_AFTER`."""
 REPORTER_SILENT_AFTER = 1.2
 """Seconds without a digest after which a digest of another reporter is accepted even if that one
-hears fewer members."""
+has reports of fewer members."""
 STALL_THRESHOLD = 1.0
 """Seconds between two updates from which this node itself must have been suspended."""
 STORE_SILENT_AFTER = 4.0
@@ -273,5 +273,5 @@
     known = zone.digest
     if (digest.reporter, digest.incarnation) == (known.reporter, known.incarnation):
         return digest.sequence > known.sequence
-    # A node that hears few of its neighbours considers itself their reporter.
+    # A node that receives reports of few neighbours considers itself their reporter.
     return digest.size >= known.size or now - zone.last_seen_at > REPORTER_SILENT_AFTER
--- a/postvalve/core/membership/store_reachability.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -16,7 +16,7 @@
 PROBE_INTERVAL = 0.8
 """Seconds between attempts to call an unreachable store directly."""
 RECENT_REPORT_AGE = 1.1
-"""Seconds since a peer was last heard within which it may be asked. One of the
+"""Seconds after a peer's last report for which it may be asked. One of the
 reports, which come at least every 0.5 s, may be lost. It also bounds how long a suspended peer is
 asked."""
 AVOID_TIME = 2.0
--- a/postvalve/core/membership/zone_reporting.py
+++ b/postvalve/core/membership/zone_reporting.py
@@ -48,7 +48,8 @@
 MEMBERS_INTERVAL = 2.0
 """Seconds after which the list of members is sent again although it has not changed."""
 LISTEN_TIME = 1.0
-"""Seconds after its start in which a node sends no digest: it must first hear its neighbours."""
+"""Seconds after its start in which a node sends no digest: it must first receive its neighbours'
+reports."""
 RECENT_REPORT_AGE = 1.2
 """Seconds without a report after which a neighbour is not considered for reporter."""
 MAX_DUE_GROUPS = 48
@@ -87,12 +88,12 @@
         """Return whether this node is the reporter of its zone."""
         if now - self._started_at < LISTEN_TIME:
             return False
-        heard = [
+        recent = [
             peer.node_id
             for peer in neighbours
             if now - peer.last_seen_at <= RECENT_REPORT_AGE and not peer.report.leaving
         ]
-        return reporter_of(self._zone, [*heard, self._node_id]) == self._node_id
+        return reporter_of(self._zone, [*recent, self._node_id]) == self._node_id
 
     def is_due(self, zones: int, now: float) -> bool:
         """Return whether the next digest is due, given the number of zones whose digests nodes
--- a/postvalve/core/routing/pace_gossip.py
+++ b/postvalve/core/routing/pace_gossip.py
@@ -62,7 +62,7 @@
     """Bytes of samples that may be sent now."""
     _readings_allowance: float = 0.0
     """Bytes of readings that may be sent now. The allowances are separate, because readings arrive
-    all the time and would leave no room for samples."""
+    all the time and would leave no space for samples."""
     _updated_at: float = float("-inf")
     _sent_at: dict[int, float] = field(default_factory=dict)
     """When the samples of each engine were last sent."""
@@ -80,10 +80,10 @@
 
         Args:
             lives: Hash of each engine of which there are samples, with the time of the newest;
-                consumed only if a part has room for one.
+                consumed only if a part has space for one.
             samples: Returns the samples of an engine.
             readings: Hash of each engine that reported its pace, with the latest reading; consumed
-                only if a part has room for one.
+                only if a part has space for one.
             sources: Number of nodes, or zones, from which each peer receives such parts.
             now: Monotonic seconds.
         """
--- a/postvalve/core/scheduling/zone_queue.py
+++ b/postvalve/core/scheduling/zone_queue.py
@@ -67,14 +67,14 @@
     def __init__(self, now: float) -> None:
         self._listens_until = now + LISTEN_TIME
         self._incarnations: dict[str, tuple[int, float]] = {}
-        """Incarnation of each node, and when it was first heard."""
+        """Incarnation of each node, and when its first report arrived."""
 
     def record(self, node_id: str, incarnation: int, now: float) -> None:
         """Record that a node reported itself."""
         known = self._incarnations.get(node_id)
         if known is not None and known[0] == incarnation:
             return
-        # A node heard while this one is starting is taken to have been there before.
+        # A node that reports while this one is starting is taken to be older.
         first_heard = -math.inf if known is None and now < self._listens_until else now
         self._incarnations.pop(node_id, None)
         self._incarnations[node_id] = incarnation, first_heard
--- a/postvalve/core/serving/client_buffer.py
+++ b/postvalve/core/serving/client_buffer.py
@@ -167,7 +167,7 @@
         """The error that cut the stream off; None if it was not."""
 
     def max_wait(self, size: int, now: float) -> float:
-        """Return how many seconds at most an event of `size` bytes must wait for room.
+        """Return how many seconds at most an event of `size` bytes must wait for buffer space.
 
         If the client has been too slow for too long, the result is 0 and the client is dropped.
         """
--- a/postvalve/gateway/fleet/engine_fleet.py
+++ b/postvalve/gateway/fleet/engine_fleet.py
@@ -298,7 +298,7 @@
         *,
         pressing: bool,
     ) -> Placement | None:
-        """Choose an engine with room for a batch item and add the item to its counts.
+        """Choose an engine with capacity for a batch item and add the item to its counts.
 
         Takes the best of a small random sample of the engines. If all nodes took the best engine
         of the same view they would overfill it, and items that have just started would be
@@ -309,11 +309,11 @@
             prompt: Prompt tokens of the item.
             output: Most tokens that the item may generate.
             excluded: Engines that must not be chosen.
-            pressing: Whether the item must start soon; otherwise it leaves more room to online
+            pressing: Whether the item must start soon; otherwise it leaves more slots to online
                 work.
 
         Returns:
-            The placement; None if no engine has room.
+            The placement; None if no engine has capacity.
         """
         skipped = set(excluded)
         memory_tokens = self._memory_of(service)
--- a/postvalve/gateway/fleet/engine_paces.py
+++ b/postvalve/gateway/fleet/engine_paces.py
@@ -1,4 +1,4 @@
-"""Pace of engines: learnt from attempts, reported by engines, and exchanged with peers."""
+"""Pace of engines: estimated from attempts, reported by engines, and exchanged with peers."""
 
 from __future__ import annotations
 
@@ -174,7 +174,7 @@
         Args:
             placement: Placement of the attempt.
             times: Times of its events.
-            whole: Whether its response was complete; an attempt stopped by this node, such as a
+            complete: Whether its response was complete; an attempt stopped by this node, such as a
                 preempted one, still shows the pauses between its events.
         """
         pause = times.mean_pause
--- a/postvalve/gateway/fleet/feature_status.py
+++ b/postvalve/gateway/fleet/feature_status.py
@@ -46,9 +46,9 @@
     def fields(self) -> dict[str, Any]:
         """Return the fields of the status document; peers that lack a feature are named."""
         own = self._peers.gate.own
-        heard = dict(self._peers.peer_features())
-        counts = Counter(" ".join(feature_names(one)) or "none" for one in heard.values())
-        limited = {name: one for name, one in sorted(heard.items()) if own & ~one}
+        peer_features = dict(self._peers.peer_features())
+        counts = Counter(" ".join(feature_names(one)) or "none" for one in peer_features.values())
+        limited = {name: one for name, one in sorted(peer_features.items()) if own & ~one}
         return {
             "own": feature_names(own),
             "peers": dict(sorted(counts.items())),
--- a/postvalve/gateway/fleet/quarantine_gossip.py
+++ b/postvalve/gateway/fleet/quarantine_gossip.py
@@ -55,10 +55,10 @@
 PEERS_ASKED = 2
 """Peers asked at the same time, so that a suspended one causes no delay."""
 STORE_INTERVAL = 1.0
-"""Seconds between reads of the store by a node that hears fewer peers than before: in a network
+"""Seconds between reads of the store by a node with fewer peers than before: in a network
 partition both sides may still reach the store."""
 PARTITION_SHARE = 0.75
-"""Share of the peers heard before below which a node assumes a partition. The loss of a single node
+"""Share of the earlier peers below which a node assumes a partition. The loss of a single node
 must not make all others read the store, as that cost would grow with the square of the fleet."""
 PARTITION_TIME = 60.0
 """Seconds for which a node then reads the store; after that the missing peers count as gone."""
@@ -129,9 +129,9 @@
                 self._services.transport.send(address, data)
 
     def _random_peers(self, count: int) -> list[str]:
-        heard = [peer.report.peer_address for peer in self._services.peers.all()]
-        # A starting node has heard from no peer yet, but knows the announced nodes.
-        addresses = heard or [address for address, _ in self._services.known_nodes().values()]
+        reporting = [peer.report.peer_address for peer in self._services.peers.all()]
+        # A starting node has received no report yet, but knows the announced nodes.
+        addresses = reporting or [address for address, _ in self._services.known_nodes().values()]
         return sorted(addresses, key=lambda address: self._random_rank())[:count]
 
     def _random_rank(self) -> float:
@@ -211,11 +211,11 @@
             gevent.spawn(self._read_store)
 
     def _is_partitioned(self, now: float) -> bool:
-        """Whether this node hears far fewer peers than in the last `PARTITION_TIME` seconds."""
-        heard = self._services.peers.count()
-        if heard >= self._most_peers or now - self._most_peers_at > PARTITION_TIME:
-            self._most_peers, self._most_peers_at = heard, now
-        return heard < self._most_peers * PARTITION_SHARE
+        """Whether this node has far fewer peers than in the last `PARTITION_TIME` seconds."""
+        count = self._services.peers.count()
+        if count >= self._most_peers or now - self._most_peers_at > PARTITION_TIME:
+            self._most_peers, self._most_peers_at = count, now
+        return count < self._most_peers * PARTITION_SHARE
 
     def _ask_peers(self) -> None:
         addresses = self._random_peers(PEERS_ASKED)
--- a/postvalve/gateway/gateway.py
+++ b/postvalve/gateway/gateway.py
@@ -553,8 +553,8 @@
             items=self._runner.in_progress,
         )
         gevent.sleep(self._settings.drain_notice)
-        # Clients have been told to go elsewhere. A request that still arrives might be truncated by
-        # the exit of the process.
+        # Clients have been told to use another node. A request that still arrives might be
+        # truncated by the exit of the process.
         self.application.refusing = True
         self._server.close_listener()
         self._server.close_idle()
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -53,7 +53,7 @@
 another node needs to take over the digests of a zone whose reporter is lost."""
 LENDER_SUSPECT_AFTER = LENDER_TIMEOUT - MAX_DIGEST_INTERVAL
 """Seconds without a report of a node after which it no longer counts in the share of the fleet by
-which this node lends. A node that this one does not hear may have received the last report one
+which this node lends. A node whose reports do not arrive here may have received the last report one
 report earlier, and begins to lend itself that much sooner."""
 VIEW_UPDATE_INTERVAL = 0.5
 """Approximate seconds between two updates of the live nodes."""
@@ -103,16 +103,16 @@
     def update_view(self) -> None:
         """Update the set of live nodes that may lend."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
-        heard = [
+        reporting = [
             one
             for one in self._peers.all()
             if not one.report.leaving and now - one.last_seen_at <= LENDER_TIMEOUT
         ]
         own = [] if self.leaving else [self._node_id]
-        live = [one.node_id for one in heard] + own
-        near = [one.node_id for one in heard if one.report.zone == zone] + own
+        live = [one.node_id for one in reporting] + own
+        near = [one.node_id for one in reporting if one.report.zone == zone] + own
         certain = [
-            one.node_id for one in heard if now - one.last_seen_at <= LENDER_SUSPECT_AFTER
+            one.node_id for one in reporting if now - one.last_seen_at <= LENDER_SUSPECT_AFTER
         ] + own
         announced = len(self._services.announced_nodes())
         if self.limits.update_view(live, announced, now, near, certain):
@@ -180,8 +180,8 @@
     def _seconds_to_takeover(self, asked: list[str], deadline: float) -> float:
         """Return the seconds until another lender takes over, if the client has that much time.
 
-        The nodes that this one hears can't reach a silent lender either, and replace it at the same
-        time as this one.
+        The nodes whose reports arrive here can't reach a silent lender either, and replace it at
+        the same time as this one.
         """
         first = self._peers.get(asked[0]) if asked else None
         now = self._clock.monotonic()
@@ -229,7 +229,7 @@
         return self._unresponsive_until.get(node_id, 0.0) > now - self.call_timeout
 
     def _has_recent_zone_peers(self) -> bool:
-        """Whether this node hears peers of its zone, and so is not the one that is cut off."""
+        """Whether peers of its zone reported recently, so that this node is not the one that is cut off."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(
             now - one.last_seen_at <= RECENT_REPORT_AGE for one in self._peers.neighbours(zone)
--- a/postvalve/node/batch/runner.py
+++ b/postvalve/node/batch/runner.py
@@ -176,11 +176,11 @@
 
     def _pull(self, engine: OwnedEngine) -> bool:
         """Start items of the first holder that has some, and return whether there were any."""
-        room = engine.slots.batch_capacity(self._clock.monotonic())
-        if room < 1:
+        capacity = engine.slots.batch_capacity(self._clock.monotonic())
+        if capacity < 1:
             return False
         engine_id = engine.machine.machine_id
-        request = self._pull_request(engine_id, self._served_models(engine), room)
+        request = self._pull_request(engine_id, self._served_models(engine), capacity)
         for address in self._holders_with_work(set(request.models)):
             assignments = self._pull_from(address, request)
             for assignment in assignments:
--- a/tests/test_feature_status.py
+++ b/tests/test_feature_status.py
@@ -1,4 +1,4 @@
-"""Features that need all nodes are enabled only while every heard node supports them.
+"""Features that need all nodes are enabled only while every reporting node supports them.
 
 Nodes that come and go must not make a feature flap.
 """
@@ -118,7 +118,7 @@
         self.assertEqual(self.logged_features(), [])
 
     def test_features_change_seldom_while_nodes_come_and_go(self):
-        """Enabled at most once in `SETTLE_TIME`, and never while a heard node lacks support."""
+        """Enabled at most once in `SETTLE_TIME`, and never while a reporting node lacks support."""
         draw = random.Random(1)
         for _ in range(2_000):
             name = draw.choice(["a", "b", "c", "zone:far"])
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -287,7 +287,7 @@
         self.assertEqual(place(False), "f")
 
     def test_nodes_with_the_same_view_do_not_all_fill_one_engine(self):
-        """Sixteen nodes start an item each before they hear of each other's. No engine may get
+        """Sixteen nodes start an item each before they know of each other's. No engine may get
         more requests than it has slots: eight engines of 8 slots, seven of which run one online
         request."""
         counts = Counter()
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -1,4 +1,4 @@
-"""Rate limits of tenants at running nodes: which lender is asked, and what clients are told."""
+"""Rate limits of tenants at running nodes: which lender is asked, and what clients receive."""
 
 import itertools
 import unittest
@@ -164,7 +164,7 @@
     """
 
     def refuse(self):
-        """Send to a node that hears its peers but gets no answer from any of them."""
+        """Send to a node that receives its peers' reports but gets no answer from any of them."""
         self.node = next(name for name in self.fleet.nodes if name not in self.choices())
         self.credit = self.fleet.nodes[self.node]._limits
         self.credit._call = lambda node_id, address, ask: None
@@ -190,7 +190,7 @@
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_client_retries_at_once_if_the_lender_is_not_silent(self):
-        """Another node lends, and this one will hear of it in a moment."""
+        """Another node lends, and this one learns of it a moment later."""
         self.refuse()
         self.credit._unresponsive_until.clear()
         elsewhere = gateway.CreditReply(lending=CreditOutcome.NOT_OWNER.value)
--- a/tests/test_zone_queue.py
+++ b/tests/test_zone_queue.py
@@ -391,7 +391,7 @@
         self.assertEqual(self.network.order, [(self.second.name, 1)])
 
     def test_two_coordinators_grant_each_request_once(self):
-        """The third node does not hear the coordinator, and takes itself or another node for it."""
+        """The third node gets no reports of the coordinator, and takes itself or another for it."""
         self.third.peers.drop(self.network.coordinator)
         for number, one in enumerate((self.first, self.second, self.third)):
             one.ask(1, float(number))
