--- a/postvalve/core/admission/fleet_limits.py
+++ b/postvalve/core/admission/fleet_limits.py
@@ -59,8 +59,8 @@
 SETTLE_TIME = 1.5
 """Seconds after its start until a node has reports of all others. Nodes of other zones are
 announced a second after the nodes of their own zone have started, at the earliest. Until then this
-node grants almost nothing, and refused clients are told to retry when this time is over instead of when a
-bucket of that small share has refilled."""
+node grants almost nothing, and refused clients are told to retry when this time is over instead of
+when a bucket of that small share has refilled."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,7 +171,7 @@
         self._views: deque[_View] = deque(
             [_View(now, frozenset((node_id,)), frozenset((node_id,)))]
         )
-        self._recently_heard = frozenset((node_id,))
+        self._recently_seen = frozenset((node_id,))
         self._share_history: deque[_ShareRecord] = deque([_ShareRecord(now, 0.0, 0.0)])
         """Shares over the time for which views are kept, since a bucket also refills while it is
         unused."""
@@ -194,12 +194,12 @@
     @property
     def share(self) -> float:
         """Share of the fleet whose reports reached this node recently."""
-        return min(1.0, len(self._recently_heard) / max(1, self.fleet_size))
+        return min(1.0, len(self._recently_seen) / max(1, self.fleet_size))
 
     @property
     def zone_share(self) -> float:
-        """Share of the fleet whose recent reports come from this node's zone."""
-        near = self._views[-1].near & self._recently_heard
+        """Share of the fleet in this node's zone whose reports reached this node recently."""
+        near = self._views[-1].near & self._recently_seen
         return min(1.0, len(near) / max(1, self.fleet_size))
 
     def update_view(
@@ -237,7 +237,7 @@
             self._drop_lost()
         while len(self._views) > 1 and self._views[1].since < now - VIEW_RETENTION:
             self._views.popleft()
-        self._recently_heard = nodes if certain is None else nodes.intersection(certain)
+        self._recently_seen = nodes if certain is None else nodes.intersection(certain)
         self._record_size(len(nodes), announced, now)
         self._record_shares(now)
         return suspended
--- a/postvalve/gateway/serving/tenant_credit.py
+++ b/postvalve/gateway/serving/tenant_credit.py
@@ -229,7 +229,7 @@
         return self._unresponsive_until.get(node_id, 0.0) > now - self.call_timeout
 
     def _has_recent_zone_peers(self) -> bool:
-        """Whether peers of its zone reported recently, so that this node is not the one that is cut off."""
+        """Whether peers of this node's zone reported recently, so that it is not cut off itself."""
         now, zone = self._clock.monotonic(), self._services.identity.zone
         return any(
             now - one.last_seen_at <= RECENT_REPORT_AGE for one in self._peers.neighbours(zone)
