--- a/postvalve/core/membership/store_reachability.py
+++ b/postvalve/core/membership/store_reachability.py
@@ -16,9 +16,8 @@
 PROBE_INTERVAL = 0.8
 """Seconds between attempts to call an unreachable store directly."""
 RECENT_REPORT_AGE = 1.1
-"""Seconds after a peer's last report for which it may be asked. One of the
-reports, which come at least every 0.5 s, may be lost. It also bounds how long a suspended peer is
-asked."""
+"""Seconds after a peer's last report for which it may be asked. One of the reports, which come at
+least every 0.5 s, may be lost. It also bounds how long a suspended peer is asked."""
 AVOID_TIME = 2.0
 """Seconds for which a peer that did not answer is not asked again."""
 MIN_RELAY_TIMEOUT = 0.5
--- a/postvalve/core/membership/view.py
+++ b/postvalve/core/membership/view.py
@@ -30,7 +30,7 @@
     incarnation: int
     sequence: int
     state: NodeState
-    last_heard: float
+    last_seen_at: float
     configuration_revision: int
     summary: peer.NodeSummary = field(default_factory=peer.NodeSummary)
     summary_version: int = 0
@@ -99,7 +99,7 @@
             incarnation=heartbeat.incarnation,
             sequence=heartbeat.sequence,
             state=NodeState.LEAVING if leaving else NodeState.ALIVE,
-            last_heard=now,
+            last_seen_at=now,
             configuration_revision=heartbeat.configuration_revision,
             summary_version=heartbeat.summary_version,
             reported_directly=direct,
@@ -123,7 +123,7 @@
         """Declare silent nodes dead."""
         changes = []
         for member in self.members():
-            if now - member.last_heard >= self._silence_limit(member):
+            if now - member.last_seen_at >= self._silence_limit(member):
                 member.state = NodeState.DEAD
                 changes.append(StateChanged(member.node_id, member.incarnation, member.state))
         return changes
--- a/postvalve/core/serving/client_buffer.py
+++ b/postvalve/core/serving/client_buffer.py
@@ -77,7 +77,7 @@
         self.stream_share = STREAM_SHARE
         self.held = 0
         """Buffered bytes, never above the limit."""
-        self._holdings: dict[BufferAccount, None] = {}
+        self._accounts: dict[BufferAccount, None] = {}
 
     @property
     def stream_limit(self) -> int:
@@ -86,10 +86,10 @@
 
     def accounts(self) -> list[BufferAccount]:
         """Return the accounts for which something is buffered."""
-        return list(self._holdings)
+        return list(self._accounts)
 
     def take(self, account: BufferAccount, size: int, now: float) -> list[BufferAccount]:
-        """Reserve `size` bytes; return the accounts dropped for it, which may include `holding`
+        """Reserve `size` bytes; return the accounts dropped for it, which may include `account`
         itself.
 
         Bytes of dropped accounts are released at once. Nothing is reserved for an account that is
@@ -118,15 +118,15 @@
         """Release all bytes of an account."""
         self.held -= account.size
         account.size = 0
-        self._holdings.pop(account, None)
+        self._accounts.pop(account, None)
 
     def _change(self, account: BufferAccount, size: int, now: float) -> None:
         self.held += size
         account.change(size, now)
         if account.size:
-            self._holdings[account] = None
+            self._accounts[account] = None
         else:
-            self._holdings.pop(account, None)
+            self._accounts.pop(account, None)
 
     def _drop(self, account: BufferAccount) -> BufferAccount:
         self.cut(account, CutCause.MEMORY_SHORT)
@@ -141,12 +141,12 @@
         exceeding its own share.
         """
         by_tenant: dict[str, int] = defaultdict(int)
-        for account in self._holdings:
+        for account in self._accounts:
             by_tenant[account.tenant] += account.size
         by_tenant[requester.tenant] += size
         maximum = max(by_tenant.values())
         tenants = {name for name, held in by_tenant.items() if held == maximum}
-        candidates = [account for account in self._holdings if account.tenant in tenants]
+        candidates = [account for account in self._accounts if account.tenant in tenants]
         return max(
             candidates or [requester], key=lambda account: (account.byte_seconds(now), account.size)
         )
