--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -220,7 +220,7 @@
                 "pace.return_value": ServiceLatency(),
             }
         )
-        self.room = AdmissionQueue(SystemClock(), self.log, self.fleet, mock.Mock(), mock.Mock())
+        self.queue = AdmissionQueue(SystemClock(), self.log, self.fleet, mock.Mock(), mock.Mock())
         self.waiting = []
         self.addCleanup(lambda: gevent.killall(self.waiting))
 
@@ -230,7 +230,7 @@
         terms = mock.Mock(request_id=f"r{number}", own_tokens=1, allowed=None, last_event_id=None)
         self.waiting.append(
             gevent.spawn(
-                self.room.admit, route, service, terms, rank, now, now + 60, lambda: False, tenant
+                self.queue.admit, route, service, terms, rank, now, now + 60, lambda: False, tenant
             )
         )
         gevent.sleep(0)
@@ -240,7 +240,7 @@
         self.enter(2)
         self.enter(3, tenant="bob")
         self.enter(4, service="other")
-        rows = {row["request"]: row for row in self.room.rows()}
+        rows = {row["request"]: row for row in self.queue.rows()}
         self.assertEqual(list(rows), ["r2", "r3", "r4", "r1"])
         behind = {name: row["behind"] for name, row in rows.items()}
         self.assertEqual(behind, {"r2": "", "r3": "r2", "r4": "", "r1": "r3"})
@@ -251,14 +251,14 @@
     def test_rows_and_log_fields_are_bounded(self):
         for number in range(MAX_ROWS + 10):
             self.enter(number)
-        self.assertEqual(len(self.room.rows()), MAX_ROWS)
+        self.assertEqual(len(self.queue.rows()), MAX_ROWS)
         _, last = self.log.written[-1]
         self.assertEqual(last["before"], MAX_ROWS + 9)
         self.assertEqual(len(last["ahead"]), MAX_LOGGED_AHEAD)
         self.assertEqual(last["ahead"][-1], f"r{MAX_ROWS + 8}")
 
     def test_log_fields_name_running_tenants(self):
-        self.room.holders = lambda: {"bob": 4}
+        self.queue.holders = lambda: {"bob": 4}
         self.enter(1)
         self.assertEqual(self.log.written[-1][1]["holders"], {"bob": 4})
 
@@ -291,7 +291,7 @@
         return {row["tenant"]: row["total"] for row in document["tenants"]}
 
     def test_requests_of_tenants(self):
-        self.engine.next_behaviours = [Behaviour(), Behaviour(head_delay=1.4)]
+        self.engine.plan = [Behaviour(), Behaviour(thinks=1.4)]
         for tenant in ("ann", "ann", "nobody", "bob"):
             self.send(tenant)
         wait_until(lambda: sum(row["asked"] for row in self.rows().values()) == 4)
@@ -304,7 +304,7 @@
         self.assertEqual(rows["bob"]["asked"], 1)
 
     def test_refusing_engine_counts_no_engine_time(self):
-        self.engine.default_behaviour = Behaviour(refuse=True, head_delay=0.1)
+        self.engine.usual = Behaviour(refuse=True, thinks=0.1)
         headers = [("Api-Key", "ann-key"), ("Deadline-Ms", "800")]
         answer = self.fleet.request("n0", STREAM_PATH + "x", headers=headers, body=b"b")
         self.assertEqual(answer.status, 503)
@@ -314,7 +314,7 @@
         self.assertEqual(row["online_seconds"], 0.0)
 
     def test_disconnecting_client(self):
-        self.engine.default_behaviour = Behaviour(pause=0.3, events=50)
+        self.engine.usual = Behaviour(pause=0.3, events=50)
         headers = [("Api-Key", "ann-key")]
         connection = self.fleet.open("n0", STREAM_PATH + "x", headers=headers)
         wait_until(lambda: self.engine.runs)
@@ -331,7 +331,7 @@
         self.assertGreater(row["item_seconds"], 0)
 
     def test_engine_refusing_items_counts_no_engine_time(self):
-        self.engine.default_behaviour = Behaviour(refuse=True, head_delay=0.1)
+        self.engine.usual = Behaviour(refuse=True, thinks=0.1)
         headers = [("Api-Key", "ann-key")]
         self.fleet.request("n0", BATCH_PATH + "x", headers=headers, body=job_body("j"))
         failed = Event.ROUTED_ITEM_FAILED
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -29,23 +29,23 @@
 
 class AnswerTimeoutTest(unittest.TestCase):
     def make_timeout(self, *latencies):
-        make_timeout = AnswerTimeout()
+        timeout = AnswerTimeout()
         for seconds in latencies:
-            make_timeout.record(seconds)
-        return make_timeout
+            timeout.record(seconds)
+        return timeout
 
     def test_a_fast_store_gets_a_short_timeout_also_for_long_polls(self):
-        make_timeout = self.make_timeout(*[0.01] * 5)
-        self.assertEqual(make_timeout.seconds(0.0), QUICK_ANSWER_TIMEOUT)
-        self.assertEqual(make_timeout.seconds(0.8), 0.8 + QUICK_ANSWER_TIMEOUT)
+        timeout = self.make_timeout(*[0.01] * 5)
+        self.assertEqual(timeout.seconds(0.0), QUICK_ANSWER_TIMEOUT)
+        self.assertEqual(timeout.seconds(0.8), 0.8 + QUICK_ANSWER_TIMEOUT)
 
     def test_a_slow_or_unknown_store_gets_the_full_timeout(self):
-        for make_timeout in (self.make_timeout(), self.make_timeout(*[0.01] * 5, 0.4)):
-            self.assertEqual(make_timeout.seconds(0.8), 0.8 + ANSWER_TIMEOUT)
+        for timeout in (self.make_timeout(), self.make_timeout(*[0.01] * 5, 0.4)):
+            self.assertEqual(timeout.seconds(0.8), 0.8 + ANSWER_TIMEOUT)
 
     def test_the_timeout_is_short_again_after_a_few_fast_answers(self):
-        make_timeout = self.make_timeout(*[0.01] * 5, QUICK_ANSWER_TIMEOUT, *[0.005] * 3)
-        self.assertEqual(make_timeout.seconds(0.0), QUICK_ANSWER_TIMEOUT)
+        timeout = self.make_timeout(*[0.01] * 5, QUICK_ANSWER_TIMEOUT, *[0.005] * 3)
+        self.assertEqual(timeout.seconds(0.0), QUICK_ANSWER_TIMEOUT)
 
 
 class StoreTest(unittest.TestCase):
@@ -176,7 +176,7 @@
         fleet = GatewayFleet(nodes=1, engines=2)
         self.addCleanup(fleet.stop)
         for engine in fleet.engines:
-            engine.default_behaviour = Behaviour(head_delay=0.05)
+            engine.usual = Behaviour(thinks=0.05)
         proxies = [Proxy(engine.port) for engine in fleet.engines]
         for engine, proxy in zip(fleet.engines, proxies, strict=True):
             self.addCleanup(proxy.stop)
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -1,4 +1,4 @@
-"""Rate limits of tenants at running nodes: which lender is asked, and what clients are told."""
+"""Rate limits of tenants at running nodes: which lender is asked, and what clients receive."""
 
 import itertools
 import unittest
@@ -17,7 +17,7 @@
 from postvalve.gateway.serving.tenant_credit import CALL_TIMEOUT
 from postvalve.messages.generated import gateway
 from tests.gateway_support import STREAM_PATH, GatewayFleet
-from tests.waiting import WAIT_TIMEOUT, wait_until
+from tests.waiting import PATIENCE, wait_until
 
 RATE, BURST = 4.0, 2.0
 TENANTS = [
@@ -72,7 +72,7 @@
         super().setUp()
         # All nodes of a test share one process: a busy machine would make each of them late.
         for node in self.fleet.nodes.values():
-            node._limits.primary_timeout = node._limits.call_timeout = WAIT_TIMEOUT
+            node._limits.primary_timeout = node._limits.call_timeout = PATIENCE
 
     def test_flood_at_all_nodes_stays_within_one_limit(self):
         answers = self.flood(["n0", "n1", "n2"], 90)
@@ -117,7 +117,7 @@
         limits.try_acquire = lend_late
         # A busy machine makes any answer of this single process late.
         self.assertGreater(CALL_TIMEOUT, 2 * ANSWER_DELAY)
-        self.fleet.nodes[other]._limits.call_timeout = WAIT_TIMEOUT
+        self.fleet.nodes[other]._limits.call_timeout = PATIENCE
         # The bucket holds enough credit for all of these, that of the secondary lender does not.
         self.assertEqual({one.status for one in self.flood([other], 10)}, {200})
         self.assertEqual(self.fleet.events(other, Event.LIMIT_UNKNOWN), [])
@@ -164,7 +164,7 @@
     """
 
     def refuse(self):
-        """Send to a node that hears its peers but gets no answer from any of them."""
+        """Send to a node that receives its peers' reports but gets no answer from any of them."""
         self.node = next(name for name in self.fleet.nodes if name not in self.choices())
         self.credit = self.fleet.nodes[self.node]._limits
         self.credit._call = lambda node_id, address, ask: None
@@ -190,7 +190,7 @@
         self.assertLess(float(self.send(self.node).headers["retry-after"]), 0.2)
 
     def test_client_retries_at_once_if_the_lender_is_not_silent(self):
-        """Another node lends, and this one will hear of it in a moment."""
+        """Another node lends, and this one learns of it a moment later."""
         self.refuse()
         self.credit._unresponsive_until.clear()
         elsewhere = gateway.CreditReply(lending=CreditOutcome.NOT_OWNER.value)
