--- a/tests/test_caller_accounts.py
+++ b/tests/test_caller_accounts.py
@@ -291,7 +291,7 @@
         return {row["tenant"]: row["total"] for row in document["tenants"]}
 
     def test_requests_of_tenants(self):
-        self.engine.plan = [Behaviour(), Behaviour(thinks=1.4)]
+        self.engine.next_behaviours = [Behaviour(), Behaviour(head_delay=1.4)]
         for tenant in ("ann", "ann", "nobody", "bob"):
             self.send(tenant)
         wait_until(lambda: sum(row["asked"] for row in self.rows().values()) == 4)
@@ -304,7 +304,7 @@
         self.assertEqual(rows["bob"]["asked"], 1)
 
     def test_refusing_engine_counts_no_engine_time(self):
-        self.engine.usual = Behaviour(refuse=True, thinks=0.1)
+        self.engine.default_behaviour = Behaviour(refuse=True, head_delay=0.1)
         headers = [("Api-Key", "ann-key"), ("Deadline-Ms", "800")]
         answer = self.fleet.request("n0", STREAM_PATH + "x", headers=headers, body=b"b")
         self.assertEqual(answer.status, 503)
@@ -314,7 +314,7 @@
         self.assertEqual(row["online_seconds"], 0.0)
 
     def test_disconnecting_client(self):
-        self.engine.usual = Behaviour(pause=0.3, events=50)
+        self.engine.default_behaviour = Behaviour(pause=0.3, events=50)
         headers = [("Api-Key", "ann-key")]
         connection = self.fleet.open("n0", STREAM_PATH + "x", headers=headers)
         wait_until(lambda: self.engine.runs)
@@ -331,7 +331,7 @@
         self.assertGreater(row["item_seconds"], 0)
 
     def test_engine_refusing_items_counts_no_engine_time(self):
-        self.engine.usual = Behaviour(refuse=True, thinks=0.1)
+        self.engine.default_behaviour = Behaviour(refuse=True, head_delay=0.1)
         headers = [("Api-Key", "ann-key")]
         self.fleet.request("n0", BATCH_PATH + "x", headers=headers, body=job_body("j"))
         failed = Event.ROUTED_ITEM_FAILED
--- a/tests/test_engine_watch.py
+++ b/tests/test_engine_watch.py
@@ -24,7 +24,7 @@
         fleet = GatewayFleet(nodes=3, engines=1)
         self.addCleanup(fleet.stop)
         wait_until(lambda: all(len(one.peers.all()) == 2 for one in fleet.nodes.values()))
-        fleet.engines[0].usual = Behaviour(pause=0.05, events=1_000)
+        fleet.engines[0].default_behaviour = Behaviour(pause=0.05, events=1_000)
         fleet.request("n0", BATCH_PATH + "x", body=job_body("j", items=3), request_id="j")
         for name in ("n1", "n2"):
             items = fleet.nodes[name]._reports.items
--- a/tests/test_job_log.py
+++ b/tests/test_job_log.py
@@ -73,7 +73,7 @@
 
     def test_a_delayed_append_that_is_retried_moves_no_position(self):
         self.topics.late_appends = 1
-        self.topics.late_by = 0.3
+        self.topics.late_append_delay = 0.3
         self.log.append([end_record(0)], 2.0)
         self.log.append([end_record(1)], 2.0)
         before = positions(self.log)
--- a/tests/test_jobs_of_zones.py
+++ b/tests/test_jobs_of_zones.py
@@ -39,7 +39,7 @@
         return self.request_as_second(zone, f"/api/lots/j?watchAfter={position}").document
 
     def test_results_from_any_position_at_any_zone_include_items_given_up(self):
-        self.engine.plan = [Behaviour(), Behaviour(status=422)]
+        self.engine.next_behaviours = [Behaviour(), Behaviour(status=422)]
         self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
         wait_until(lambda: len(self.page(ZONES[1], 0)["results"]) == 4)
         whole = self.page(ZONES[0], 0)["results"]
@@ -53,7 +53,7 @@
                 self.assertEqual((page["total"], page["nextToken"]), (4, 4))
 
     def test_items_that_no_engine_accepted_are_listed_as_given_up_at_every_zone(self):
-        self.engine.usual = Behaviour(refuse=True)
+        self.engine.default_behaviour = Behaviour(refuse=True)
         with mock.patch.object(item_ends, "GIVE_UP_MARGIN_MS", 0):
             self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
             for zone in ZONES:
@@ -64,7 +64,7 @@
                 self.assertEqual(states, ["dead_letter"] * (4 - position), zone)
 
     def test_bodies_resubmission_and_cancel_by_another_client(self):
-        self.engine.usual = Behaviour(silent=True)
+        self.engine.default_behaviour = Behaviour(silent=True)
         self.assertEqual(self.submit(ZONES[0], FIRST).status, 202)
         # The same job sent again to another zone, with another key of the tenant, is accepted once.
         self.assertEqual(self.submit(ZONES[2], SECOND).status, 202)
--- a/tests/test_online_admission.py
+++ b/tests/test_online_admission.py
@@ -294,7 +294,7 @@
         self.addCleanup(self.fleet.stop)
         self.engine = self.fleet.engines[0]
         self.list_with_one_slot()
-        self.engine.usual = Behaviour(events=1, thinks=0.4)
+        self.engine.default_behaviour = Behaviour(events=1, head_delay=0.4)
 
     def list_with_one_slot(self):
         entry = self.engine.entry
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -126,7 +126,7 @@
         gevent.sleep(0.05)
         second = f"POST {STREAM_PATH} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r2\r\n"
         second += "Connection: close\r\nContent-Length: 3\r\n\r\n"
-        self.engine.plan = [Behaviour(events=2), Behaviour(events=1)]
+        self.engine.next_behaviours = [Behaviour(events=2), Behaviour(events=1)]
         connection.sendall(b"a" * 30_000 + second.encode() + b"abc")
         data = b""
         while part := connection.recv(65_536):
@@ -245,7 +245,7 @@
             connection.sendall(head[begin : begin + 40].encode())
             gevent.sleep(0.02)
         # Serving takes longer than headers may take.
-        self.engine.usual = Behaviour(pause=PATIENCE_MS / 2000, events=4)
+        self.engine.default_behaviour = Behaviour(pause=PATIENCE_MS / 2000, events=4)
         answer = read_answer(connection)
         self.assertEqual((answer.status, answer.whole), (200, True))
 
--- a/tests/test_requests_that_end_engines.py
+++ b/tests/test_requests_that_end_engines.py
@@ -127,7 +127,7 @@
     def set_failing(self, fails):
         """Make engines answer with a failure, or crash under the request again."""
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(status=500 if fails else 200)
+            engine.default_behaviour = Behaviour(status=500 if fails else 200)
             engine.fatal_bodies = set() if fails else {FATAL}
 
 
@@ -278,7 +278,7 @@
 class InnocentTest(FatalRequestCase):
     def test_concurrent_requests_continue_and_are_cleared(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(events=4, pause=0.05)
+            engine.default_behaviour = Behaviour(events=4, pause=0.05)
         bystanders = [
             gevent.spawn(
                 self.fleet.request, f"n{number % 3}", STREAM_PATH + f"b{number}", body=b"innocent",
@@ -293,7 +293,7 @@
 
     def test_long_running_request_is_not_quarantined_by_engine_crashes(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(events=40, pause=0.05)
+            engine.default_behaviour = Behaviour(events=40, pause=0.05)
         clients = [
             gevent.spawn(self.fleet.request, f"n{number % 3}", STREAM_PATH + "long", body=b"long")
             for number in range(8)
@@ -308,10 +308,10 @@
     def test_connection_failures_of_running_engines_quarantine_nothing(self):
         """Each engine answers others as soon as the node uses it again, a second later."""
         for engine in self.fleet.engines:
-            engine.plan = [Behaviour(cut_after=-1)]
+            engine.next_behaviours = [Behaviour(cut_after=-1)]
         self.fleet.request("n0", STREAM_PATH + "x", body=b"cut")
         for engine in self.fleet.engines:
-            engine.plan = []
+            engine.next_behaviours = []
         again = self.fleet.request("n0", STREAM_PATH + "x", body=b"cut")
         self.assertIn(b"request_quarantined", again.body)
         wait_until(self.served_after_others)
@@ -334,7 +334,7 @@
         self.addCleanup(fleet.stop)
         wait_until(lambda: all(len(one.peers.all()) == 1 for one in fleet.nodes.values()))
         for engine in fleet.engines:
-            engine.usual = Behaviour(status=500, thinks=0.3)
+            engine.default_behaviour = Behaviour(status=500, head_delay=0.3)
         body = job_body("job", items=1)
         self.assertEqual(
             fleet.request("n0", BATCH_PATH + "x", body=body, request_id="job").status, 202
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -176,7 +176,7 @@
         fleet = GatewayFleet(nodes=1, engines=2)
         self.addCleanup(fleet.stop)
         for engine in fleet.engines:
-            engine.usual = Behaviour(thinks=0.05)
+            engine.default_behaviour = Behaviour(head_delay=0.05)
         proxies = [Proxy(engine.port) for engine in fleet.engines]
         for engine, proxy in zip(fleet.engines, proxies, strict=True):
             self.addCleanup(proxy.stop)
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -41,7 +41,7 @@
 
     def answer_with(self, **behaviour):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(**behaviour)
+            engine.default_behaviour = Behaviour(**behaviour)
 
     def send(self, request_id, path=STREAM_PATH):
         """Send a request and do not read its response yet; returns the connection."""
@@ -125,7 +125,7 @@
     def test_slow_stream_resumes_at_another_engine(self):
         plan = [Behaviour(events=EVENTS, padding=PADDING, cut_after=120)]
         for engine in self.fleet.engines:
-            engine.plan = plan
+            engine.next_behaviours = plan
         connection = self.send("r1")
         wait_until(lambda: self.placed() == 0 and self.held() > SIZE / 2)
         runs = sorted(run for engine in self.fleet.engines for run in engine.runs if run[1])
@@ -135,7 +135,7 @@
 
     def test_truncated_response_looks_truncated(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(events=EVENTS, padding=PADDING, cut_after=120)
+            engine.default_behaviour = Behaviour(events=EVENTS, padding=PADDING, cut_after=120)
         connection = self.send("r1", ONCE_PATH)
         wait_until(lambda: self.placed() == 0 and self.held() > SIZE / 4)
         answer = read_answer(connection)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -86,7 +86,7 @@
 
     def test_no_log_event_or_status_document_contains_a_key(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(cut_after=-1)
+            engine.default_behaviour = Behaviour(cut_after=-1)
         self.send(key(KEY))
         self.send(key("nobody's"))
         told = [str(one) for log in self.fleet.logs.values() for one in log.written]
@@ -98,7 +98,7 @@
 
     def test_resumed_stream_keeps_its_tenant(self):
         for engine in self.fleet.engines:
-            engine.plan = [Behaviour(cut_after=1)]
+            engine.next_behaviours = [Behaviour(cut_after=1)]
         self.assertTrue(self.send(key(KEY)).whole)
         heads = self.heads()
         self.assertGreater(len(heads), 1)
@@ -135,8 +135,8 @@
     def test_running_stream_continues_when_its_key_is_removed(self):
         """The request was allowed when it was sent; a change applies to later requests only."""
         for engine in self.fleet.engines:
-            engine.plan = [Behaviour(pause=0.3, cut_after=2)]
-            engine.usual = Behaviour(pause=0.05)
+            engine.next_behaviours = [Behaviour(pause=0.3, cut_after=2)]
+            engine.default_behaviour = Behaviour(pause=0.05)
         connection = self.fleet.open("n0", STREAM_PATH + "x", headers=key(KEY), body=b"b")
         self.addCleanup(connection.close)
         wait_until(lambda: self.heads())
@@ -202,7 +202,7 @@
 
     def test_two_tenants_may_use_the_same_id(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(silent=True)
+            engine.default_behaviour = Behaviour(silent=True)
         self.assertEqual(self.submit(KEY).status, 202)
         self.assertEqual(self.submit(OTHER_KEY, body=job_body("k", items=2)).status, 202)
         for sent, total in ((KEY, 3), (OTHER_KEY, 2)):
@@ -211,7 +211,7 @@
 
     def test_removing_a_key_ends_no_job(self):
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(pause=0.1)
+            engine.default_behaviour = Behaviour(pause=0.1)
         self.submit(KEY)
         self.fleet.configure(tenants=[{"name": "ann", "apiKeys": [SECOND_KEY]}])
         self.in_force(4)
@@ -227,7 +227,7 @@
         self.assertEqual(self.submit(KEY, body=json.dumps(document).encode()).status, 202)
         wait_until(lambda: len(self.heads()) == 3)
         self.assertEqual({headers["tenant"] for headers in self.heads()}, {"ann"})
-        for topic, records in self.fleet.topics.everything():
+        for topic, records in self.fleet.topics.all_records():
             if topic != "keyed.op":
                 for record in records:
                     self.assertNotIn(KEY.encode(), record.value, topic)
@@ -236,7 +236,7 @@
         self.fleet.configure(tenants=TENANTS, maxQueuedTokens=400)
         self.in_force(4)
         for engine in self.fleet.engines:
-            engine.usual = Behaviour(silent=True)
+            engine.default_behaviour = Behaviour(silent=True)
         self.assertEqual(self.submit(KEY, job_id="a").status, 202)
         self.assertEqual(self.submit(KEY, job_id="b").status, 429)
         self.assertEqual(self.submit(OTHER_KEY, job_id="c").status, 202)
--- a/tests/test_uneven_engines.py
+++ b/tests/test_uneven_engines.py
@@ -16,7 +16,7 @@
 from postvalve.core.routing.engine_load import EngineLoad
 from postvalve.emulator.engine_model import EngineNoise, EngineParameters
 from postvalve.emulator.virtual_engine import VirtualEngine
-from postvalve.emulator.virtual_network import Place, VirtualNetwork
+from postvalve.emulator.virtual_network import Location, VirtualNetwork
 from postvalve.emulator.virtual_time import VirtualClock, run_virtual
 from postvalve.gateway.fleet.engine_fleet import EngineFleet
 from postvalve.gateway.interfaces import EngineEntry, EngineState, RequestTerms
@@ -66,13 +66,13 @@
         self.loop, self.load = loop, load
         self.draw = random.Random(load.seed)
         network = VirtualNetwork(loop)
-        self.place = Place("client", "z")
+        self.place = Location("client", "z")
         self.engines = {
             EngineLife.of(f"e{number}", 1): VirtualEngine(
                 network,
-                Place(f"e{number}", "z"),
+                Location(f"e{number}", "z"),
                 {"m": "1"},
-                EngineParameters(SLOTS, STEP, 0.0, 0.0, slowness=1 / speed, noise=load.noise),
+                EngineParameters(SLOTS, STEP, 0.0, 0.0, base_pace=1 / speed, noise=load.noise),
             )
             for number, speed in enumerate(load.speeds)
         }
