--- a/tests/test_batch_failures.py
+++ b/tests/test_batch_failures.py
@@ -82,7 +82,7 @@
                 fleet.engines.values(), key=lambda engine: engine.model.load().running
             )
             self.assertGreater(busiest_engine.model.load().running, 0)
-            fleet.kill_engine(busiest_engine.place.owner)
+            fleet.kill_engine(busiest_engine.location.owner)
             check_job(self, fleet, job_id, 200)
 
         self.simulate(run)
@@ -334,7 +334,7 @@
             busiest_engine = max(
                 fleet.engines.values(), key=lambda engine: engine.model.load().running
             )
-            fleet.kill_engine(busiest_engine.place.owner)
+            fleet.kill_engine(busiest_engine.location.owner)
             _, failed = check_job(self, fleet, job_id, 200, at_most_once=True)
             self.assertGreater(len(failed), 0)
 
--- a/tests/test_membership_and_stop.py
+++ b/tests/test_membership_and_stop.py
@@ -121,7 +121,7 @@
             for other in list(fleet.nodes):
                 if other != "node-1-0":
                     fleet.network.cut(
-                        fleet.nodes["node-1-0"].place.owner, fleet.nodes[other].place.owner
+                        fleet.nodes["node-1-0"].location.owner, fleet.nodes[other].location.owner
                     )
             gevent.sleep(30)
             fleet.mark_leaving("engine-1")
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -175,17 +175,17 @@
         node_id = self.random_node()
         if node_id is None:
             return
-        place = self.fleet.nodes[node_id].place
+        place = self.fleet.nodes[node_id].location
         self.fleet.drain_node(node_id)
         gevent.sleep(20)
-        if self.fleet.nodes[node_id].place == place:
+        if self.fleet.nodes[node_id].location == place:
             self.fleet.kill_node(node_id)
             self.fleet.restart_node(node_id)
 
     def freeze_node(self):
         node_id = self.random_node()
         if node_id is not None:
-            owner = self.fleet.nodes[node_id].place.owner
+            owner = self.fleet.nodes[node_id].location.owner
             self.frozen_nodes.add(node_id)
             self.fleet.loop.freeze(owner)
             gevent.sleep(self.random.uniform(0.1, 25))
