--- a/tests/bench_readers.py
+++ b/tests/bench_readers.py
@@ -121,7 +121,7 @@
     def start(self):
         """Start the processes, and wait until the node is ready."""
         self.store.start()
-        self._until(lambda: self.set_store_fault())
+        self._wait_until(lambda: self.set_store_fault())
         engine = SteadyEngine(self.folder)
         self.engines = [engine]
         self.list_engine(engine)
@@ -129,7 +129,7 @@
         node = Node("n0", ZONES[0], self.folder, self.store_port)
         self.nodes = [node]
         node.process.start()
-        self._until(lambda: self.is_ready(node))
+        self._wait_until(lambda: self.is_ready(node))
 
 
 class Bench:
--- a/tests/test_tenant_credit.py
+++ b/tests/test_tenant_credit.py
@@ -17,7 +17,7 @@
 from postvalve.gateway.serving.tenant_credit import CALL_TIMEOUT
 from postvalve.messages.generated import gateway
 from tests.gateway_support import STREAM_PATH, GatewayFleet
-from tests.waiting import PATIENCE, wait_until
+from tests.waiting import WAIT_TIMEOUT, wait_until
 
 RATE, BURST = 4.0, 2.0
 TENANTS = [
@@ -72,7 +72,7 @@
         super().setUp()
         # All nodes of a test share one process: a busy machine would make each of them late.
         for node in self.fleet.nodes.values():
-            node._limits.primary_timeout = node._limits.call_timeout = PATIENCE
+            node._limits.primary_timeout = node._limits.call_timeout = WAIT_TIMEOUT
 
     def test_flood_at_all_nodes_stays_within_one_limit(self):
         answers = self.flood(["n0", "n1", "n2"], 90)
@@ -117,7 +117,7 @@
         limits.try_acquire = lend_late
         # A busy machine makes any answer of this single process late.
         self.assertGreater(CALL_TIMEOUT, 2 * ANSWER_DELAY)
-        self.fleet.nodes[other]._limits.call_timeout = PATIENCE
+        self.fleet.nodes[other]._limits.call_timeout = WAIT_TIMEOUT
         # The bucket holds enough credit for all of these, that of the secondary lender does not.
         self.assertEqual({one.status for one in self.flood([other], 10)}, {200})
         self.assertEqual(self.fleet.events(other, Event.LIMIT_UNKNOWN), [])
